--- a/client/client.go
+++ b/client/client.go
@@ -55,7 +55,7 @@
 
 // Withdraw cancels a job; the answer says whether it was done before.
 func (c *Client) Withdraw(ctx context.Context, id string) (*wire.JobStatus, error) {
-	return c.named(ctx, http.MethodPost, id, "/"+wire.WordWithdraw, 5*time.Second)
+	return c.named(ctx, http.MethodPost, id, "/"+wire.VerbCancel, 5*time.Second)
 }
 
 func (c *Client) named(ctx context.Context, method, id, suffix string, timeout time.Duration) (*wire.JobStatus, error) {
--- a/cmd/saffronbend/drain.go
+++ b/cmd/saffronbend/drain.go
@@ -51,7 +51,7 @@
 
 // ask asks one controller after another, until one can be reached.
 func (d *drainCmd) ask(f func(context.Context, operatorpbconnect.DrainServiceClient) error) error {
-	return askControllers(d.Cluster, operator.NewClient, f)
+	return askControllers(d.Cluster, operator.NewDrainClient, f)
 }
 
 // one asks for something that is answered with one drain's status, and prints that.
--- a/cmd/saffronbend/spread.go
+++ b/cmd/saffronbend/spread.go
@@ -35,7 +35,7 @@
 
 // ask asks one controller after another, until one can be reached, and prints the status that it answers with.
 func (s *spreadCmd) ask(f spreadCall) error {
-	return askControllers(s.Cluster, operator.NewSpreadClient, func(ctx context.Context, client operatorpbconnect.SpreadServiceClient) error {
+	return askControllers(s.Cluster, operator.NewRebalancingClient, func(ctx context.Context, client operatorpbconnect.SpreadServiceClient) error {
 		resp, err := f(ctx, client)
 		if err == nil {
 			printSpread(os.Stdout, resp.Msg)
--- a/commands.go
+++ b/commands.go
@@ -58,14 +58,14 @@
 
 // ask gets something from the term's goroutine. A call that was given up may still be carried out, so what it gives comes over
 // a channel and not by a variable of the caller's.
-func ask[T any](ctx context.Context, t *term, f func(now micros.Time) (T, error)) (T, error) {
+func ask[T any](ctx context.Context, t *term, f func(now micros.Timestamp) (T, error)) (T, error) {
 	type answer struct {
 		value T
 		err   error
 	}
 	answers := make(chan answer, 1)
 	var none T
-	if !t.post(ctx, func(now micros.Time) {
+	if !t.post(ctx, func(now micros.Timestamp) {
 		value, err := f(now)
 		answers <- answer{value, err}
 	}) {
@@ -81,8 +81,8 @@
 }
 
 // tell has something done by the term's goroutine.
-func (t *term) tell(ctx context.Context, f func(now micros.Time) error) error {
-	_, err := ask(ctx, t, func(now micros.Time) (struct{}, error) { return struct{}{}, f(now) })
+func (t *term) tell(ctx context.Context, f func(now micros.Timestamp) error) error {
+	_, err := ask(ctx, t, func(now micros.Timestamp) (struct{}, error) { return struct{}{}, f(now) })
 	return err
 }
 
@@ -110,7 +110,7 @@
 	if err != nil {
 		return 0, err
 	}
-	txn := wire.Txn{If: []wire.Cond{{Key: key, Version: version}}, Then: []wire.Change{{Put: key, Value: value}}}
+	txn := wire.Txn{If: []wire.Condition{{Key: key, Version: version}}, Then: []wire.Change{{Put: key, Value: value}}}
 	revision, err = t.commit(ctx, txn)
 	var conflict *state.Conflict
 	switch {
@@ -140,8 +140,8 @@
 
 // commit carries out a transaction under the leader's key.
 func (t *term) commit(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
-	txn.If = append([]wire.Cond{{Key: state.LeaderKey, Version: t.token}}, txn.If...)
-	return t.n.state.Txn(ctx, txn)
+	txn.If = append([]wire.Condition{{Key: state.LeaderKey, Version: t.token}}, txn.If...)
+	return t.n.state.CompareAndSwap(ctx, txn)
 }
 
 // settle repeats a write, if one is given, until its outcome is known, and has what is durable then read.
--- a/drains.go
+++ b/drains.go
@@ -86,7 +86,7 @@
 func decodePages(items []wire.Item) (map[string]map[int][]string, error) {
 	pages := map[string]map[int][]string{}
 	for _, it := range items {
-		list, page, ok := state.SplitDrainMachinesKey(it.Key)
+		list, page, ok := state.ParseDrainMachinesKey(it.Key)
 		if !ok {
 			continue
 		}
@@ -103,7 +103,7 @@
 }
 
 // round decides on evictions and returns, in the term's goroutine.
-func (d *drainer) round(ctx context.Context, now micros.Time) {
+func (d *drainer) round(ctx context.Context, now micros.Timestamp) {
 	t := d.t
 	if !d.planner.Active() {
 		t.mgr.SetReplacements(nil)
@@ -113,11 +113,11 @@
 	s.Wall = t.n.clock.Wall()
 	evict := func(task disruption.Task) drain.Refusal { return t.mgr.Evict(now, task) }
 	acts := d.planner.Plan(s, evict, spent(t.n.set.Tuning.RoundBudget))
-	t.mgr.SetReplacements(acts.Replace)
-	for _, id := range acts.Return {
+	t.mgr.SetReplacements(acts.NeedReplacement)
+	for _, id := range acts.ScaleIn {
 		t.n.log.Info("returning a machine", "machine", id, "why", "drained")
 	}
-	t.returnMachines(ctx, acts.Return)
+	t.returnMachines(ctx, acts.ScaleIn)
 	for _, name := range d.planner.Finished() {
 		d.end(ctx, name)
 	}
@@ -134,14 +134,14 @@
 		if err != nil {
 			d.t.n.log.Debug("the end of a drain could not be written", "drain", name, "err", err)
 		}
-		d.t.post(ctx, func(micros.Time) { delete(d.ending, name) })
+		d.t.post(ctx, func(micros.Timestamp) { delete(d.ending, name) })
 	})
 }
 
 // start makes a drain durable.
 func (d *drainer) start(ctx context.Context, r drain.Request) (st drain.Status, err error) {
 	err = d.lock.holding(ctx, func() error {
-		plan, err := ask(ctx, d.t, func(now micros.Time) (drain.Plan, error) {
+		plan, err := ask(ctx, d.t, func(now micros.Timestamp) (drain.Plan, error) {
 			return d.planner.Prepare(r, d.t.n.clock.Wall(), d.t.mgr.KnownMachines(now))
 		})
 		if err != nil || plan.Exists {
@@ -166,7 +166,7 @@
 // change makes durable that a drain is in another state.
 func (d *drainer) change(ctx context.Context, name string, to drain.State) (st drain.Status, err error) {
 	err = d.lock.holding(ctx, func() error {
-		c, err := ask(ctx, d.t, func(micros.Time) (drain.Change, error) { return d.planner.Change(name, to) })
+		c, err := ask(ctx, d.t, func(micros.Timestamp) (drain.Change, error) { return d.planner.Change(name, to) })
 		if err != nil || c.None {
 			return err
 		}
@@ -192,7 +192,7 @@
 	for page := range rec.Pages {
 		changes = append(changes, wire.Change{Delete: state.DrainMachinesKey(rec.List, page)})
 	}
-	expendable, err := ask(ctx, d.t, func(micros.Time) ([]string, error) { return d.planner.Expendable(), nil })
+	expendable, err := ask(ctx, d.t, func(micros.Timestamp) ([]string, error) { return d.planner.Expendable(), nil })
 	if err != nil {
 		return // the term is over
 	}
@@ -203,7 +203,7 @@
 		d.t.n.log.Debug("records of drains that are over could not be deleted", "err", err)
 		return
 	}
-	_ = d.t.tell(ctx, func(micros.Time) error {
+	_ = d.t.tell(ctx, func(micros.Timestamp) error {
 		for _, name := range expendable {
 			d.planner.Forget(name)
 		}
@@ -248,7 +248,7 @@
 	if err != nil {
 		return err
 	}
-	return d.t.tell(ctx, func(now micros.Time) error {
+	return d.t.tell(ctx, func(now micros.Timestamp) error {
 		if err := d.planner.Apply(rec, machines, revision); err != nil {
 			return err
 		}
@@ -268,7 +268,7 @@
 	if err != nil {
 		return err
 	}
-	return d.t.tell(ctx, func(now micros.Time) error {
+	return d.t.tell(ctx, func(now micros.Timestamp) error {
 		err := d.restore(r)
 		d.cordon(now)
 		return err
@@ -276,7 +276,7 @@
 }
 
 // cordon has the Resource Manager know what the planner cordons and vacates.
-func (d *drainer) cordon(now micros.Time) {
+func (d *drainer) cordon(now micros.Timestamp) {
 	d.t.mgr.SetCordons(now, d.planner.Cordons(), d.planner.Vacated())
 }
 
@@ -291,7 +291,7 @@
 	}
 	var changes []wire.Change
 	for _, it := range r.machines {
-		if list, _, ok := state.SplitDrainMachinesKey(it.Key); ok && !wanted[list] {
+		if list, _, ok := state.ParseDrainMachinesKey(it.Key); ok && !wanted[list] {
 			changes = append(changes, wire.Change{Delete: it.Key})
 		}
 	}
@@ -301,12 +301,12 @@
 }
 
 func (d *drainer) status(ctx context.Context, name string) (drain.Status, error) {
-	return ask(ctx, d.t, func(micros.Time) (drain.Status, error) { return d.planner.Status(name) })
+	return ask(ctx, d.t, func(micros.Timestamp) (drain.Status, error) { return d.planner.Status(name) })
 }
 
 // statuses gives the drain of a name, or all.
 func (d *drainer) statuses(ctx context.Context, name string) ([]drain.Status, error) {
-	return ask(ctx, d.t, func(micros.Time) ([]drain.Status, error) {
+	return ask(ctx, d.t, func(micros.Timestamp) ([]drain.Status, error) {
 		names := d.planner.Names()
 		if name != "" {
 			names = []string{name}
@@ -326,7 +326,7 @@
 // withDrains calls f with the present term's drains, if this controller leads and can make something durable.
 func (n *Node) withDrains(ctx context.Context, f func(ctx context.Context, d *drainer) error) error {
 	if !n.set.Tuning.Drains.Enabled {
-		return operator.ErrOff
+		return operator.ErrDrainsDisabled
 	}
 	return n.command(ctx, func(ctx context.Context, t *term) error { return f(ctx, t.drains) })
 }
@@ -358,10 +358,10 @@
 	return list, err
 }
 
-var _ operator.Drains = (*Node)(nil)
+var _ operator.DrainController = (*Node)(nil)
 
 // restoreDrains takes what the state service holds of drains into a new term.
-func (t *term) restoreDrains(now micros.Time, r drainRecords) error {
+func (t *term) restoreDrains(now micros.Timestamp, r drainRecords) error {
 	t.drains = newDrainer(t)
 	if !t.n.set.Tuning.Drains.Enabled {
 		return nil
--- a/elect.go
+++ b/elect.go
@@ -18,7 +18,7 @@
 type elector struct {
 	n     *Node
 	e     *election.Election
-	life  micros.Span
+	life  micros.Duration
 	inbox chan func() []election.Effect
 
 	following string
@@ -33,13 +33,13 @@
 func newElector(n *Node) *elector {
 	life := min(permitLife, n.set.MaxStaleness())
 	return &elector{n: n, life: life, inbox: make(chan func() []election.Effect, 64),
-		e: election.New(election.Config{Member: n.set.Member, Run: n.run, Life: life,
-			Margin: life / 10})}
+		e: election.New(election.Config{Member: n.set.Member, Incarnation: n.run, LeaseTTL: life,
+			SafetyMargin: life / 10})}
 }
 
 func (d *elector) run(ctx context.Context) {
 	d.n.start(func() { d.watch(ctx) })
-	tick := time.NewTicker((100 * micros.Millisecond).Duration())
+	tick := time.NewTicker((100 * micros.Millisecond).Std())
 	defer tick.Stop()
 	for {
 		var effects []election.Effect
@@ -59,7 +59,7 @@
 }
 
 // post hands an outcome to the election's goroutine.
-func (d *elector) post(ctx context.Context, f func(now micros.Time) []election.Effect) {
+func (d *elector) post(ctx context.Context, f func(now micros.Timestamp) []election.Effect) {
 	select {
 	case d.inbox <- func() []election.Effect { return f(d.n.clock.Now()) }:
 	case <-ctx.Done():
@@ -92,7 +92,7 @@
 	case leading:
 		tctx, cancel := context.WithCancel(ctx)
 		t := newTerm(n, token, func(why string) {
-			d.post(ctx, func(now micros.Time) []election.Effect { return d.e.Deposed(now, token, why) })
+			d.post(ctx, func(now micros.Timestamp) []election.Effect { return d.e.StepDown(now, token, why) })
 		})
 		t.promise.Store(int64(promise))
 		d.stop = cancel
@@ -113,7 +113,7 @@
 		n.role.Store(&role{leader: member, following: f})
 		n.start(func() {
 			f.run(fctx, func() {
-				d.post(ctx, func(now micros.Time) []election.Effect { return d.e.Refused(now, token) })
+				d.post(ctx, func(now micros.Timestamp) []election.Effect { return d.e.LeaderUnreachable(now, token) })
 			})
 		})
 	}
@@ -134,8 +134,8 @@
 		return election.OK
 	case errors.As(err, &c):
 		return election.Conflict
-	case errors.Is(err, state.ErrNoLease):
-		return election.NoPermit
+	case errors.Is(err, state.ErrLeaseExpired):
+		return election.LeaseExpired
 	}
 	return election.Unknown
 }
@@ -146,11 +146,11 @@
 	switch {
 	case e.Read:
 		n.start(func() { _, _ = d.read(ctx) })
-	case e.Grant:
+	case e.GrantLease:
 		n.start(func() {
-			permit, err := n.state.Grant(ctx, d.life.Duration())
-			d.post(ctx, func(now micros.Time) []election.Effect {
-				return d.e.Granted(now, asked, permit, outcome(err))
+			permit, err := n.state.GrantLease(ctx, d.life.Std())
+			d.post(ctx, func(now micros.Timestamp) []election.Effect {
+				return d.e.LeaseGranted(now, asked, permit, outcome(err))
 			})
 		})
 	case e.Claim != nil:
@@ -158,23 +158,23 @@
 			value, err := json.Marshal(e.Claim.Record)
 			var version uint64
 			if err == nil {
-				version, err = n.state.Txn(ctx, wire.Txn{If: []wire.Cond{{Key: state.LeaderKey, Version: e.Claim.Version}},
-					Then: []wire.Change{{Put: state.LeaderKey, Value: value, Lease: e.Claim.Permit}}})
+				version, err = n.state.CompareAndSwap(ctx, wire.Txn{If: []wire.Condition{{Key: state.LeaderKey, Version: e.Claim.Version}},
+					Then: []wire.Change{{Put: state.LeaderKey, Value: value, Lease: e.Claim.Lease}}})
 			}
-			d.post(ctx, func(now micros.Time) []election.Effect { return d.e.Claimed(now, version, outcome(err)) })
+			d.post(ctx, func(now micros.Timestamp) []election.Effect { return d.e.LeadershipClaimed(now, version, outcome(err)) })
 		})
-	case e.Renew != 0:
+	case e.RenewLease != 0:
 		n.start(func() {
-			err := n.state.Renew(ctx, e.Renew)
+			err := n.state.RenewLease(ctx, e.RenewLease)
 			if err == nil {
 				n.served()
 			}
-			d.post(ctx, func(now micros.Time) []election.Effect { return d.e.Renewed(now, asked, outcome(err)) })
+			d.post(ctx, func(now micros.Timestamp) []election.Effect { return d.e.LeaseRenewed(now, asked, outcome(err)) })
 		})
-	case e.Lead != 0:
-		n.log.Info("leading", "token", e.Lead)
-	case e.Lost != "":
-		n.log.Info("no longer leading", "why", e.Lost)
+	case e.StartTerm != 0:
+		n.log.Info("leading", "token", e.StartTerm)
+	case e.StepDown != "":
+		n.log.Info("no longer leading", "why", e.StepDown)
 	}
 }
 
@@ -185,7 +185,7 @@
 func (d *elector) read(ctx context.Context) (uint64, bool) {
 	items, revision, err := d.n.state.List(ctx, state.LeaderKey)
 	if err != nil {
-		d.post(ctx, func(now micros.Time) []election.Effect { return d.e.Seen(now, nil, 0, false) })
+		d.post(ctx, func(now micros.Timestamp) []election.Effect { return d.e.LeaderObserved(now, nil, 0, false) })
 		return 0, false
 	}
 	d.n.served()
@@ -209,7 +209,7 @@
 }
 
 func (d *elector) seen(ctx context.Context, rec *state.LeaderRecord, version uint64) {
-	d.post(ctx, func(now micros.Time) []election.Effect { return d.e.Seen(now, rec, version, true) })
+	d.post(ctx, func(now micros.Timestamp) []election.Effect { return d.e.LeaderObserved(now, rec, version, true) })
 }
 
 // watch follows the leader's key.
--- a/follow.go
+++ b/follow.go
@@ -8,10 +8,11 @@
 	"time"
 
 	"saffronbend/internal/ingress"
-	"saffronbend/internal/manager"
+	"saffronbend/internal/lease"
 	"saffronbend/internal/micros"
 	"saffronbend/internal/peer"
 	"saffronbend/internal/scheduler"
+	"saffronbend/internal/snapshot"
 	"saffronbend/wire"
 )
 
@@ -52,7 +53,7 @@
 func (f *following) noteContact() { f.heard.Store(int64(f.n.clock.Now())) }
 
 func (f *following) silent() bool {
-	return f.n.clock.Now().Sub(micros.Time(f.heard.Load())) > renewAfter
+	return f.n.clock.Now().Sub(micros.Timestamp(f.heard.Load())) > renewAfter
 }
 
 // run keeps a stream to the leader until ctx ends, and hands its views to the placer.
@@ -64,8 +65,8 @@
 	served, refusals := false, 0
 	n.start(func() { f.renewer.run(ctx, f.silent) })
 	for ctx.Err() == nil {
-		var mirror manager.Mirror
-		err := f.client.Updates(ctx, func(u *manager.Update) bool {
+		var mirror snapshot.Replica
+		err := f.client.FollowSnapshots(ctx, func(u *snapshot.Update) bool {
 			v := mirror.Apply(u)
 			if v == nil {
 				return false
@@ -73,7 +74,7 @@
 			served, refusals = true, 0
 			f.noteContact()
 			n.show(v)
-			n.placer.offer(v, f.client.Ask)
+			n.placer.offer(v, f.client.RequestLeases)
 			return true
 		})
 		if ctx.Err() != nil {
@@ -97,27 +98,27 @@
 // belongs with the leader. One that has the leader's token was answered by it before, and
 // comes here only because it is answered no more, while we hear the leader: as when
 // the leader is cut off from workers alone.
-func (f *following) report(ctx context.Context, r *wire.Report) *wire.ReportAnswer {
+func (f *following) report(ctx context.Context, r *wire.Heartbeat) *wire.HeartbeatResponse {
 	if a := f.renewer.answer(r); a != nil {
 		return a
 	}
-	if r.Token != f.token || f.silent() {
+	if r.FencingToken != f.token || f.silent() {
 		return nil
 	}
 	ingress.Yield(ctx)
-	a, err := f.client.Relay(ctx, r)
+	a, err := f.client.RelayHeartbeat(ctx, r)
 	if err != nil {
 		f.n.log.Debug("a report could not be passed on", "machine", r.Machine, "err", err)
 		return nil
 	}
-	if a.Reached {
+	if a.CommandsDelivered {
 		return nil
 	}
-	return a.Answer
+	return a.Response
 }
 
 // askFunc sends lease requests to the leader.
-type askFunc func(ctx context.Context, r []manager.Request) (*peer.Answers, error)
+type askFunc func(ctx context.Context, r []lease.Transaction) (*peer.LeaseResponses, error)
 
 // placer runs the framework scheduler of this controller's teams. It owns the
 // scheduler; views come over a channel that holds the newest.
@@ -127,7 +128,7 @@
 }
 
 type offered struct {
-	view *manager.View
+	view *snapshot.Snapshot
 	ask  askFunc
 }
 
@@ -135,7 +136,7 @@
 
 // offer replaces the view that waits, if any, by a newer one. Only one goroutine
 // offers at a time.
-func (p *placer) offer(v *manager.View, ask askFunc) {
+func (p *placer) offer(v *snapshot.Snapshot, ask askFunc) {
 	for {
 		select {
 		case p.views <- offered{v, ask}:
@@ -147,25 +148,25 @@
 }
 
 // spent tells when the time for a round of decisions is over.
-func spent(budget micros.Span) func() bool {
+func spent(budget micros.Duration) func() bool {
 	began := time.Now()
-	return func() bool { return time.Since(began) > budget.Duration() }
+	return func() bool { return time.Since(began) > budget.Std() }
 }
 
 // newer gives the newer view along with the news of the one it replaces.
-func newer(old, v *manager.View) *manager.View {
-	if old.Token != v.Token || len(old.Finished) == 0 {
+func newer(old, v *snapshot.Snapshot) *snapshot.Snapshot {
+	if old.FencingToken != v.FencingToken || len(old.CompletedRuns) == 0 {
 		return v
 	}
 	both := *v
-	both.Finished = append(append([]manager.Finished(nil), old.Finished...), v.Finished...)
+	both.CompletedRuns = append(append([]snapshot.CompletedRun(nil), old.CompletedRuns...), v.CompletedRuns...)
 	return &both
 }
 
 func (p *placer) run(ctx context.Context) {
 	n := p.n
 	s := scheduler.New(n.set.Member, n.set.Tuning)
-	var asked micros.Time
+	var asked micros.Timestamp
 	for {
 		var o offered
 		select {
@@ -190,7 +191,7 @@
 				break
 			}
 			if len(requests) > 0 {
-				s.Granted(ans.Version)
+				s.Granted(ans.SnapshotVersion)
 			}
 		}
 	}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -23,7 +23,7 @@
 // Store is the part of the state service that the users' interface needs.
 type Store interface {
 	Get(ctx context.Context, key string) (*wire.Item, error)
-	Txn(ctx context.Context, t wire.Txn) (uint64, error)
+	CompareAndSwap(ctx context.Context, t wire.Txn) (uint64, error)
 }
 
 // Info is what the controller knows beside the store.
@@ -60,7 +60,7 @@
 func (a *API) Register(r *httprouter.Router) {
 	r.POST(wire.PathJobs, a.limited(a.submit))
 	r.GET(wire.PathJobs+"/:id", a.limited(a.status))
-	r.POST(wire.PathJobs+"/:id/"+wire.WordWithdraw, a.limited(a.withdraw))
+	r.POST(wire.PathJobs+"/:id/"+wire.VerbCancel, a.limited(a.withdraw))
 	r.GET(wire.PathHealth, a.health)
 	r.NotFound = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { refuse(w, http.StatusNotFound, "no such path") })
 	r.MethodNotAllowed = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -134,7 +134,7 @@
 		return
 	}
 	limit := a.set.Deployment.State.Within().ValueKB
-	rec := state.OpenRecord{Job: *job, Accepted: a.wall(), Chunk: state.ChunkSize(job.Kind, limit)}
+	rec := state.OpenRecord{Job: *job, AcceptedAt: a.wall(), ShardSize: state.ProgressShardSize(job.Kind, limit)}
 	open, err := json.Marshal(rec)
 	if err == nil && float64(len(open)) > limit*1024 {
 		a.refuseNew(ctx, w, job.ID, http.StatusBadRequest, tooLong)
@@ -146,8 +146,8 @@
 		later(w, "internal error")
 		return
 	}
-	_, err = a.store.Txn(ctx, wire.Txn{
-		If: []wire.Cond{{Key: state.StatusKey(job.ID)}, {Key: state.OpenKey(job.ID)}},
+	_, err = a.store.CompareAndSwap(ctx, wire.Txn{
+		If: []wire.Condition{{Key: state.StatusKey(job.ID)}, {Key: state.OpenKey(job.ID)}},
 		Then: []wire.Change{{Put: state.StatusKey(job.ID), Value: status},
 			{Put: state.OpenKey(job.ID), Value: open}}})
 	if err == nil {
@@ -226,7 +226,7 @@
 		return ""
 	case team.CPUsMax > 0 && n*j.CPUs > team.CPUsMax+1e-9 || team.GPUsMax > 0 && n*j.GPUs > team.GPUsMax+1e-9:
 		return "the tasks of the gang together need more than the team's limit"
-	case j.Spread && (j.OneZone || len(zones) < 2):
+	case j.SpreadZones && (j.SameZone || len(zones) < 2):
 		return "the tasks of the gang can't be spread over the zones that they may use"
 	}
 	return ""
@@ -323,14 +323,14 @@
 	if err := json.Unmarshal(it.Value, &rec); err != nil {
 		return fmt.Errorf("record of %s: %w", id, err)
 	}
-	open, err := json.Marshal(rec.Closed(wire.JobCancelled))
+	open, err := json.Marshal(rec.Finalized(wire.JobCancelled))
 	status, err2 := json.Marshal(state.StatusRecord{Status: wire.JobCancelled})
 	if err := errors.Join(err, err2); err != nil {
 		return fmt.Errorf("record of %s: %w", id, err)
 	}
 	// Both records of a job change together, so they share their version.
-	_, err = a.store.Txn(ctx, wire.Txn{
-		If: []wire.Cond{{Key: state.StatusKey(id), Version: it.Version}, {Key: state.OpenKey(id), Version: it.Version}},
+	_, err = a.store.CompareAndSwap(ctx, wire.Txn{
+		If: []wire.Condition{{Key: state.StatusKey(id), Version: it.Version}, {Key: state.OpenKey(id), Version: it.Version}},
 		Then: []wire.Change{{Put: state.StatusKey(id), Value: status},
 			{Put: state.OpenKey(id), Value: open}}})
 	return err
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -27,7 +27,7 @@
 	return nil, nil
 }
 
-func (s store) Txn(_ context.Context, t wire.Txn) (uint64, error) {
+func (s store) CompareAndSwap(_ context.Context, t wire.Txn) (uint64, error) {
 	for _, c := range t.If {
 		if _, ok := s[c.Key]; ok && c.Version == 0 {
 			return 0, &state.Conflict{Failed: []string{c.Key}}
@@ -76,7 +76,7 @@
 		{true, http.MethodPost, wire.PathJobs, job("run-3", 9), http.StatusUnprocessableEntity},
 		{true, http.MethodGet, wire.PathJobs + "/run-1", "", http.StatusOK},
 		{true, http.MethodGet, wire.PathJobs + "/run-2", "", http.StatusNotFound},
-		{true, http.MethodPost, wire.PathJobs + "/run-1/" + wire.WordWithdraw, "", http.StatusOK},
+		{true, http.MethodPost, wire.PathJobs + "/run-1/" + wire.VerbCancel, "", http.StatusOK},
 		{false, http.MethodPost, wire.PathJobs, job("run-2", 1), http.StatusCreated},
 	}
 	for _, s := range steps {
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -84,19 +84,19 @@
 	return t.Types, nil
 }
 
-// Hire rents machines. After an error other than ErrNoCapacity and ErrUnavailable
+// ScaleOut rents machines. After an error other than ErrNoCapacity and ErrUnavailable
 // the machines may exist all the same; repeating the same request is safe.
-func (c *Client) Hire(ctx context.Context, h wire.Hire) ([]string, error) {
-	var n wire.Names
+func (c *Client) ScaleOut(ctx context.Context, h wire.ScaleOutRequest) ([]string, error) {
+	var n wire.MachineNames
 	if err := c.do(ctx, http.MethodPost, "/machines", h, &n); err != nil {
 		return nil, err
 	}
 	return n.Machines, nil
 }
 
-// Delete returns machines; nil means that they and all on them are gone.
-func (c *Client) Delete(ctx context.Context, names []string) error {
-	return c.do(ctx, http.MethodPost, "/machines/delete", wire.Names{Machines: names}, nil)
+// ScaleIn returns machines; nil means that they and all on them are gone.
+func (c *Client) ScaleIn(ctx context.Context, names []string) error {
+	return c.do(ctx, http.MethodPost, "/machines/delete", wire.MachineNames{Machines: names}, nil)
 }
 
 // List reads the whole list of machines.
--- a/internal/disruption/disruption.go
+++ b/internal/disruption/disruption.go
@@ -44,7 +44,7 @@
 	Team    string
 	Attempt uint64 // that was stopped or lost
 	Cause   Cause
-	Since   micros.Time
+	Since   micros.Timestamp
 }
 
 // Ledger holds the open disturbances. A nil ledger keeps no account.
--- a/internal/drain/choose_test.go
+++ b/internal/drain/choose_test.go
@@ -20,10 +20,10 @@
 	out := make([]Machine, machines)
 	for i := range out {
 		out[i].ID = fmt.Sprintf("n-%05d", i)
-		out[i].Heard = true
+		out[i].Heartbeating = true
 		for k := range r.IntN(tasks + 1) {
 			out[i].Attempts = append(out[i].Attempts, Attempt{Task: disruption.Task{Job: "run-1", Index: i*tasks + k}, Team: fmt.Sprint("team", r.IntN(teams)),
-				Size: 1, Saves: true, Ends: micros.Time(micros.Minute)})
+				Size: 1, Checkpoints: true, ExpectedEnd: micros.Timestamp(micros.Minute)})
 		}
 	}
 	return out, remaining
@@ -129,10 +129,10 @@
 				teams[t] = fmt.Sprint("team", t)
 				s.Teams[teams[t]] = Team{Running: machines}
 			}
-			var known []Known
+			var known []KnownMachine
 			for _, m := range ms {
 				s.Machines[m.ID] = m
-				known = append(known, Known{ID: m.ID, Zone: "a"})
+				known = append(known, KnownMachine{ID: m.ID, Zone: "a"})
 			}
 			p := New(Config{Teams: teams, Default: budget(b, "20"), Step: 20})
 			begin(b, p, Request{Name: "x", Zone: "a"}, known)
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -36,7 +36,7 @@
 var (
 	ErrUnknown   = errors.New("no such drain")
 	ErrNameInUse = errors.New("the name is in use for another drain")
-	ErrOver      = errors.New("the drain is over")
+	ErrEnded     = errors.New("the drain is over")
 	ErrEmpty     = errors.New("no machine matches")
 	ErrMachine   = errors.New("no such machine")
 	ErrTeam      = errors.New("no such team")
@@ -47,7 +47,7 @@
 )
 
 // MostStep bounds the machines that are emptied at the same time.
-const MostStep = 1000
+const MaxStep = 1000
 
 // mostDrains bounds the drains that are not over, mostKept the ones that are and are still shown.
 const mostDrains, mostKept = 32, 32
@@ -59,9 +59,9 @@
 	Name            string
 	Machines        []string
 	Zone, Type      string
-	OlderThan       micros.Span
+	OlderThan       micros.Duration
 	Step            int
-	Deadline        micros.Span // 0: none
+	Deadline        micros.Duration // 0: none
 	EvictAtDeadline bool
 	Budgets         map[string]string
 }
@@ -76,10 +76,10 @@
 	return digest(fmt.Sprintf("%q %q %q %d %d %d %v %s", machines, r.Zone, r.Type, r.OlderThan, r.Step, r.Deadline, r.EvictAtDeadline, budgets))
 }
 
-// Known is a machine that a drain may name.
-type Known struct {
+// KnownMachine is a machine that a drain may name.
+type KnownMachine struct {
 	ID, Zone, Type string
-	Age            micros.Span
+	Age            micros.Duration
 }
 
 // Plan is a drain that is to be made durable.
@@ -127,7 +127,7 @@
 }
 
 // Prepare checks a request and gives the drain to be made durable.
-func (p *Planner) Prepare(r Request, wall int64, known []Known) (Plan, error) {
+func (p *Planner) Prepare(r Request, wall int64, known []KnownMachine) (Plan, error) {
 	if !nameFormat.MatchString(r.Name) {
 		return Plan{}, ErrName
 	}
@@ -173,7 +173,7 @@
 	return nil
 }
 
-func selectMachines(r Request, known []Known) ([]string, error) {
+func selectMachines(r Request, known []KnownMachine) ([]string, error) {
 	if len(r.Machines) == 0 && r.Zone == "" && r.Type == "" && r.OlderThan == 0 {
 		return nil, ErrSelection
 	}
@@ -219,7 +219,7 @@
 		return c, nil
 	}
 	if !State(d.record.State).Active() {
-		return Change{}, fmt.Errorf("%w: it is %s", ErrOver, d.record.State)
+		return Change{}, fmt.Errorf("%w: it is %s", ErrEnded, d.record.State)
 	}
 	c.Record.State = string(to)
 	return c, nil
@@ -267,19 +267,19 @@
 // Cordons gives the machines that take nothing new. The map is not changed any more.
 func (p *Planner) Cordons() map[string]bool { return p.cordons }
 
-// Vacated is a zone, a type or a type in a zone that a drain vacates as a whole.
-type Vacated struct{ Zone, Type string }
+// Vacating is a zone, a type or a type in a zone that a drain vacates as a whole.
+type Vacating struct{ Zone, Type string }
 
 // Includes tells whether machines of a type in a zone are vacated.
-func (v Vacated) Includes(typ, zone string) bool {
+func (v Vacating) Includes(typ, zone string) bool {
 	return (v.Zone == "" || v.Zone == zone) && (v.Type == "" || v.Type == typ)
 }
 
 // Vacated gives what the drains that are not over vacate as a whole.
-func (p *Planner) Vacated() []Vacated {
-	var out []Vacated
+func (p *Planner) Vacated() []Vacating {
+	var out []Vacating
 	for _, d := range p.byStart() {
-		if v := (Vacated{d.record.Zone, d.record.Type}); v != (Vacated{}) {
+		if v := (Vacating{d.record.Zone, d.record.Type}); v != (Vacating{}) {
 			out = append(out, v)
 		}
 	}
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -13,7 +13,7 @@
 // Snapshot is what the planner decides on: the cordoned machines that there are, and how much of the teams' work is
 // disturbed.
 type Snapshot struct {
-	Now      micros.Time
+	Now      micros.Timestamp
 	Wall     int64 // time of day, microseconds
 	Machines map[string]Machine
 	Teams    map[string]Team
@@ -23,22 +23,22 @@
 
 // Machine is a cordoned machine.
 type Machine struct {
-	ID       string
-	Heard    bool // reports arrive, and it has our token
-	Deleting bool
-	Empty    bool // nothing can be on it, and all results that came from it are durable
-	Attempts []Attempt
+	ID           string
+	Heartbeating bool // reports arrive, and it has our token
+	Deleting     bool
+	Empty        bool // nothing can be on it, and all results that came from it are durable
+	Attempts     []Attempt
 }
 
 // Attempt is an attempt that may exist on a machine.
 type Attempt struct {
-	Task   disruption.Task
-	Team   string
-	Size   int // tasks that are disturbed when it is evicted: those of its gang
-	Gang   bool
-	Ending bool // is being stopped, or its job is over
-	Saves  bool // nothing is lost when it is stopped
-	Ends   micros.Time
+	Task        disruption.Task
+	Team        string
+	Size        int // tasks that are disturbed when it is evicted: those of its gang
+	Gang        bool
+	Ending      bool // is being stopped, or its job is over
+	Checkpoints bool // nothing is lost when it is stopped
+	ExpectedEnd micros.Timestamp
 }
 
 // Team is a team's work: tasks that run or would run if they were not disturbed, and those that are or may be.
@@ -59,12 +59,12 @@
 
 // Actions are what the planner wants done.
 type Actions struct {
-	// Return are empty machines that can be deleted.
-	Return []string
+	// ScaleIn are empty machines that can be deleted.
+	ScaleIn []string
 	// Evicted counts the attempts, gangs as one, that were evicted.
 	Evicted int
-	// Replace are tasks that could be evicted within the budgets if there were room for them elsewhere.
-	Replace []disruption.Task
+	// NeedReplacement are tasks that could be evicted within the budgets if there were room for them elsewhere.
+	NeedReplacement []disruption.Task
 }
 
 // Blocked says why an eviction waits.
@@ -154,8 +154,8 @@
 
 // giveBack has a machine returned, once however many drains name it.
 func (r *round) giveBack(id string) {
-	if !slices.Contains(r.acts.Return, id) {
-		r.acts.Return = append(r.acts.Return, id)
+	if !slices.Contains(r.acts.ScaleIn, id) {
+		r.acts.ScaleIn = append(r.acts.ScaleIn, id)
 	}
 }
 
@@ -295,11 +295,11 @@
 	switch {
 	case a.Ending:
 		return "it is being stopped"
-	case !m.Heard:
+	case !m.Heartbeating:
 		return "the machine does not report"
-	case !a.Saves && !(d.overdue && d.record.EvictAtDeadline):
+	case !a.Checkpoints && !(d.overdue && d.record.EvictAtDeadline):
 		return "it can't save: its end is waited for"
-	case a.Ends > r.s.Now && a.Ends.Sub(r.s.Now) < soonOver:
+	case a.ExpectedEnd > r.s.Now && a.ExpectedEnd.Sub(r.s.Now) < soonOver:
 		return "it ends soon"
 	case a.Size > allowed:
 		return fmt.Sprintf("the budget of %d is too small for %d tasks", allowed, a.Size)
@@ -319,7 +319,7 @@
 	case refusal == NoRoom:
 		if use.Disturbed+r.wanted[a.Team]+a.Size <= allowed {
 			r.wanted[a.Team] += a.Size
-			r.acts.Replace = append(r.acts.Replace, a.Task)
+			r.acts.NeedReplacement = append(r.acts.NeedReplacement, a.Task)
 		}
 		return r.p.noRoom()
 	case refusal != Evicted:
--- a/internal/drain/plan_test.go
+++ b/internal/drain/plan_test.go
@@ -26,10 +26,10 @@
 	return New(Config{Teams: []string{"red", "blue"}, Default: budget(t, limit), Step: 2})
 }
 
-var knownMachines = []Known{{"n-1", "a", "small", micros.Minute}, {"n-2", "a", "large", micros.Second}, {"n-3", "b", "small", micros.Minute}}
+var knownMachines = []KnownMachine{{"n-1", "a", "small", micros.Minute}, {"n-2", "a", "large", micros.Second}, {"n-3", "b", "small", micros.Minute}}
 
 // begin makes a drain durable, as far as the planner can tell.
-func begin(t testing.TB, p *Planner, r Request, known []Known) {
+func begin(t testing.TB, p *Planner, r Request, known []KnownMachine) {
 	t.Helper()
 	plan, err := p.Prepare(r, 0, known)
 	if err != nil {
@@ -104,7 +104,7 @@
 		t.Errorf("cordons %v", p.Cordons())
 	}
 	change("x", Cancelled, true, nil)
-	change("x", Running, false, ErrOver)
+	change("x", Running, false, ErrEnded)
 	if c := p.Cordons(); len(c) != 2 || !c["n-1"] || !c["n-3"] {
 		t.Errorf("cordons %v", c)
 	}
@@ -120,7 +120,7 @@
 	begin(t, p, Request{Name: "zone", Zone: "a"}, knownMachines)
 	begin(t, p, Request{Name: "old", Zone: "b", OlderThan: micros.Second}, knownMachines)
 	begin(t, p, Request{Name: "named", Type: "small", Machines: []string{"n-3"}}, knownMachines)
-	if got := p.Vacated(); !slices.Equal(got, []Vacated{{Zone: "a"}}) || !got[0].Includes("small", "a") || got[0].Includes("small", "b") {
+	if got := p.Vacated(); !slices.Equal(got, []Vacating{{Zone: "a"}}) || !got[0].Includes("small", "a") || got[0].Includes("small", "b") {
 		t.Errorf("vacated: %v", got)
 	}
 }
@@ -139,7 +139,7 @@
 }
 
 func attempt(job string, index int, team string) Attempt {
-	return Attempt{Task: disruption.Task{Job: job, Index: index}, Team: team, Size: 1, Saves: true, Ends: micros.Time(micros.Minute)}
+	return Attempt{Task: disruption.Task{Job: job, Index: index}, Team: team, Size: 1, Checkpoints: true, ExpectedEnd: micros.Timestamp(micros.Minute)}
 }
 
 // reasons gives why the attempts of a machine stay in one round, "" for each that goes.
@@ -178,17 +178,17 @@
 		{name: "no budget", a: change(func(*Attempt) {}), limit: "0", want: "the budget of 0 is too small for 1 tasks"},
 		{name: "gang", a: change(func(a *Attempt) { a.Gang, a.Size = true, 4 }), limit: "3", want: "the budget of 3 is too small for 4 tasks"},
 		{name: "silent", a: change(func(*Attempt) {}), deaf: true, limit: "1", want: "the machine does not report"},
-		{name: "ends", a: change(func(a *Attempt) { a.Ends = 10 }), limit: "1", want: "it ends soon"},
-		{name: "can't save", a: change(func(a *Attempt) { a.Saves = false }), limit: "1", evict: true, want: "it can't save: its end is waited for"},
-		{name: "can't save, overdue, to wait", a: change(func(a *Attempt) { a.Saves = false }), limit: "1", wall: overdue, want: "it can't save: its end is waited for"},
-		{name: "can't save, overdue, to go", a: change(func(a *Attempt) { a.Saves = false }), limit: "1", wall: overdue, evict: true},
+		{name: "ends", a: change(func(a *Attempt) { a.ExpectedEnd = 10 }), limit: "1", want: "it ends soon"},
+		{name: "can't save", a: change(func(a *Attempt) { a.Checkpoints = false }), limit: "1", evict: true, want: "it can't save: its end is waited for"},
+		{name: "can't save, overdue, to wait", a: change(func(a *Attempt) { a.Checkpoints = false }), limit: "1", wall: overdue, want: "it can't save: its end is waited for"},
+		{name: "can't save, overdue, to go", a: change(func(a *Attempt) { a.Checkpoints = false }), limit: "1", wall: overdue, evict: true},
 		{name: "no room", a: change(func(*Attempt) {}), limit: "1", refusal: NoRoom, want: "no room for it elsewhere: the cloud has none"},
 		{name: "stops", a: change(func(a *Attempt) { a.Ending = true }), limit: "1", want: "it is being stopped"},
 	} {
 		p := newPlanner(t, c.limit)
 		p.SetShortage("the cloud has none")
 		begin(t, p, Request{Name: "x", Machines: []string{"n-1"}, Deadline: overdue, EvictAtDeadline: c.evict}, knownMachines)
-		m := Machine{ID: "n-1", Heard: !c.deaf, Attempts: []Attempt{c.a}}
+		m := Machine{ID: "n-1", Heartbeating: !c.deaf, Attempts: []Attempt{c.a}}
 		if got := reason(t, p, m, c.wall, c.refusal); got != c.want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
@@ -199,13 +199,13 @@
 func TestReplacementsWithinTheBudget(t *testing.T) {
 	p := newPlanner(t, "3")
 	begin(t, p, Request{Name: "x", Machines: []string{"n-1"}}, knownMachines)
-	m := Machine{ID: "n-1", Heard: true}
+	m := Machine{ID: "n-1", Heartbeating: true}
 	for i := range 8 {
 		m.Attempts = append(m.Attempts, attempt("run-1", i, "red"))
 	}
 	s := Snapshot{Now: 1, Machines: map[string]Machine{m.ID: m}, Teams: map[string]Team{"red": {Running: 9, Disturbed: 1}}, Complete: true}
 	acts := p.Plan(s, func(disruption.Task) Refusal { return NoRoom }, func() bool { return false })
-	if len(acts.Replace) != 2 || acts.Evicted != 0 {
+	if len(acts.NeedReplacement) != 2 || acts.Evicted != 0 {
 		t.Errorf("%+v", acts)
 	}
 }
@@ -217,7 +217,7 @@
 	running   map[string]int
 }
 
-func (f *fleet) snapshot(now micros.Time) Snapshot {
+func (f *fleet) snapshot(now micros.Timestamp) Snapshot {
 	s := Snapshot{Now: now, Machines: map[string]Machine{}, Teams: map[string]Team{}, Complete: true}
 	count := map[string]int{}
 	for _, team := range f.disturbed {
@@ -227,10 +227,10 @@
 		s.Teams[team] = Team{Running: f.running[team] + count[team], Disturbed: count[team]}
 	}
 	for id, tasks := range f.machines {
-		m := Machine{ID: id, Heard: true, Empty: len(tasks) == 0}
+		m := Machine{ID: id, Heartbeating: true, Empty: len(tasks) == 0}
 		for task, team := range tasks {
 			a := attempt(task.Job, task.Index, team)
-			a.Ends = now.Add(micros.Minute)
+			a.ExpectedEnd = now.Add(micros.Minute)
 			m.Attempts = append(m.Attempts, a)
 		}
 		slices.SortFunc(m.Attempts, func(a, b Attempt) int { return a.Task.Index - b.Task.Index })
@@ -262,11 +262,11 @@
 		}
 		p := New(Config{Teams: []string{"red", "blue"}, Budgets: budgets, Step: rapid.IntRange(1, 5).Draw(t, "step")})
 		f := &fleet{machines: map[string]map[disruption.Task]string{}, disturbed: map[disruption.Task]string{}, running: map[string]int{}}
-		var known []Known
+		var known []KnownMachine
 		red := 0
 		for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
 			id := fmt.Sprintf("n-%02d", i)
-			known = append(known, Known{ID: id, Zone: "a"})
+			known = append(known, KnownMachine{ID: id, Zone: "a"})
 			f.machines[id] = map[disruption.Task]string{}
 			for k := range rapid.IntRange(0, 5).Draw(t, "tasks") {
 				team := rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team")
@@ -284,7 +284,7 @@
 		if err := p.Apply(plan.Record, plan.Machines, 1); err != nil {
 			t.Fatal(err)
 		}
-		now := micros.Time(0)
+		now := micros.Timestamp(0)
 		for range 400 {
 			now = now.Add(micros.Second)
 			f.step(t, p, now, limits)
@@ -296,7 +296,7 @@
 }
 
 // step lets successors come to run, machines be lost, and the planner decide.
-func (f *fleet) step(t *rapid.T, p *Planner, now micros.Time, limits map[string]int) {
+func (f *fleet) step(t *rapid.T, p *Planner, now micros.Timestamp, limits map[string]int) {
 	for task, team := range f.disturbed {
 		if rapid.IntRange(0, 2).Draw(t, "starts") == 0 {
 			delete(f.disturbed, task)
@@ -333,7 +333,7 @@
 		t.Fatalf("%v is evicted twice", task)
 		return NotThere
 	}, func() bool { return false })
-	for _, id := range acts.Return {
+	for _, id := range acts.ScaleIn {
 		if len(f.machines[id]) > 0 {
 			t.Fatalf("%s is returned with %v", id, f.machines[id])
 		}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -13,10 +13,10 @@
 
 // Config is what an election must know beforehand.
 type Config struct {
-	Member string
-	Run    uint64      // tells this process from others of the same member
-	Life   micros.Span // of the permit
-	Margin micros.Span // by which a leader stops promising before its permit ends
+	Member       string
+	Incarnation  uint64          // tells this process from others of the same member
+	LeaseTTL     micros.Duration // of the permit
+	SafetyMargin micros.Duration // by which a leader stops promising before its permit ends
 }
 
 // Outcome of a request to the state service.
@@ -24,27 +24,27 @@
 
 // Outcomes.
 const (
-	OK       Outcome = iota
-	Conflict         // the key has changed
-	NoPermit         // the permit has ended
-	Unknown          // refused for now, or nothing is known
+	OK           Outcome = iota
+	Conflict             // the key has changed
+	LeaseExpired         // the permit has ended
+	Unknown              // refused for now, or nothing is known
 )
 
 // Effect is what is to be done; its outcome comes back as a call.
 type Effect struct {
-	Read  bool   // read the leader's key: Seen
-	Grant bool   // obtain a permit: Granted
-	Claim *Claim // write the key: Claimed
-	Renew uint64 // renew this permit: Renewed
-	Lead  uint64 // start a term with this token
-	Lost  string // end the term, for this reason
+	Read       bool   // read the leader's key: Seen
+	GrantLease bool   // obtain a permit: Granted
+	Claim      *Claim // write the key: Claimed
+	RenewLease uint64 // renew this permit: Renewed
+	StartTerm  uint64 // start a term with this token
+	StepDown   string // end the term, for this reason
 }
 
 // Claim is a write of the leader's key.
 type Claim struct {
 	Record  state.LeaderRecord
 	Version uint64 // that the key must have
-	Permit  uint64
+	Lease   uint64
 }
 
 // Election is the state of one controller's part in it.
@@ -60,14 +60,14 @@
 	granting bool
 	claiming bool
 	reading  bool
-	retryAt  micros.Time
+	retryAt  micros.Timestamp
 
 	leading  bool
 	token    uint64
-	renewed  micros.Time // when the last successful renewal was sent
+	renewed  micros.Timestamp // when the last successful renewal was sent
 	renewing bool
-	renewAt  micros.Time
-	forcedAt micros.Time
+	renewAt  micros.Timestamp
+	forcedAt micros.Timestamp
 }
 
 // New makes a follower that knows nothing yet.
@@ -87,17 +87,17 @@
 
 // Leading tells whether a term is on, and until when, by this controller's clock, the
 // leader may promise something new.
-func (e *Election) Leading() (leading bool, promise micros.Time) {
-	return e.leading, e.renewed.Add(e.cfg.Life - e.cfg.Life/1000 - e.cfg.Margin)
+func (e *Election) Leading() (leading bool, promise micros.Timestamp) {
+	return e.leading, e.renewed.Add(e.cfg.LeaseTTL - e.cfg.LeaseTTL/1000 - e.cfg.SafetyMargin)
 }
 
 // Tick starts what is due.
-func (e *Election) Tick(now micros.Time) []Effect {
+func (e *Election) Tick(now micros.Timestamp) []Effect {
 	switch {
 	case e.leading:
 		if !e.renewing && now >= e.renewAt {
 			e.renewing = true
-			return []Effect{{Renew: e.permit}}
+			return []Effect{{RenewLease: e.permit}}
 		}
 	case now < e.retryAt:
 	case !e.known:
@@ -123,15 +123,15 @@
 		return nil
 	case e.permit == 0:
 		e.granting = true
-		return []Effect{{Grant: true}}
+		return []Effect{{GrantLease: true}}
 	}
 	e.claiming = true
-	rec := state.LeaderRecord{Member: e.cfg.Member, Run: e.cfg.Run}
-	return []Effect{{Claim: &Claim{Record: rec, Version: e.against, Permit: e.permit}}}
+	rec := state.LeaderRecord{Member: e.cfg.Member, Incarnation: e.cfg.Incarnation}
+	return []Effect{{Claim: &Claim{Record: rec, Version: e.against, Lease: e.permit}}}
 }
 
-// Seen takes the leader's key as it was read or watched; nil: it does not exist.
-func (e *Election) Seen(now micros.Time, rec *state.LeaderRecord, version uint64, ok bool) []Effect {
+// LeaderObserved takes the leader's key as it was read or watched; nil: it does not exist.
+func (e *Election) LeaderObserved(now micros.Timestamp, rec *state.LeaderRecord, version uint64, ok bool) []Effect {
 	e.reading = false
 	if !ok {
 		e.retryAt = now.Add(300 * micros.Millisecond)
@@ -166,10 +166,10 @@
 	return nil
 }
 
-// Announced takes another controller's word that it leads under a token. Tokens only
+// LeaderAnnounced takes another controller's word that it leads under a token. Tokens only
 // grow, so whoever had a lower one leads no longer, also where the state service can't
 // tell it so: its workers need not wait until it has given up by its own clock.
-func (e *Election) Announced(now micros.Time, member string, token uint64) []Effect {
+func (e *Election) LeaderAnnounced(now micros.Timestamp, member string, token uint64) []Effect {
 	if token <= e.version || member == e.cfg.Member {
 		return nil
 	}
@@ -181,9 +181,9 @@
 	return nil
 }
 
-// Refused says that the leader's host refuses connections after it served us: most
+// LeaderUnreachable says that the leader's host refuses connections after it served us: most
 // likely its process has ended. That is no proof, and none is needed.
-func (e *Election) Refused(now micros.Time, token uint64) []Effect {
+func (e *Election) LeaderUnreachable(now micros.Timestamp, token uint64) []Effect {
 	const pause = 20 * micros.Second
 	if e.leading || !e.known || e.record == nil || e.version != token || e.campaign ||
 		e.forcedAt != 0 && now.Sub(e.forcedAt) < pause {
@@ -194,8 +194,8 @@
 	return e.advance()
 }
 
-// Granted takes a permit, requested at the given time.
-func (e *Election) Granted(now, asked micros.Time, permit uint64, out Outcome) []Effect {
+// LeaseGranted takes a permit, requested at the given time.
+func (e *Election) LeaseGranted(now, asked micros.Timestamp, permit uint64, out Outcome) []Effect {
 	e.granting = false
 	if out != OK {
 		e.retryAt = now.Add(300 * micros.Millisecond)
@@ -209,17 +209,17 @@
 	return e.advance()
 }
 
-// Claimed takes the outcome of a claim.
-func (e *Election) Claimed(now micros.Time, version uint64, out Outcome) []Effect {
+// LeadershipClaimed takes the outcome of a claim.
+func (e *Election) LeadershipClaimed(now micros.Timestamp, version uint64, out Outcome) []Effect {
 	e.claiming = false
 	switch out {
 	case OK:
 		e.campaign = false
 		e.leading, e.token = true, version
-		e.record, e.version = &state.LeaderRecord{Member: e.cfg.Member, Run: e.cfg.Run}, version
+		e.record, e.version = &state.LeaderRecord{Member: e.cfg.Member, Incarnation: e.cfg.Incarnation}, version
 		e.renewAt, e.renewing = now, false
-		return []Effect{{Lead: version}}
-	case NoPermit:
+		return []Effect{{StartTerm: version}}
+	case LeaseExpired:
 		e.permit = 0
 		return e.advance()
 	}
@@ -230,8 +230,8 @@
 	return nil
 }
 
-// Renewed takes the outcome of a renewal, requested at the given time.
-func (e *Election) Renewed(now, asked micros.Time, out Outcome) []Effect {
+// LeaseRenewed takes the outcome of a renewal, requested at the given time.
+func (e *Election) LeaseRenewed(now, asked micros.Timestamp, out Outcome) []Effect {
 	e.renewing = false
 	if !e.leading {
 		return nil
@@ -239,17 +239,17 @@
 	switch out {
 	case OK:
 		e.renewed = max(e.renewed, asked)
-		e.renewAt = asked.Add(e.cfg.Life / 4)
-	case NoPermit:
+		e.renewAt = asked.Add(e.cfg.LeaseTTL / 4)
+	case LeaseExpired:
 		return e.lose("the permit has ended")
 	default:
-		e.renewAt = now.Add(e.cfg.Life / 20)
+		e.renewAt = now.Add(e.cfg.LeaseTTL / 20)
 	}
 	return nil
 }
 
-// Deposed says that something else has shown that this term is over.
-func (e *Election) Deposed(now micros.Time, token uint64, why string) []Effect {
+// StepDown says that something else has shown that this term is over.
+func (e *Election) StepDown(now micros.Timestamp, token uint64, why string) []Effect {
 	if !e.leading || e.token != token {
 		return nil
 	}
@@ -260,5 +260,5 @@
 	e.leading, e.campaign = false, false
 	e.permit = 0
 	e.known = false
-	return append([]Effect{{Lost: why}}, e.read()...)
+	return append([]Effect{{StepDown: why}}, e.read()...)
 }
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -4,25 +4,25 @@
 	"fmt"
 	"testing"
 
-	"saffronbend/internal/manager"
 	"saffronbend/internal/micros"
-	"saffronbend/internal/space"
+	"saffronbend/internal/resources"
+	"saffronbend/internal/snapshot"
 	"saffronbend/wire"
 )
 
 // flood is a fleet and its view: 600 full machines, 200 jobs of 50 tasks that wait.
-func flood() (*Fleet, *manager.View) {
+func flood() (*Fleet, *snapshot.Snapshot) {
 	const machines, jobs = 600, 200
 	zones := []string{"a", "b", "c", "d"}
 	f := newFleet(1.5)
 	f.SetTypes([]wire.MachineType{
 		{Name: "small", CPUs: 8, MemoryGB: 16, Price: 1, SpotPrice: 0.3, BootS: 40, Zones: zones},
 		{Name: "large", CPUs: 64, MemoryGB: 128, Price: 8, SpotPrice: 2.4, BootS: 40, Zones: zones}})
-	v := &manager.View{Now: start}
+	v := &snapshot.Snapshot{Now: start}
 	for i := range machines {
-		v.Machines = append(v.Machines, &manager.MachineView{ID: fmt.Sprintf("n-%03d", i), Type: "small", Zone: zones[i%len(zones)], Usable: true,
-			Up: true, State: wire.MachineRunning, Heard: start, Leases: []manager.LeaseGroup{{Job: "run-0", Space: space.Space{CPUs: 4, MemoryGB: 1},
-				Leases: []manager.Lease{{Due: start.Add(micros.Minute)}, {Due: start.Add(micros.Second)}}}}})
+		v.Machines = append(v.Machines, &snapshot.Machine{ID: fmt.Sprintf("n-%03d", i), Type: "small", Zone: zones[i%len(zones)], Usable: true,
+			Up: true, State: wire.MachineRunning, LastHeartbeat: start, Leases: []snapshot.JobLeases{{Job: "run-0", Vector: resources.Vector{CPUs: 4, MemoryGB: 1},
+				Leases: []snapshot.Lease{{ExpectedEnd: start.Add(micros.Minute)}, {ExpectedEnd: start.Add(micros.Second)}}}}})
 	}
 	for i := range jobs {
 		v.Jobs = append(v.Jobs, jobView(fmt.Sprintf("run-%d", i), "rush", 50, 4))
@@ -36,7 +36,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		clear(f.out)
-		f.Handle(start, v)
+		f.Decide(start, v)
 	}
 }
 
@@ -46,7 +46,7 @@
 	f, v := flood()
 	got := testing.AllocsPerRun(3, func() {
 		clear(f.out)
-		if acts := f.Handle(start, v); len(acts.Hires) == 0 {
+		if acts := f.Decide(start, v); len(acts.ScaleOut) == 0 {
 			t.Error("nothing is rented")
 		}
 	})
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -5,9 +5,9 @@
 	"math"
 	"slices"
 
-	"saffronbend/internal/manager"
 	"saffronbend/internal/micros"
-	"saffronbend/internal/space"
+	"saffronbend/internal/resources"
+	"saffronbend/internal/snapshot"
 )
 
 // window is how far back arrivals tell what is to be expected.
@@ -19,16 +19,16 @@
 type demand struct {
 	seen    map[string]bool
 	classes map[string][]arrival
-	since   micros.Time
+	since   micros.Timestamp
 }
 
 type arrival struct {
-	job   *manager.JobView
+	job   *snapshot.Job
 	tasks int
 }
 
 // see enters the jobs that have come since the last view.
-func (d *demand) see(v *manager.View, urgent map[string]bool) {
+func (d *demand) see(v *snapshot.Snapshot, urgent map[string]bool) {
 	if d.since == 0 {
 		d.since = v.Now
 	}
@@ -41,14 +41,14 @@
 	}
 	d.seen = open
 	for c, list := range d.classes {
-		d.classes[c] = slices.DeleteFunc(list, func(a arrival) bool { return v.Now.Sub(a.job.Born) > window })
+		d.classes[c] = slices.DeleteFunc(list, func(a arrival) bool { return v.Now.Sub(a.job.AcceptedAt) > window })
 	}
 }
 
 // expect gives the tasks for which room is to be free, class by class: as many as the number
 // of tasks at work varies by, times a factor. When arrays of n tasks come at random, that
 // is the root of their rate times the mean of n squared times the run time.
-func (d *demand) expect(now micros.Time, factor float64) []*want {
+func (d *demand) expect(now micros.Timestamp, factor float64) []*want {
 	var out []*want
 	span := min(window, now.Sub(d.since)+window/3)
 	for _, c := range slices.Sorted(maps.Keys(d.classes)) {
@@ -57,10 +57,10 @@
 			continue
 		}
 		sum := 0.0
-		var needs space.Space
+		var needs resources.Vector
 		for _, a := range list {
 			sum += float64(a.tasks*a.tasks) * a.job.Estimate.Seconds()
-			needs = needs.Plus(a.job.Space, 1)
+			needs = needs.Plus(a.job.Vector, 1)
 		}
 		n := int(math.Round(factor * math.Sqrt(sum/span.Seconds())))
 		if n == 0 {
@@ -68,9 +68,9 @@
 		}
 		typical := *list[len(list)-1].job
 		typical.ID = ""
-		typical.Space = space.Space{}.Plus(needs, 1/float64(len(list)))
+		typical.Vector = resources.Vector{}.Plus(needs, 1/float64(len(list)))
 		typical.Types, typical.Zone = nil, nil
-		out = append(out, &want{JobView: &typical, n: n, urgent: true, expected: true})
+		out = append(out, &want{Job: &typical, n: n, urgent: true, expected: true})
 	}
 	return out
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -11,19 +11,19 @@
 	"strconv"
 
 	"saffronbend/internal/drain"
-	"saffronbend/internal/manager"
 	"saffronbend/internal/micros"
+	"saffronbend/internal/resources"
 	"saffronbend/internal/settings"
-	"saffronbend/internal/space"
+	"saffronbend/internal/snapshot"
 	"saffronbend/wire"
 )
 
 // Config is what the fleet must know beforehand.
 type Config struct {
 	Token   uint64
-	Lease   micros.Span
-	Report  micros.Span
-	ListLag micros.Span
+	Lease   micros.Duration
+	Report  micros.Duration
+	ListLag micros.Duration
 	Tuning  settings.Tuning
 	// Urgent classes have an aim for how soon their tasks start.
 	Urgent map[string]bool
@@ -31,9 +31,9 @@
 
 // Actions are what the fleet wants done.
 type Actions struct {
-	Hires  []wire.Hire
-	Return []string
-	Notes  []Note
+	ScaleOut       []wire.ScaleOutRequest
+	ScaleIn        []string
+	ScaleInReasons []ScaleInReason
 	// Shortage says why there is no room yet for tasks that are to be evicted.
 	Shortage Shortage
 }
@@ -43,14 +43,14 @@
 
 // Reasons of a shortage.
 const (
-	NoShortage  Shortage = ""
-	BeingRented Shortage = "machines are being rented"
-	NoMachines  Shortage = "the cloud has none"
-	MostRented  Shortage = "max_machines is reached"
+	NoShortage          Shortage = ""
+	ScalingOut          Shortage = "machines are being rented"
+	NoMachines          Shortage = "the cloud has none"
+	MachineLimitReached Shortage = "max_machines is reached"
 )
 
-// Note explains an action to the operators.
-type Note struct{ Machine, Why string }
+// ScaleInReason explains an action to the operators.
+type ScaleInReason struct{ Machine, Reason string }
 
 // place is where machines come from.
 type place struct {
@@ -61,28 +61,28 @@
 // Fleet is the state of a term.
 type Fleet struct {
 	cfg     Config
-	born    micros.Time
+	born    micros.Timestamp
 	types   []wire.MachineType
-	refused map[place]micros.Time // no asking again before
-	refusal map[place]micros.Span
-	out     map[string]wire.Hire // hires that await their outcome
+	refused map[place]micros.Timestamp // no asking again before
+	refusal map[place]micros.Duration
+	out     map[string]wire.ScaleOutRequest // hires that await their outcome
 	demand  demand
-	vacated []drain.Vacated
+	vacated []drain.Vacating
 	serial  int
 }
 
 // New starts a term.
-func New(now micros.Time, cfg Config) *Fleet {
-	return &Fleet{cfg: cfg, born: now, refused: map[place]micros.Time{}, refusal: map[place]micros.Span{}, out: map[string]wire.Hire{},
+func New(now micros.Timestamp, cfg Config) *Fleet {
+	return &Fleet{cfg: cfg, born: now, refused: map[place]micros.Timestamp{}, refusal: map[place]micros.Duration{}, out: map[string]wire.ScaleOutRequest{},
 		demand: demand{seen: map[string]bool{}, classes: map[string][]arrival{}}}
 }
 
 // SetTypes takes the machine types with their current prices.
 func (f *Fleet) SetTypes(t []wire.MachineType) { f.types = t }
 
-// Hired takes the outcome of a hire: how many machines came.
-func (f *Fleet) Hired(now micros.Time, h wire.Hire, got int) {
-	delete(f.out, h.Request)
+// ScaledOut takes the outcome of a hire: how many machines came.
+func (f *Fleet) ScaledOut(now micros.Timestamp, h wire.ScaleOutRequest, got int) {
+	delete(f.out, h.RequestID)
 	p := place{h.Type, h.Zone, h.Spot}
 	if got >= h.Count {
 		delete(f.refusal, p)
@@ -110,16 +110,16 @@
 	zone string
 	spot bool
 	keep string // the job for which its room is kept
-	room space.Space
+	room resources.Vector
 	used bool
 	// later is what work that ends before long frees, for jobs whose start has no aim; soon
 	// what work frees well before a new machine would be up, for the others.
-	later, soon space.Space
+	later, soon resources.Vector
 }
 
 // want is a number of tasks of a job.
 type want struct {
-	*manager.JobView
+	*snapshot.Job
 	n       int
 	choices int  // machine types that the job may use
 	urgent  bool // its class has an aim for how soon its tasks start
@@ -137,7 +137,7 @@
 func (w *want) less(zone string, n int) *want {
 	rest := *w
 	rest.n -= n
-	if w.ZoneMax > 0 {
+	if w.MaxPerZone > 0 {
 		rest.inZone = maps.Clone(w.inZone)
 		if rest.inZone == nil {
 			rest.inZone = map[string]int{}
@@ -165,9 +165,9 @@
 	default:
 		have = have.Plus(b.later, 1)
 	}
-	n := have.Holds(w.Space, most)
-	if w.ZoneMax > 0 {
-		n = min(n, w.ZoneMax-inZone)
+	n := have.MaxTasks(w.Vector, most)
+	if w.MaxPerZone > 0 {
+		n = min(n, w.MaxPerZone-inZone)
 	}
 	if n <= 0 {
 		return 0
@@ -175,82 +175,82 @@
 	if !w.Allows(b.typ, b.zone, b.spot) {
 		return 0
 	}
-	b.room = b.room.Plus(w.Space, -float64(n))
+	b.room = b.room.Plus(w.Vector, -float64(n))
 	b.used = true
 	return n
 }
 
-// Handle decides on a view.
-func (f *Fleet) Handle(now micros.Time, v *manager.View) Actions {
+// Decide decides on a view.
+func (f *Fleet) Decide(now micros.Timestamp, v *snapshot.Snapshot) Actions {
 	var acts Actions
 	if len(f.types) == 0 {
 		return acts
 	}
 	f.demand.see(v, f.cfg.Urgent)
-	f.vacated = v.Vacated
+	f.vacated = v.Vacating
 	f.remove(v, &acts)
 	// A new leader first hears from the machines that there are.
 	if now.Sub(f.born) < f.cfg.Report.Scale(1.25)+2*micros.Second {
 		return acts
 	}
-	bins, count := f.bins(v, acts.Return)
+	bins, count := f.bins(v, acts.ScaleIn)
 	short := f.shortage(v, bins)
 	f.rent(now, short, count, &acts)
-	acts.Shortage = f.replacementShortage(short, count, acts.Hires)
+	acts.Shortage = f.replacementShortage(short, count, acts.ScaleOut)
 	f.returnIdle(v, bins, len(short) > 0, &acts)
 	return acts
 }
 
 // replacementShortage says why there is no room yet for tasks that are to be evicted, if they are among those that are short.
-func (f *Fleet) replacementShortage(short []*want, count int, hires []wire.Hire) Shortage {
+func (f *Fleet) replacementShortage(short []*want, count int, hires []wire.ScaleOutRequest) Shortage {
 	switch {
 	case !slices.ContainsFunc(short, func(w *want) bool { return w.replacement }):
 		return NoShortage
 	case len(hires) > 0 || len(f.out) > 0:
-		return BeingRented
+		return ScalingOut
 	case count >= f.cfg.Tuning.MaxMachines:
-		return MostRented
+		return MachineLimitReached
 	}
 	return NoMachines
 }
 
 // remove returns machines that are of no use: failed, never up, silent, deaf or taken,
 // faulty and empty.
-func (f *Fleet) remove(v *manager.View, acts *Actions) {
+func (f *Fleet) remove(v *snapshot.Snapshot, acts *Actions) {
 	for _, m := range v.Machines {
 		why := ""
 		boot := 60 * micros.Second
 		if t := f.typ(m.Type); t != nil {
 			boot = micros.Seconds(t.BootS)
 		}
-		silent := v.Now.Sub(m.Heard)
-		patience := f.cfg.Lease + f.cfg.Tuning.SilentReturn
+		silent := v.Now.Sub(m.LastHeartbeat)
+		patience := f.cfg.Lease + f.cfg.Tuning.SilenceTimeout
 		switch {
 		case m.Deleting:
 		case m.Failed:
 			why = "failed"
-		case !m.Up && m.State == wire.MachineStarting && v.Now.Sub(m.Born) > boot.Scale(f.cfg.Tuning.BootPatience):
+		case !m.Up && m.State == wire.MachineStarting && v.Now.Sub(m.RegisteredAt) > boot.Scale(f.cfg.Tuning.BootPatience):
 			why = "does not come up"
-		case m.State != wire.MachineStarting && m.Missing && silent > 2*f.cfg.Report+micros.Second:
+		case m.State != wire.MachineStarting && m.Unlisted && silent > 2*f.cfg.Report+micros.Second:
 			why = "taken"
 		case m.State != wire.MachineStarting && silent > patience,
-			m.State != wire.MachineStarting && m.Stuck && silent > f.cfg.Lease+f.cfg.Tuning.SilentReturn/2:
+			m.State != wire.MachineStarting && m.NeedsDeletion && silent > f.cfg.Lease+f.cfg.Tuning.SilenceTimeout/2:
 			why = "silent"
-		case m.Deaf != 0 && v.Now.Sub(m.Deaf) > f.cfg.Lease+f.cfg.Tuning.SilentReturn/2:
+		case m.UnreachableSince != 0 && v.Now.Sub(m.UnreachableSince) > f.cfg.Lease+f.cfg.Tuning.SilenceTimeout/2:
 			why = "does not hear"
-		case m.Up && m.Suspect != "" && m.Proven():
-			why = m.Suspect
+		case m.Up && m.QuarantineReason != "" && m.ProvenIdle():
+			why = m.QuarantineReason
 		}
 		if why != "" {
-			acts.Return = append(acts.Return, m.ID)
-			acts.Notes = append(acts.Notes, Note{m.ID, why})
+			acts.ScaleIn = append(acts.ScaleIn, m.ID)
+			acts.ScaleInReasons = append(acts.ScaleInReasons, ScaleInReason{m.ID, why})
 		}
 	}
 }
 
 // bins collects the room there is, or will be before long; work that ends within
 // the time that queued work can wait makes room too.
-func (f *Fleet) bins(v *manager.View, returned []string) (bins []*bin, count int) {
+func (f *Fleet) bins(v *snapshot.Snapshot, returned []string) (bins []*bin, count int) {
 	out := map[string]bool{}
 	for _, id := range returned {
 		out[id] = true
@@ -261,27 +261,27 @@
 		}
 		count++
 		t := f.typ(m.Type)
-		if t == nil || m.Suspect != "" {
+		if t == nil || m.QuarantineReason != "" {
 			continue
 		}
-		b := &bin{id: m.ID, typ: t, zone: m.Zone, spot: m.Spot, keep: m.Keep, room: m.Space}
+		b := &bin{id: m.ID, typ: t, zone: m.Zone, spot: m.Spot, keep: m.ReservedForJob, room: m.Vector}
 		switch {
 		case m.Usable:
 			for _, g := range m.Leases {
 				for _, l := range g.Leases {
-					left := l.Due.Sub(v.Now)
+					left := l.ExpectedEnd.Sub(v.Now)
 					if left < -f.cfg.Tuning.Grace {
 						continue
 					}
-					if left < f.cfg.Tuning.HireAhead {
-						b.later = b.later.Plus(g.Space, 1)
+					if left < f.cfg.Tuning.ScaleOutAhead {
+						b.later = b.later.Plus(g.Vector, 1)
 					}
 					if left < micros.Seconds(t.BootS/2) {
-						b.soon = b.soon.Plus(g.Space, 1)
+						b.soon = b.soon.Plus(g.Vector, 1)
 					}
 				}
 			}
-		case !m.Coming:
+		case !m.ExpectedSoon:
 			continue
 		}
 		bins = append(bins, b)
@@ -299,21 +299,21 @@
 }
 
 func newBin(t *wire.MachineType, p place) *bin {
-	return &bin{typ: t, zone: p.zone, spot: p.spot, room: space.Whole(t)}
+	return &bin{typ: t, zone: p.zone, spot: p.spot, room: resources.OfMachine(t)}
 }
 
 // shortage places the queued tasks into the room there is and gives those left. Jobs that
 // few types of machines can take choose first, so that the room on those is not counted
 // on by others.
-func (f *Fleet) shortage(v *manager.View, bins []*bin) []*want {
+func (f *Fleet) shortage(v *snapshot.Snapshot, bins []*bin) []*want {
 	var wants []*want
 	for _, j := range v.Jobs {
-		if n := v.Wants(j); n > 0 {
-			wants = append(wants, &want{JobView: j, n: n, choices: f.choices(j), urgent: f.cfg.Urgent[j.Class], inZone: j.InZone})
+		if n := v.PlaceableTasks(j); n > 0 {
+			wants = append(wants, &want{Job: j, n: n, choices: f.choices(j), urgent: f.cfg.Urgent[j.Class], inZone: j.ActiveByZone})
 		}
 	}
 	for _, j := range v.Replacements {
-		wants = append(wants, &want{JobView: j, n: j.Waiting, choices: f.choices(j), replacement: true, inZone: j.InZone})
+		wants = append(wants, &want{Job: j, n: j.Waiting, choices: f.choices(j), replacement: true, inZone: j.ActiveByZone})
 	}
 	slices.SortStableFunc(wants, func(a, b *want) int {
 		return cmp.Or(a.choices-b.choices, cmp.Compare(b.Priority, a.Priority), cmp.Compare(b.CPUs, a.CPUs))
@@ -322,8 +322,8 @@
 		return cmp.Or(cmp.Compare(a.typ.CPUs, b.typ.CPUs), cmp.Compare(a.room.CPUs, b.room.CPUs))
 	})
 	var short []*want
-	for _, w := range slices.Concat(wants, f.demand.expect(v.Now, f.cfg.Tuning.Reserve)) {
-		if w.Gang && w.OneZone {
+	for _, w := range slices.Concat(wants, f.demand.expect(v.Now, f.cfg.Tuning.SpareShare)) {
+		if w.Gang && w.SameZone {
 			f.settleZone(v.Now, w, bins)
 		}
 		for _, b := range bins {
@@ -343,7 +343,7 @@
 // settleZone chooses the zone where a gang that must be in one is to find room, or where
 // machines are rented for it: the one with most room now. One where nothing can be rented and
 // there is not enough is passed over while there are others.
-func (f *Fleet) settleZone(now micros.Time, w *want, bins []*bin) {
+func (f *Fleet) settleZone(now micros.Timestamp, w *want, bins []*bin) {
 	if w.Zone != nil {
 		return
 	}
@@ -358,7 +358,7 @@
 	there := map[string]int{}
 	for _, b := range bins {
 		if (b.keep == "" || b.keep == w.ID) && w.Allows(b.typ, b.zone, b.spot) {
-			there[b.zone] = min(w.n, there[b.zone]+b.room.Holds(w.Space, w.n))
+			there[b.zone] = min(w.n, there[b.zone]+b.room.MaxTasks(w.Vector, w.n))
 		}
 	}
 	for z, n := range there {
@@ -373,14 +373,14 @@
 		}
 	}
 	if best != "" {
-		jv := *w.JobView
+		jv := *w.Job
 		jv.Zone = &best
-		w.JobView = &jv
+		w.Job = &jv
 	}
 }
 
 // rentable tells whether machines that take the tasks may be asked for there.
-func (f *Fleet) rentable(now micros.Time, t *wire.MachineType, zone string, w *want) bool {
+func (f *Fleet) rentable(now micros.Timestamp, t *wire.MachineType, zone string, w *want) bool {
 	for _, spot := range []bool{true, false} {
 		if w.Allows(t, zone, spot) && now >= f.refused[place{t.Name, zone, spot}] {
 			return true
@@ -391,11 +391,11 @@
 
 // isVacated tells whether a drain vacates the machines of a type in a zone.
 func (f *Fleet) isVacated(typ, zone string) bool {
-	return slices.ContainsFunc(f.vacated, func(v drain.Vacated) bool { return v.Includes(typ, zone) })
+	return slices.ContainsFunc(f.vacated, func(v drain.Vacating) bool { return v.Includes(typ, zone) })
 }
 
 // rentableElsewhere tells whether machines that take the tasks may be asked for where nothing is vacated.
-func (f *Fleet) rentableElsewhere(now micros.Time, w *want) bool {
+func (f *Fleet) rentableElsewhere(now micros.Timestamp, w *want) bool {
 	if len(f.vacated) == 0 {
 		return false
 	}
@@ -410,7 +410,7 @@
 }
 
 // choices is how many types of machines can take a task of the job.
-func (f *Fleet) choices(j *manager.JobView) int {
+func (f *Fleet) choices(j *snapshot.Job) int {
 	n := 0
 	for i := range f.types {
 		if slices.ContainsFunc(f.types[i].Zones, func(z string) bool { return j.Allows(&f.types[i], z, false) }) {
@@ -422,7 +422,7 @@
 
 // rent asks for machines for the tasks that are short of room, cheapest first: the
 // price of the machines from now until the tasks should be done.
-func (f *Fleet) rent(now micros.Time, short []*want, count int, acts *Actions) {
+func (f *Fleet) rent(now micros.Timestamp, short []*want, count int, acts *Actions) {
 	const steps, perStep, perRequest = 24, 8, 50
 	rents := map[place]int{}
 	var order []place
@@ -467,10 +467,10 @@
 	}
 	for _, p := range order {
 		f.serial++
-		h := wire.Hire{Request: "r-" + strconv.FormatUint(f.cfg.Token, 10) + "-" + strconv.Itoa(f.serial),
+		h := wire.ScaleOutRequest{RequestID: "r-" + strconv.FormatUint(f.cfg.Token, 10) + "-" + strconv.Itoa(f.serial),
 			Type: p.typ, Zone: p.zone, Spot: p.spot, Count: rents[p]}
-		f.out[h.Request] = h
-		acts.Hires = append(acts.Hires, h)
+		f.out[h.RequestID] = h
+		acts.ScaleOut = append(acts.ScaleOut, h)
 	}
 }
 
@@ -536,7 +536,7 @@
 	if p.spot {
 		price = t.SpotPrice
 	}
-	held := max(60, t.BootS+longest+f.cfg.Tuning.IdleReturn.Seconds())
+	held := max(60, t.BootS+longest+f.cfg.Tuning.IdleTimeout.Seconds())
 	return price * float64(n) * held / max(work, 1e-6), n
 }
 
@@ -545,7 +545,7 @@
 
 // returnIdle returns machines that nothing needs. Ordinary machines go sooner where
 // they cost more.
-func (f *Fleet) returnIdle(v *manager.View, bins []*bin, short bool, acts *Actions) {
+func (f *Fleet) returnIdle(v *snapshot.Snapshot, bins []*bin, short bool, acts *Actions) {
 	needed := map[string]bool{}
 	for _, b := range bins {
 		if b.used {
@@ -559,25 +559,25 @@
 		spare = int(math.Sqrt(float64(len(v.Machines))))
 	}
 	for _, m := range v.Machines {
-		if !m.Usable || !m.Proven() || needed[m.ID] {
+		if !m.Usable || !m.ProvenIdle() || needed[m.ID] {
 			continue
 		}
 		t := f.typ(m.Type)
-		idle := v.Now.Sub(m.Idle)
+		idle := v.Now.Sub(m.IdleSince)
 		if t == nil {
 			continue
 		}
-		limit := f.cfg.Tuning.IdleReturn
+		limit := f.cfg.Tuning.IdleTimeout
 		if !m.Spot && t.SpotPrice < t.Price {
 			limit = limit.Scale(t.SpotPrice / t.Price)
 		}
 		switch {
 		case idle <= limit:
-		case spare > 0 && idle < 2*f.cfg.Tuning.IdleReturn:
+		case spare > 0 && idle < 2*f.cfg.Tuning.IdleTimeout:
 			spare--
 		default:
-			acts.Return = append(acts.Return, m.ID)
-			acts.Notes = append(acts.Notes, Note{m.ID, "idle"})
+			acts.ScaleIn = append(acts.ScaleIn, m.ID)
+			acts.ScaleInReasons = append(acts.ScaleInReasons, ScaleInReason{m.ID, "idle"})
 		}
 	}
 }
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -16,16 +16,16 @@
 
 // Phases.
 const (
-	// Apart: no task can exist; the gang may be granted.
-	Apart Phase = iota
+	// Idle: no task can exist; the gang may be granted.
+	Idle Phase = iota
 	// Granted: all tasks are placed, not all of that is durable; nothing may be launched.
 	Granted
 	// Launched: tasks are launched, fetch their image and wait for one another.
 	Launched
 	// Running: the tasks run.
 	Running
-	// Stopping: all tasks are told to save. Progress is safe once one of them has.
-	Stopping
+	// Checkpointing: all tasks are told to save. Progress is safe once one of them has.
+	Checkpointing
 	// Ending: one is gone, so the attempt fails, or the job is cancelled; the rest is stopped.
 	Ending
 	// Complete: one task is done, so all are, whatever else is heard of them.
@@ -36,18 +36,18 @@
 	return [...]string{"apart", "granted", "launched", "running", "stopping", "ending", "complete"}[p]
 }
 
-// Next is what the owner has to do with the other tasks of the attempt.
-type Next int
+// Action is what the owner has to do with the other tasks of the attempt.
+type Action int
 
 // What there is to do.
 const (
-	Nothing Next = iota
+	None Action = iota
 	// Launch those that have not been launched.
 	Launch
 	// Stop each at once; the attempt has failed.
-	End
-	// Save: have each save and stop.
-	Save
+	Stop
+	// Checkpoint: have each save and stop.
+	Checkpoint
 	// Finish: count each as done.
 	Finish
 )
@@ -71,103 +71,103 @@
 // speaks against the attempt.
 func (g *Gang) MayLaunch() bool { return g.phase == Launched }
 
-// Placed enters a task of a new attempt.
-func (g *Gang) Placed() {
-	if g.phase == Apart {
+// TaskPlaced enters a task of a new attempt.
+func (g *Gang) TaskPlaced() {
+	if g.phase == Idle {
 		g.phase = Granted
 	}
 	g.exist++
 }
 
-// Recorded says that a task's placement has become durable.
-func (g *Gang) Recorded() Next {
+// PlacementDurable says that a task's placement has become durable.
+func (g *Gang) PlacementDurable() Action {
 	g.durable++
 	if g.phase == Granted && g.durable == g.size {
 		g.phase = Launched
 		return Launch
 	}
-	return Nothing
+	return None
 }
 
-// Found enters a task that an earlier leader has placed, as its record or its worker tells.
-func (g *Gang) Found() {
-	g.Placed()
+// TaskRecovered enters a task that an earlier leader has placed, as its record or its worker tells.
+func (g *Gang) TaskRecovered() {
+	g.TaskPlaced()
 	g.durable++
 }
 
-// Rebuilt says that everything recorded has been found. Where only a part is recorded, the
+// RecoveryDone says that everything recorded has been found. Where only a part is recorded, the
 // earlier leader had launched nothing yet, or the attempt was ending already. Where all are,
 // each may run, wait or never have been launched: their workers will tell.
-func (g *Gang) Rebuilt() Next {
+func (g *Gang) RecoveryDone() Action {
 	switch {
 	case g.phase != Granted:
-		return Nothing
+		return None
 	case g.exist == g.size:
 		g.phase = Launched
-		return Nothing
+		return None
 	}
-	return g.End()
+	return g.Abort()
 }
 
-// Runs says that a task runs.
-func (g *Gang) Runs() {
+// TaskRunning says that a task runs.
+func (g *Gang) TaskRunning() {
 	if g.phase == Launched {
 		g.phase = Running
 	}
 }
 
-// Saves says that a task saves. If nobody here has told it to, an earlier leader has, which
+// TaskSaving says that a task saves. If nobody here has told it to, an earlier leader has, which
 // may not have reached the others.
-func (g *Gang) Saves() Next {
+func (g *Gang) TaskSaving() Action {
 	if g.phase != Launched && g.phase != Running {
-		return Nothing
+		return None
 	}
-	g.phase = Stopping
-	return Save
+	g.phase = Checkpointing
+	return Checkpoint
 }
 
-// Stop begins an orderly stop of a gang that runs. One that does not has nothing to save.
-func (g *Gang) Stop() Next {
+// Preempt begins an orderly stop of a gang that runs. One that does not has nothing to save.
+func (g *Gang) Preempt() Action {
 	switch g.phase {
 	case Running:
-		g.phase = Stopping
-		return Save
+		g.phase = Checkpointing
+		return Checkpoint
 	case Granted, Launched:
-		return g.End()
+		return g.Abort()
 	}
-	return Nothing
+	return None
 }
 
-// End has the attempt end at once.
-func (g *Gang) End() Next {
-	if g.phase == Apart || g.phase == Ending || g.phase == Complete {
-		return Nothing
+// Abort has the attempt end at once.
+func (g *Gang) Abort() Action {
+	if g.phase == Idle || g.phase == Ending || g.phase == Complete {
+		return None
 	}
 	g.phase = Ending
-	return End
+	return Stop
 }
 
-// Done says that a task is done.
-func (g *Gang) Done() Next {
+// TaskDone says that a task is done.
+func (g *Gang) TaskDone() Action {
 	if g.phase == Complete {
-		return Nothing
+		return None
 	}
 	g.phase = Complete
 	return Finish
 }
 
-// Gone says that a task is provably gone; saved, that it has saved the gang's progress.
-func (g *Gang) Gone(saved bool) Next {
+// TaskGone says that a task is provably gone; saved, that it has saved the gang's progress.
+func (g *Gang) TaskGone(saved bool) Action {
 	g.exist--
 	g.saved = g.saved || saved
 	switch {
 	case g.phase == Complete:
-		return Nothing
+		return None
 	case g.exist == 0:
 		*g = Gang{size: g.size}
-		return Nothing
-	case g.phase == Stopping && g.saved:
-		return Nothing // the others have saved, too, or are about to
+		return None
+	case g.phase == Checkpointing && g.saved:
+		return None // the others have saved, too, or are about to
 	}
-	return g.End()
+	return g.Abort()
 }
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -37,7 +37,7 @@
 		g := New(3)
 		for _, part := range strings.Split(life, ";") {
 			words, want, checked := strings.Cut(part, "=")
-			next := Nothing
+			next := None
 			for _, w := range strings.Fields(words) {
 				next = tell(t, g, w)
 			}
@@ -52,35 +52,35 @@
 	}
 }
 
-func tell(t *testing.T, g *Gang, word string) Next {
+func tell(t *testing.T, g *Gang, word string) Action {
 	switch word {
 	case "placed":
-		g.Placed()
+		g.TaskPlaced()
 	case "recorded":
-		return g.Recorded()
+		return g.PlacementDurable()
 	case "whole":
 		for range 3 {
-			g.Placed()
-			g.Recorded()
+			g.TaskPlaced()
+			g.PlacementDurable()
 		}
 	case "found":
-		g.Found()
+		g.TaskRecovered()
 	case "rebuilt":
-		return g.Rebuilt()
+		return g.RecoveryDone()
 	case "runs":
-		g.Runs()
+		g.TaskRunning()
 	case "saves":
-		return g.Saves()
+		return g.TaskSaving()
 	case "stop":
-		return g.Stop()
+		return g.Preempt()
 	case "end":
-		return g.End()
+		return g.Abort()
 	case "done":
-		return g.Done()
+		return g.TaskDone()
 	case "gone", "gone!":
-		return g.Gone(word == "gone!")
+		return g.TaskGone(word == "gone!")
 	default:
 		t.Fatalf("unknown word %q", word)
 	}
-	return Nothing
+	return None
 }
--- a/internal/manager/assign.go
+++ b/internal/manager/assign.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Assign spreads the teams over the live controllers: a team stays where it is while
+// AssignTeams spreads the teams over the live controllers: a team stays where it is while
 // its controller lives and no controller has two teams more than another.
-func Assign(before map[string]string, teams, members []string) map[string]string {
+func AssignTeams(before map[string]string, teams, members []string) map[string]string {
 	load := map[string]int{}
 	for _, m := range members {
 		load[m] = 0
--- a/internal/manager/bench_test.go
+++ b/internal/manager/bench_test.go
@@ -6,6 +6,7 @@
 	"runtime"
 	"testing"
 
+	"saffronbend/internal/lease"
 	"saffronbend/internal/micros"
 	"saffronbend/internal/settings"
 	"saffronbend/wire"
@@ -22,38 +23,38 @@
 }
 
 // largeFleet is a term with machines that run 8 tasks each; next gives the machines' unchanged reports in turn.
-func largeFleet(b *testing.B, machines int) (m *Manager, now *micros.Time, next func() *wire.Report) {
+func largeFleet(b *testing.B, machines int) (m *Manager, now *micros.Timestamp, next func() *wire.Heartbeat) {
 	const each = 8
-	now = new(micros.Time)
+	now = new(micros.Timestamp)
 	*now = 1000
-	m, err := New(*now, Config{Token: token, Teams: []settings.Team{{Name: "red"}}, Lease: 26 * micros.Second, Report: 5 * micros.Second,
-		Margin: micros.Second, Cancel: 56 * micros.Second, Tuning: settings.Tuning{FirstLease: 100 * micros.Second}, Directs: 100,
-		State: settings.State{TxnOps: 32, ValueKB: 8}}, 0, nil, nil)
+	m, err := New(*now, Config{FencingToken: token, Teams: []settings.Team{{Name: "red"}}, WorkerLease: 26 * micros.Second, HeartbeatInterval: 5 * micros.Second,
+		LeaseMargin: micros.Second, CancelTimeout: 56 * micros.Second, Tuning: settings.Tuning{FirstLease: 100 * micros.Second}, MaxCommandPushes: 100,
+		StoreLimits: settings.State{TxnOps: 32, ValueKB: 8}}, 0, nil, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
 	m.SetTypes([]wire.MachineType{{Name: "small", CPUs: 32, MemoryGB: 64, CacheGB: 50, Zones: []string{"a"}}})
-	reports := make([]*wire.Report, machines)
+	reports := make([]*wire.Heartbeat, machines)
 	for i := range reports {
-		reports[i] = &wire.Report{Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.0.1:9000", Type: "small", Zone: "a", Session: 1, Token: token}
+		reports[i] = &wire.Heartbeat{Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.0.1:9000", Type: "small", Zone: "a", Incarnation: 1, FencingToken: token}
 	}
 	i := 0
-	next = func() *wire.Report {
+	next = func() *wire.Heartbeat {
 		r := reports[i%machines]
 		i++
 		r.Seq++
 		return r
 	}
 	for range machines {
-		m.Report(*now, next(), "", true)
+		m.Heartbeat(*now, next(), "", true)
 	}
 	for j := range 100 {
 		id := fmt.Sprintf("run-%06d", j+1)
 		rec := record(id, machines*each/100, nil)
-		m.JobChanged(*now, *now, 0, rec, uint64(j+1))
+		m.OpenRecordChanged(*now, *now, 0, rec, uint64(j+1))
 		for k := range machines / 100 {
 			mc := reports[j*machines/100+k]
-			m.Grant(*now, Request{Asks: []Ask{{Job: id, Machine: mc.Machine, Count: each, Lease: lease}}})
+			m.Grant(*now, lease.Transaction{Requests: []lease.Request{{Job: id, Machine: mc.Machine, Count: each, Duration: workerLease}}})
 		}
 	}
 	for rev := uint64(1000); ; rev++ {
@@ -61,16 +62,16 @@
 		if w == nil {
 			break
 		}
-		m.Written(*now, w.ID, rev)
+		m.WriteCommitted(*now, w.ID, rev)
 	}
 	for _, r := range reports {
 		for _, a := range sorted(m.machines[r.Machine].attempts) {
-			r.Tasks = append(r.Tasks, wire.TaskReport{Task: a.name, Attempt: a.id, State: wire.TaskRunning})
+			r.Tasks = append(r.Tasks, wire.TaskStatus{Task: a.name, Attempt: a.id, State: wire.TaskRunning})
 		}
 		r.Seq++
-		m.Report(*now, r, "", true)
+		m.Heartbeat(*now, r, "", true)
 	}
-	m.View(*now)
+	m.Snapshot(*now)
 	b.ReportAllocs()
 	b.ResetTimer()
 	return m, now, next
@@ -81,7 +82,7 @@
 	bySize(b, func(b *testing.B, machines int) {
 		m, now, next := largeFleet(b, machines)
 		for b.Loop() {
-			m.Report(*now, next(), "", true)
+			m.Heartbeat(*now, next(), "", true)
 		}
 	})
 }
@@ -93,10 +94,10 @@
 		m, now, next := largeFleet(b, machines)
 		for b.Loop() {
 			for range machines / 20 {
-				m.Report(*now, next(), "", true)
+				m.Heartbeat(*now, next(), "", true)
 			}
-			v := m.View(*now)
-			m.Update(*now, v.Version-1)
+			v := m.Snapshot(*now)
+			m.SnapshotUpdate(*now, v.Version-1)
 		}
 	})
 }
@@ -111,8 +112,8 @@
 			list = append(list, wire.Machine{ID: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, State: wire.MachineRunning})
 		}
 		for b.Loop() {
-			m.Listed(*now, list)
-			m.View(*now)
+			m.MachinesListed(*now, list)
+			m.Snapshot(*now)
 		}
 	})
 }
@@ -133,7 +134,7 @@
 		m, now, _ := largeFleet(b, machines)
 		size := 0
 		for b.Loop() {
-			data, err := json.Marshal(m.Update(*now, 0))
+			data, err := json.Marshal(m.SnapshotUpdate(*now, 0))
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -164,12 +165,12 @@
 func BenchmarkDirectsAllOut(b *testing.B) {
 	bySize(b, func(b *testing.B, machines int) {
 		m, now, _ := largeFleet(b, machines)
-		m.directs = m.cfg.Directs
+		m.directs = m.cfg.MaxCommandPushes
 		for id := range m.machines {
 			m.direct[id] = true
 		}
 		for b.Loop() {
-			m.Directs(*now, true)
+			m.CommandPushes(*now, true)
 		}
 	})
 }
@@ -181,15 +182,15 @@
 		m, now, next := largeFleet(b, machines)
 		for j := range keepFor {
 			rec := record(fmt.Sprintf("run-%06d", 900+j), 100, func(jb *wire.Job) { jb.CPUs = 32 })
-			m.JobChanged(*now, *now, 0, rec, uint64(5000+j))
+			m.OpenRecordChanged(*now, *now, 0, rec, uint64(5000+j))
 		}
 		*now = now.Add(micros.Minute)
 		for range m.machines {
-			m.Report(*now, next(), "", true)
+			m.Heartbeat(*now, next(), "", true)
 		}
 		b.ResetTimer()
 		for b.Loop() {
-			m.KeepRoom(*now)
+			m.ReserveForWaitingJobs(*now)
 			for _, mc := range m.machines {
 				mc.keep = ""
 			}
@@ -202,7 +203,7 @@
 	bySize(b, func(b *testing.B, machines int) {
 		m, now, _ := largeFleet(b, machines)
 		for b.Loop() {
-			m.TeamWork(*now)
+			m.TeamUsage(*now)
 			m.RebalanceSnapshot(*now, nil)
 		}
 	})
--- a/internal/manager/disruptions.go
+++ b/internal/manager/disruptions.go
@@ -28,7 +28,7 @@
 
 // disturb notes that an attempt which may run is stopped or lost. The job's own end is no disturbance, nor is that of an
 // attempt which has given its result.
-func (m *Manager) disturb(now micros.Time, a *attempt, cause disruption.Cause) {
+func (m *Manager) disturb(now micros.Timestamp, a *attempt, cause disruption.Cause) {
 	j := a.job
 	if m.ledger == nil || j.over != "" || j.tasks[a.task] != taskActive || !a.launched() || a.refused {
 		return
@@ -41,7 +41,7 @@
 
 // runs notes that an attempt is reported running, which ends the disturbance of its task. Where it is the very attempt that
 // was to be stopped, an earlier leader has decided so and not carried it out, and won't any more: the worker has our token.
-func (m *Manager) runs(now micros.Time, a *attempt) {
+func (m *Manager) runs(now micros.Timestamp, a *attempt) {
 	d, ok := m.ledger.Get(taskOf(a))
 	if !ok || d.Attempt == a.id && (a.stop || a.evicting) {
 		return
@@ -50,7 +50,7 @@
 }
 
 // endDisturbance notes that a task runs again, or need not any more.
-func (m *Manager) endDisturbance(now micros.Time, j *job, task int) {
+func (m *Manager) endDisturbance(now micros.Timestamp, j *job, task int) {
 	if d, ok := m.ledger.End(disruption.Task{Job: j.rec.Job.ID, Index: task}); ok {
 		m.touch(now, j, task, false)
 		m.note("work is disturbed no longer", "task", d.Task.String(), "team", d.Team, "cause", string(d.Cause), "after_s", now.Sub(d.Since).Seconds())
@@ -58,15 +58,15 @@
 }
 
 // RestoreDisruptions takes the records that an earlier leader has left. It is called before anything is granted.
-func (m *Manager) RestoreDisruptions(now micros.Time, items []wire.Item) error {
+func (m *Manager) RestoreDisruptions(now micros.Timestamp, items []wire.Item) error {
 	if m.ledger == nil {
 		return nil
 	}
 	for _, it := range items {
-		id, n, ok := state.SplitDisruptionKey(it.Key)
+		id, n, ok := state.ParseDisruptionKey(it.Key)
 		j := m.jobs[id]
 		if !ok || j == nil {
-			m.orphans = append(m.orphans, Change{Key: it.Key, Version: it.Version})
+			m.orphans = append(m.orphans, RecordChange{Key: it.Key, Version: it.Version})
 			continue
 		}
 		var rec state.DisruptionRecord
@@ -104,7 +104,7 @@
 func (m *Manager) disturbances(j *job, chunk int) []state.OpenDisturbance {
 	var open []state.OpenDisturbance
 	for _, task := range m.ledger.OfJob(j.rec.Job.ID) {
-		if task/j.rec.Chunk != chunk {
+		if task/j.rec.ShardSize != chunk {
 			continue
 		}
 		if d, ok := m.ledger.Get(disruption.Task{Job: j.rec.Job.ID, Index: task}); ok {
@@ -119,20 +119,20 @@
 }
 
 // disruptionChange gives the change of the record beside a progress record, if it has to change with that.
-func (m *Manager) disruptionChange(j *job, chunk int, mark string) (Change, bool) {
+func (m *Manager) disruptionChange(j *job, chunk int, mark string) (RecordChange, bool) {
 	if m.ledger == nil {
-		return Change{}, false
+		return RecordChange{}, false
 	}
 	r := &j.chunks[chunk].disruption
 	open := m.disturbances(j, chunk)
 	encoded, err := encodeDisturbances(open)
 	if err != nil || encoded == r.stored {
-		return Change{}, false
+		return RecordChange{}, false
 	}
 	r.writing = encoded
-	change := Change{Key: state.DisruptionKey(j.rec.Job.ID, chunk), Version: r.version}
+	change := RecordChange{Key: state.DisruptionKey(j.rec.Job.ID, chunk), Version: r.version}
 	if len(open) > 0 {
-		change.Value, change.Mark = state.DisruptionRecord{Open: open, Write: mark}, mark
+		change.Value, change.IdempotencyMark = state.DisruptionRecord{Open: open, IdempotencyMark: mark}, mark
 	}
 	return change, true
 }
@@ -151,8 +151,8 @@
 		return nil
 	}
 	var out []*attempt
-	first := chunk * j.rec.Chunk
-	for task := first; task < min(first+j.rec.Chunk, len(j.tasks)); task++ {
+	first := chunk * j.rec.ShardSize
+	for task := first; task < min(first+j.rec.ShardSize, len(j.tasks)); task++ {
 		if a := j.active[task]; a != nil && a.evicting {
 			out = append(out, a)
 		}
--- a/internal/manager/evictions.go
+++ b/internal/manager/evictions.go
@@ -9,12 +9,13 @@
 	"saffronbend/internal/drain"
 	"saffronbend/internal/gang"
 	"saffronbend/internal/micros"
-	"saffronbend/internal/space"
+	"saffronbend/internal/resources"
+	"saffronbend/internal/snapshot"
 	"saffronbend/wire"
 )
 
 // SetCordons says which machines take nothing new, and where nothing is rented that can be elsewhere. What was granted on one of them and has not been launched is withdrawn.
-func (m *Manager) SetCordons(now micros.Time, cordons map[string]bool, vacated []drain.Vacated) {
+func (m *Manager) SetCordons(now micros.Timestamp, cordons map[string]bool, vacated []drain.Vacating) {
 	m.vacated = vacated
 	before := m.cordons
 	m.cordons = cordons
@@ -32,12 +33,12 @@
 }
 
 // withdrawUnlaunched takes back what was granted on a machine and never launched.
-func (m *Manager) withdrawUnlaunched(now micros.Time, mc *machine) {
+func (m *Manager) withdrawUnlaunched(now micros.Timestamp, mc *machine) {
 	for _, a := range sorted(mc.attempts) {
 		switch {
 		case a.launched():
 		case a.job.gang != nil:
-			m.follow(now, a.job, a.job.gang.End(), disruption.Drain)
+			m.follow(now, a.job, a.job.gang.Abort(), disruption.Drain)
 		default:
 			m.stop(now, a, 0, disruption.Drain)
 		}
@@ -45,8 +46,8 @@
 }
 
 // DrainSnapshot shows cordoned machines, and how much of the teams' work runs and is disturbed.
-func (m *Manager) DrainSnapshot(now micros.Time) drain.Snapshot {
-	s := drain.Snapshot{Now: now, Machines: map[string]drain.Machine{}, Teams: m.TeamWork(now), Complete: m.listedAll && now.Sub(m.born) > lateLists*m.cfg.ListLag}
+func (m *Manager) DrainSnapshot(now micros.Timestamp) drain.Snapshot {
+	s := drain.Snapshot{Now: now, Machines: map[string]drain.Machine{}, Teams: m.TeamUsage(now), Complete: m.listedAll && now.Sub(m.born) > lateLists*m.cfg.ListLag}
 	for id := range m.cordons {
 		if mc := m.machines[id]; mc != nil {
 			s.Machines[id] = m.drainMachine(now, mc)
@@ -55,8 +56,8 @@
 	return s
 }
 
-// TeamWork gives how much of each team's work runs and is disturbed.
-func (m *Manager) TeamWork(now micros.Time) map[string]drain.Team {
+// TeamUsage gives how much of each team's work runs and is disturbed.
+func (m *Manager) TeamUsage(now micros.Timestamp) map[string]drain.Team {
 	work := map[string]drain.Team{}
 	for _, t := range m.teams {
 		work[t.Name] = drain.Team{Disturbed: m.ledger.Open(t.Name), Running: m.ledger.Open(t.Name)}
@@ -73,7 +74,7 @@
 
 // countWork adds to the teams' work what is on a machine. Work on a machine that is not heard of may be lost already, so it
 // counts as disturbed until more is known.
-func (m *Manager) countWork(now micros.Time, mc *machine, teams map[string]drain.Team) {
+func (m *Manager) countWork(now micros.Timestamp, mc *machine, teams map[string]drain.Team) {
 	heard := m.reports(now, mc)
 	for _, a := range mc.attempts {
 		if _, open := m.ledger.Get(taskOf(a)); open || !a.launched() || a.job.over != "" {
@@ -88,8 +89,8 @@
 	}
 }
 
-func (m *Manager) drainMachine(now micros.Time, mc *machine) drain.Machine {
-	d := drain.Machine{ID: mc.id, Heard: m.reports(now, mc), Deleting: mc.deleting,
+func (m *Manager) drainMachine(now micros.Timestamp, mc *machine) drain.Machine {
+	d := drain.Machine{ID: mc.id, Heartbeating: m.reports(now, mc), Deleting: mc.deleting,
 		Empty: len(mc.attempts) == 0 && len(mc.strays) == 0 && m.settled(mc)}
 	for _, a := range sorted(mc.attempts) {
 		d.Attempts = append(d.Attempts, m.drainAttempt(now, a))
@@ -97,16 +98,16 @@
 	return d
 }
 
-func (m *Manager) drainAttempt(now micros.Time, a *attempt) drain.Attempt {
+func (m *Manager) drainAttempt(now micros.Timestamp, a *attempt) drain.Attempt {
 	jb := &a.job.rec.Job
-	d := drain.Attempt{Task: taskOf(a), Team: jb.Team, Size: 1, Ends: m.expectedEnd(now, a),
+	d := drain.Attempt{Task: taskOf(a), Team: jb.Team, Size: 1, ExpectedEnd: m.expectedEnd(now, a),
 		Ending: !m.evictable(a),
 		// One that is reported fetching may run by now.
-		Saves: jb.CheckpointS > 0}
+		Checkpoints: jb.CheckpointS > 0}
 	if g := a.job.gang; g != nil {
 		d.Gang, d.Size = true, len(a.job.active)
-		d.Ending = d.Ending || g.Phase() == gang.Stopping || g.Phase() == gang.Ending || g.Phase() == gang.Complete
-		d.Saves = d.Saves && (g.Phase() == gang.Launched || m.savesInTime(now, a.job))
+		d.Ending = d.Ending || g.Phase() == gang.Checkpointing || g.Phase() == gang.Ending || g.Phase() == gang.Complete
+		d.Checkpoints = d.Checkpoints && (g.Phase() == gang.Launched || m.savesInTime(now, a.job))
 	}
 	return d
 }
@@ -128,7 +129,7 @@
 
 // Evict has a task, or the gang that it belongs to, leave its machine: room for the successor is reserved, and the attempt is
 // stopped once the disturbance is durable. If there is no room, nothing is done.
-func (m *Manager) Evict(now micros.Time, t disruption.Task) drain.Refusal {
+func (m *Manager) Evict(now micros.Timestamp, t disruption.Task) drain.Refusal {
 	j := m.jobs[t.Job]
 	if j == nil || j.active[t.Index] == nil {
 		return drain.NotThere
@@ -148,8 +149,8 @@
 }
 
 // evict reserves room for an attempt's successor and has the eviction recorded.
-func (m *Manager) evict(now micros.Time, a *attempt, place *machine, cause disruption.Cause) {
-	m.reserve(now, taskOf(a), place, space.Need(&a.job.rec.Job))
+func (m *Manager) evict(now micros.Timestamp, a *attempt, place *machine, cause disruption.Cause) {
+	m.reserve(now, taskOf(a), place, resources.OfTask(&a.job.rec.Job))
 	m.disturb(now, a, cause)
 	a.evicting, a.evictedFor = true, cause
 	m.touch(now, a.job, a.task, true)
@@ -157,8 +158,8 @@
 
 // placesFor finds a machine for the successor of each attempt. What the attempts hold on machines that are not cordoned is
 // room for a gang's own successors.
-func (m *Manager) placesFor(now micros.Time, j *job, evicted []*attempt) ([]*machine, bool) {
-	need := space.Need(&j.rec.Job)
+func (m *Manager) placesFor(now micros.Timestamp, j *job, evicted []*attempt) ([]*machine, bool) {
+	need := resources.OfTask(&j.rec.Job)
 	own := map[*machine]int{}
 	if j.gang != nil {
 		for _, a := range evicted {
@@ -166,7 +167,7 @@
 		}
 	}
 	candidates := m.destinations(now, j, own)
-	if !j.rec.Job.OneZone || j.gang == nil {
+	if !j.rec.Job.SameZone || j.gang == nil {
 		places := fill(candidates, need, own, m.free, len(evicted))
 		return places, len(places) == len(evicted)
 	}
@@ -183,11 +184,11 @@
 }
 
 // fill gives a place on the machines, in their order, for each of so many tasks, as far as there is room.
-func fill(machines []*machine, need space.Space, own map[*machine]int, free func(*machine) space.Space, tasks int) []*machine {
+func fill(machines []*machine, need resources.Vector, own map[*machine]int, free func(*machine) resources.Vector, tasks int) []*machine {
 	var places []*machine
 	for _, mc := range machines {
 		room := free(mc).Plus(need, float64(own[mc]))
-		for range room.Holds(need, tasks-len(places)) {
+		for range room.MaxTasks(need, tasks-len(places)) {
 			places = append(places, mc)
 		}
 	}
@@ -195,8 +196,8 @@
 }
 
 // destinations gives the machines that have room for a task of a job, those with its image first.
-func (m *Manager) destinations(now micros.Time, j *job, own map[*machine]int) []*machine {
-	need := space.Need(&j.rec.Job)
+func (m *Manager) destinations(now micros.Timestamp, j *job, own map[*machine]int) []*machine {
+	need := resources.OfTask(&j.rec.Job)
 	type candidate struct {
 		mc   *machine
 		warm bool
@@ -232,7 +233,7 @@
 }
 
 // carryOut stops the attempts whose eviction has become durable.
-func (m *Manager) carryOut(now micros.Time, evictions []*attempt) {
+func (m *Manager) carryOut(now micros.Timestamp, evictions []*attempt) {
 	for _, a := range evictions {
 		j := a.job
 		if !a.evicting || j.active[a.task] != a {
@@ -244,7 +245,7 @@
 		case a.evictedFor == disruption.Rebalance && !m.destinationStands(now, a):
 			m.abandonMove(now, a)
 		case j.gang != nil:
-			m.follow(now, j, j.gang.Stop(), a.evictedFor)
+			m.follow(now, j, j.gang.Preempt(), a.evictedFor)
 		default:
 			m.stop(now, a, saveGrace(&j.rec.Job), a.evictedFor)
 		}
@@ -252,8 +253,8 @@
 }
 
 // showReplacements gives the fleet the tasks that can't leave their machines for lack of room elsewhere.
-func (m *Manager) showReplacements() []*JobView {
-	var out []*JobView
+func (m *Manager) showReplacements() []*snapshot.Job {
+	var out []*snapshot.Job
 	for _, id := range slices.Sorted(maps.Keys(m.replacements)) {
 		if j := m.jobs[id]; j != nil && j.over == "" {
 			jv := m.showJob(j)
@@ -277,12 +278,12 @@
 }
 
 // KnownMachines gives the machines that a drain may name.
-func (m *Manager) KnownMachines(now micros.Time) []drain.Known {
-	var out []drain.Known
+func (m *Manager) KnownMachines(now micros.Timestamp) []drain.KnownMachine {
+	var out []drain.KnownMachine
 	for _, id := range slices.Sorted(maps.Keys(m.machines)) {
 		mc := m.machines[id]
 		if !mc.deleting && mc.state != wire.MachineFailed {
-			out = append(out, drain.Known{ID: id, Zone: mc.zone, Type: mc.typ, Age: now.Sub(mc.born)})
+			out = append(out, drain.KnownMachine{ID: id, Zone: mc.zone, Type: mc.typ, Age: now.Sub(mc.born)})
 		}
 	}
 	return out
--- a/internal/manager/evictions_test.go
+++ b/internal/manager/evictions_test.go
@@ -8,6 +8,7 @@
 
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/drain"
+	"saffronbend/internal/lease"
 	"saffronbend/internal/micros"
 	"saffronbend/internal/state"
 	"saffronbend/wire"
@@ -15,7 +16,7 @@
 
 // drainBench is a bench of a manager that keeps account of disturbed work.
 func drainBench(t *testing.T, open, chunks, disruptions []wire.Item) *bench {
-	b := newBenchWith(t, open, chunks, func(c *Config) { c.Disruptions, c.Reservation = true, 30*micros.Second })
+	b := newBenchWith(t, open, chunks, func(c *Config) { c.TrackDisruptions, c.ReservationTTL = true, 30*micros.Second })
 	if err := b.m.RestoreDisruptions(b.now, disruptions); err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +48,7 @@
 }
 
 // nextWrite gives the keys of the next write, which is left out.
-func (b *bench) nextWrite() (w *Write, keys string) {
+func (b *bench) nextWrite() (w *WriteBatch, keys string) {
 	w = b.m.NextWrite(b.now)
 	if w == nil {
 		return nil, ""
@@ -72,13 +73,13 @@
 	b.want(b.m.Evict(b.now, task("run-1", 0)), drain.Evicted)
 	b.want(b.disturbed(), "run-1/0 drain")
 	// The machine with the reserved room is not idle.
-	b.want(b.m.View(b.now).Machines[1].Proven(), false)
+	b.want(b.m.Snapshot(b.now).Machines[1].ProvenIdle(), false)
 	w, keys := b.nextWrite()
 	b.want(keys, "tasks/run-1/0 disruption/run-1/0")
 	b.want(b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d running", first)), "")
-	b.want(len(b.m.Directs(b.now, true)), 0)
+	b.want(len(b.m.CommandPushes(b.now, true)), 0)
 	b.rev++
-	b.m.Written(b.now, w.ID, b.rev)
+	b.m.WriteCommitted(b.now, w.ID, b.rev)
 	b.want(b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d running", first)), fmt.Sprintf("stop run-1/0 %d", first))
 	b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d ended halted", first))
 	b.want(b.grant("run-1", "n-1-a", 1), 0)
@@ -104,12 +105,12 @@
 	b.m.Evict(b.now, task("run-1", 0))
 	w, _ := b.nextWrite()
 	rec := record("run-1", 1, savesProgress)
-	rec.Over = wire.JobCancelled
+	rec.FinalState = wire.JobCancelled
 	b.rev++
-	b.m.JobChanged(b.now, b.now, 0, rec, b.rev)
+	b.m.OpenRecordChanged(b.now, b.now, 0, rec, b.rev)
 	b.want(b.disturbed(), "")
 	b.rev++
-	b.m.Written(b.now, w.ID, b.rev)
+	b.m.WriteCommitted(b.now, w.ID, b.rev)
 	b.want(b.disturbed(), "")
 	b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d ended halted", first))
 	_, keys := b.nextWrite()
@@ -121,9 +122,9 @@
 	running := fmt.Sprintf("run-1/0 %d running", first)
 	for name, lose := range map[string]func(*bench){
 		"session": func(b *bench) { b.report("n-1-a", token, 2) },
-		"deleted": func(b *bench) { b.m.Deleted(b.now, []string{"n-1-a"}) },
+		"deleted": func(b *bench) { b.m.MachinesDeleted(b.now, []string{"n-1-a"}) },
 		"failed": func(b *bench) {
-			b.m.Listed(b.now, []wire.Machine{{ID: "n-1-a", Type: "small", Zone: "a", State: wire.MachineFailed}})
+			b.m.MachinesListed(b.now, []wire.Machine{{ID: "n-1-a", Type: "small", Zone: "a", State: wire.MachineFailed}})
 		},
 		"lease": func(b *bench) {
 			b.wait(12 * micros.Second)
@@ -176,8 +177,8 @@
 func TestDisturbancesOutliveTheLeader(t *testing.T) {
 	const before = 5<<attemptBits | 3
 	open := []wire.Item{item("open/run-1", 4, record("run-1", 3, savesProgress))}
-	chunks := []wire.Item{item("tasks/run-1/0", 6, state.ChunkRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: before, Session: 1},
-		{Task: 1, Machine: "n-1-a", Attempt: before + 1, Session: 1}}})}
+	chunks := []wire.Item{item("tasks/run-1/0", 6, state.ProgressRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: before, Incarnation: 1},
+		{Task: 1, Machine: "n-1-a", Attempt: before + 1, Incarnation: 1}}})}
 	disruptions := []wire.Item{item("disruption/run-1/0", 6, state.DisruptionRecord{Open: []state.OpenDisturbance{{Task: 0, Attempt: before, Cause: "drain"},
 		{Task: 1, Attempt: before + 1, Cause: "drain"}, {Task: 2, Attempt: before + 2, Cause: "lost"}}}),
 		item("disruption/run-9/0", 7, state.DisruptionRecord{Open: []state.OpenDisturbance{{Task: 0, Attempt: before, Cause: "lost"}}})}
@@ -197,13 +198,13 @@
 	b.job("run-2", 4, nil)
 	b.m.SetCordons(b.now, map[string]bool{"n-1-a": true, "n-2-a": true}, nil)
 	b.want(b.grant("run-2", "n-2-a", 1), 0)
-	wait := Request{Asks: []Ask{{Job: "run-2", Machine: "n-1-a", Wait: first}}}
+	wait := lease.Transaction{Requests: []lease.Request{{Job: "run-2", Machine: "n-1-a", WaitFor: first}}}
 	b.want(b.m.Grant(b.now, wait).Granted[0], 0)
 	b.wait(micros.Minute)
 	b.up("n-2-a")
-	b.m.KeepRoom(b.now)
-	for _, mv := range b.m.View(b.now).Machines {
-		if mv.Usable || mv.Coming || mv.Keep != "" {
+	b.m.ReserveForWaitingJobs(b.now)
+	for _, mv := range b.m.Snapshot(b.now).Machines {
+		if mv.Usable || mv.ExpectedSoon || mv.ReservedForJob != "" {
 			t.Errorf("%+v", mv)
 		}
 	}
@@ -219,12 +220,12 @@
 	b.m.SetCordons(b.now, map[string]bool{"n-1-a": true}, nil)
 	b.m.Evict(b.now, task("run-1", 0))
 	b.want(b.grant("run-2", "n-2-a", 4), 1)
-	view := b.m.View(b.now)
+	view := b.m.Snapshot(b.now)
 	b.want(view.Machines[1].CPUs, 0.0)
 	b.want(len(view.Machines[1].Reserved), 0)
 	b.write()
 	b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d ended halted", first))
-	view = b.m.View(b.now)
+	view = b.m.Snapshot(b.now)
 	b.want(fmt.Sprint(view.Machines[1].Reserved), "[{run-1 {4 0 1}}]")
 	b.wait(31 * micros.Second)
 	b.up("n-2-a")
@@ -273,7 +274,7 @@
 	b.placed()
 	b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d fetching", first))
 	b.m.SetCordons(b.now, map[string]bool{"n-1-a": true}, nil)
-	b.want(b.m.DrainSnapshot(b.now).Machines["n-1-a"].Attempts[0].Saves, false)
+	b.want(b.m.DrainSnapshot(b.now).Machines["n-1-a"].Attempts[0].Checkpoints, false)
 }
 
 // Work on machines that are not heard of counts as disturbed, by the new leader until they have reported, too.
@@ -298,7 +299,7 @@
 	for w, keys := b.nextWrite(); w != nil; w, keys = b.nextWrite() {
 		all = append(all, keys)
 		b.rev++
-		b.m.Written(b.now, w.ID, b.rev)
+		b.m.WriteCommitted(b.now, w.ID, b.rev)
 	}
 	slices.Sort(all)
 	b.want(strings.Join(all, "; "), "tasks/run-1/0 disruption/run-1/0; tasks/run-2/0")
--- a/internal/manager/gangs.go
+++ b/internal/manager/gangs.go
@@ -7,27 +7,28 @@
 
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/gang"
+	"saffronbend/internal/lease"
 	"saffronbend/internal/micros"
-	"saffronbend/internal/space"
+	"saffronbend/internal/resources"
 	"saffronbend/wire"
 )
 
 // follow carries out what a gang's life demands of its tasks; cause says why they are stopped, if they are.
-func (m *Manager) follow(now micros.Time, j *job, next gang.Next, cause disruption.Cause) {
+func (m *Manager) follow(now micros.Timestamp, j *job, next gang.Action, cause disruption.Cause) {
 	switch next {
 	case gang.Launch:
 		m.pace(j)
 		for _, a := range j.active {
 			m.direct[a.machine.id] = true
 		}
-	case gang.End:
+	case gang.Stop:
 		for _, a := range sorted(j.active) {
 			if m.silent(now, a.machine) {
 				a.machine.doubtUntil = now.Add(doubtFor) // it may be back soon
 			}
 			m.stop(now, a, 0, cause)
 		}
-	case gang.Save:
+	case gang.Checkpoint:
 		for _, a := range sorted(j.active) {
 			m.stop(now, a, j.rec.Job.SaveS+1, cause)
 		}
@@ -50,7 +51,7 @@
 	for _, a := range j.active {
 		if im := a.machine.images[jb.Image]; im != nil && im.ready {
 			there = append(there, a)
-		} else if t := a.machine.spec; t != nil && t.FetchGBPS > 0 && micros.Seconds(jb.ImageGB/t.FetchGBPS) > m.cfg.GangWait/2 {
+		} else if t := a.machine.spec; t != nil && t.FetchGBPS > 0 && micros.Seconds(jb.ImageGB/t.FetchGBPS) > m.cfg.GangWaitTimeout/2 {
 			long = true
 		}
 	}
@@ -70,27 +71,29 @@
 }
 
 // reportDue is the longest time between two reports of a worker that is well, and a second.
-func (m *Manager) reportDue() micros.Span { return m.cfg.Report.Scale(1.25) + micros.Second }
+func (m *Manager) reportDue() micros.Duration {
+	return m.cfg.HeartbeatInterval.Scale(1.25) + micros.Second
+}
 
 // silent tells whether a machine has not reported when it should have.
-func (m *Manager) silent(now micros.Time, mc *machine) bool {
+func (m *Manager) silent(now micros.Timestamp, mc *machine) bool {
 	return now.Sub(mc.lastReport) > m.reportDue()
 }
 
 // reports tells whether a machine reports as it should and has our token: what is on it is known.
-func (m *Manager) reports(now micros.Time, mc *machine) bool {
+func (m *Manager) reports(now micros.Timestamp, mc *machine) bool {
 	return mc.up && mc.confirmed && !m.silent(now, mc)
 }
 
 // endUnheard ends an attempt that has not begun and for which a launch does not come through:
 // its mates would wait for it in vain.
-func (m *Manager) endUnheard(now micros.Time, mc *machine) {
+func (m *Manager) endUnheard(now micros.Timestamp, mc *machine) {
 	if mc.deaf == 0 || now.Sub(mc.deaf) < m.reportDue() {
 		return
 	}
 	for _, a := range sorted(mc.attempts) {
 		if g := a.job.gang; g != nil && !a.listed && g.Phase() == gang.Launched {
-			m.follow(now, a.job, g.End(), disruption.Lost)
+			m.follow(now, a.job, g.Abort(), disruption.Lost)
 		}
 	}
 }
@@ -101,18 +104,18 @@
 // rebuilt makes of a gang's records what they say when all have been read. One task that is
 // done proves that all are, whichever record says so: an earlier leader may not have come to
 // write the others.
-func (m *Manager) rebuilt(now micros.Time, j *job) {
+func (m *Manager) rebuilt(now micros.Timestamp, j *job) {
 	switch {
 	case j.gang == nil || j.over != "":
 	case j.done > 0:
-		m.follow(now, j, j.gang.Done(), disruption.Gang)
+		m.follow(now, j, j.gang.TaskDone(), disruption.Gang)
 	default:
-		m.follow(now, j, j.gang.Rebuilt(), disruption.Gang)
+		m.follow(now, j, j.gang.RecoveryDone(), disruption.Gang)
 	}
 }
 
 // gangState books that a task of a gang is in another state than before.
-func (m *Manager) gangState(now micros.Time, j *job, state string) {
+func (m *Manager) gangState(now micros.Timestamp, j *job, state string) {
 	switch state {
 	case wire.TaskWaiting:
 		for _, a := range j.active {
@@ -121,30 +124,30 @@
 			}
 		}
 	case wire.TaskRunning:
-		j.gang.Runs()
+		j.gang.TaskRunning()
 	case wire.TaskSaving:
-		m.follow(now, j, j.gang.Saves(), disruption.Gang)
+		m.follow(now, j, j.gang.TaskSaving(), disruption.Gang)
 	}
 }
 
 // gangExit books why a task of a gang has ended without a result. That another is gone, or
 // that the gang was not complete in time, says nothing about its machine. What failed first
 // does, and the gang is not put there again until it has succeeded elsewhere.
-func (m *Manager) gangExit(now micros.Time, mc *machine, j *job, a *attempt, tr wire.TaskReport) {
+func (m *Manager) gangExit(now micros.Timestamp, mc *machine, j *job, a *attempt, tr wire.TaskStatus) {
 	first := j.gang.Phase() != gang.Ending
 	switch {
-	case tr.Why == wire.WhyStopped:
+	case tr.ExitReason == wire.ExitStopped:
 		a.saved = tr.Saved
-	case first && tr.Why == wire.WhyError:
+	case first && tr.ExitReason == wire.ExitError:
 		m.noteFailure(now, mc, j)
-	case first && (tr.Why == wire.WhyNoRoom || tr.Why == wire.WhyBusy):
+	case first && (tr.ExitReason == wire.ExitNoRoom || tr.ExitReason == wire.ExitBusy):
 		j.failed[mc.id]++
 		m.touchJob(j)
 	}
 }
 
 // stopOthers stops what there may be of another attempt than the one that is done.
-func (m *Manager) stopOthers(now micros.Time, j *job, done uint64) {
+func (m *Manager) stopOthers(now micros.Timestamp, j *job, done uint64) {
 	for _, a := range sorted(j.active) {
 		if a.id != done {
 			m.stop(now, a, 0, disruption.Gang)
@@ -159,9 +162,9 @@
 }
 
 // gangOf gives the gang that a request is for, if it is for one.
-func (m *Manager) gangOf(req Request) *job {
-	for _, ask := range req.Asks {
-		if j := m.jobs[ask.Job]; j != nil && j.gang != nil && ask.Wait == 0 {
+func (m *Manager) gangOf(req lease.Transaction) *job {
+	for _, ask := range req.Requests {
+		if j := m.jobs[ask.Job]; j != nil && j.gang != nil && ask.WaitFor == 0 {
 			return j
 		}
 	}
@@ -170,20 +173,20 @@
 
 // mayGrant tells whether a request can be granted to a gang: it must be for all its tasks, and
 // for them alone, and nothing of its last attempt may exist any more.
-func (m *Manager) mayGrant(j *job, req Request) bool {
+func (m *Manager) mayGrant(j *job, req lease.Transaction) bool {
 	n := 0
-	for _, ask := range req.Asks {
-		if ask.Job != j.rec.Job.ID || ask.Wait != 0 || ask.Count < 0 {
+	for _, ask := range req.Requests {
+		if ask.Job != j.rec.Job.ID || ask.WaitFor != 0 || ask.Count < 0 {
 			return false
 		}
 		n += ask.Count
 	}
-	return req.All && n == len(j.tasks) && j.waiting == n && j.gang.Phase() == gang.Apart && m.room(j) >= n
+	return req.AllOrNothing && n == len(j.tasks) && j.waiting == n && j.gang.Phase() == gang.Idle && m.room(j) >= n
 }
 
 // mayDisplaceGang tells whether a gang may make room for others: not while it is stopped
 // already, or would lose all that it has done.
-func (m *Manager) mayDisplaceGang(now micros.Time, j *job) bool {
+func (m *Manager) mayDisplaceGang(now micros.Timestamp, j *job) bool {
 	switch j.gang.Phase() {
 	case gang.Granted, gang.Launched:
 		return true
@@ -196,7 +199,7 @@
 // savesInTime tells whether an order to save would reach all tasks of a gang in time: each
 // machine hears us, if not directly then by the answer to its next report, and none is
 // taken before.
-func (m *Manager) savesInTime(now micros.Time, j *job) bool {
+func (m *Manager) savesInTime(now micros.Timestamp, j *job) bool {
 	save := micros.Seconds(j.rec.Job.SaveS)
 	for _, a := range j.active {
 		mc := a.machine
@@ -204,7 +207,7 @@
 		if mc.directOK && mc.via == "" {
 			late = micros.Second
 		}
-		if m.silent(now, mc) || mc.deaf != 0 || late > m.cfg.GangPeer || mc.notice != 0 && now.Add(late+save) > mc.notice {
+		if m.silent(now, mc) || mc.deaf != 0 || late > m.cfg.GangPeerTimeout || mc.notice != 0 && now.Add(late+save) > mc.notice {
 			return false
 		}
 	}
@@ -217,7 +220,7 @@
 
 // worthIt tells whether a gang should make room for a job: it has waited long, and makes use
 // of half of what the gang would free.
-func (m *Manager) worthIt(now micros.Time, j, victim *job) bool {
+func (m *Manager) worthIt(now micros.Timestamp, j, victim *job) bool {
 	return now.Sub(j.waitSince) > gangPatience*m.cfg.Tuning.PreemptAfter && 2*float64(j.waiting)*j.rec.Job.CPUs >= float64(len(victim.active))*victim.rec.Job.CPUs
 }
 
@@ -226,14 +229,14 @@
 
 // displaceForGang stops others' tasks where that makes room for all of a gang; where it does
 // not, none is stopped.
-func (m *Manager) displaceForGang(now micros.Time, j *job, targets []*target, promised map[string]space.Space) {
+func (m *Manager) displaceForGang(now micros.Timestamp, j *job, targets []*target, promised map[string]resources.Vector) {
 	jb := &j.rec.Job
-	need := space.Need(jb)
+	need := resources.OfTask(jb)
 	mine := m.targetsFor(j, targets)
 	zones := map[string][]*target{}
 	for _, place := range mine {
 		zone := ""
-		if jb.OneZone {
+		if jb.SameZone {
 			zone = place.mc.zone
 		}
 		zones[zone] = append(zones[zone], place)
@@ -243,7 +246,7 @@
 	least := micros.Forever
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		victims, ok := m.roomForGang(now, j, zones[zone], promised[jb.Team])
-		sum := micros.Span(0)
+		sum := micros.Duration(0)
 		for _, a := range victims {
 			sum += loss(a)
 		}
@@ -261,13 +264,13 @@
 
 // roomForGang gives tasks whose end makes room for all of a gang on the given machines, those
 // that lose least first; ok: there is enough.
-func (m *Manager) roomForGang(now micros.Time, j *job, targets []*target, promised space.Space) (victims []*attempt, ok bool) {
-	need := space.Need(&j.rec.Job)
+func (m *Manager) roomForGang(now micros.Timestamp, j *job, targets []*target, promised resources.Vector) (victims []*attempt, ok bool) {
+	need := resources.OfTask(&j.rec.Job)
 	missing := j.waiting
-	room := map[*machine]space.Space{}
+	room := map[*machine]resources.Vector{}
 	var may []*attempt
 	for _, place := range targets {
-		n := place.room.Holds(need, missing)
+		n := place.room.MaxTasks(need, missing)
 		missing -= n
 		room[place.mc] = place.room.Plus(need, -float64(n))
 		for _, a := range place.victims {
@@ -283,8 +286,8 @@
 		if missing <= 0 || len(victims) == mostStops {
 			break
 		}
-		r := room[a.machine].Plus(space.Need(&a.job.rec.Job), 1)
-		n := r.Holds(need, missing)
+		r := room[a.machine].Plus(resources.OfTask(&a.job.rec.Job), 1)
+		n := r.MaxTasks(need, missing)
 		missing -= n
 		room[a.machine] = r.Plus(need, -float64(n))
 		victims = append(victims, a)
--- a/internal/manager/grants.go
+++ b/internal/manager/grants.go
@@ -1,25 +1,26 @@
 package manager
 
 import (
+	"saffronbend/internal/lease"
 	"saffronbend/internal/micros"
-	"saffronbend/internal/space"
+	"saffronbend/internal/resources"
 	"saffronbend/wire"
 )
 
 // Grant serves a lease request atomically.
-func (m *Manager) Grant(now micros.Time, req Request) Result {
-	res := Result{Granted: make([]int, len(req.Asks))}
+func (m *Manager) Grant(now micros.Timestamp, req lease.Transaction) lease.Result {
+	res := lease.Result{Granted: make([]int, len(req.Requests))}
 	var made []*attempt
 	if j := m.gangOf(req); j != nil && !m.mayGrant(j, req) {
 		return res
 	}
-	if len(req.Asks) > 0 {
-		if j := m.jobs[req.Asks[0].Job]; j != nil && m.backlogged(now, j) {
+	if len(req.Requests) > 0 {
+		if j := m.jobs[req.Requests[0].Job]; j != nil && m.backlogged(now, j) {
 			return res
 		}
 	}
-	for i, ask := range req.Asks {
-		if ask.Wait != 0 {
+	for i, ask := range req.Requests {
+		if ask.WaitFor != 0 {
 			if m.grantWait(now, ask) {
 				res.Granted[i] = 1
 			}
@@ -33,7 +34,7 @@
 			made = append(made, a)
 			res.Granted[i]++
 		}
-		if req.All && res.Granted[i] < ask.Count {
+		if req.AllOrNothing && res.Granted[i] < ask.Count {
 			for _, a := range made {
 				m.drop(now, a)
 			}
@@ -47,14 +48,14 @@
 	return res
 }
 
-func (m *Manager) grantWait(now micros.Time, ask Ask) bool {
+func (m *Manager) grantWait(now micros.Timestamp, ask lease.Request) bool {
 	mc := m.machines[ask.Machine]
 	if mc == nil || m.cordons[mc.id] {
 		return false
 	}
 	var a *attempt
 	for _, x := range mc.attempts {
-		if x.id == ask.Wait {
+		if x.id == ask.WaitFor {
 			a = x
 		}
 	}
@@ -68,7 +69,7 @@
 }
 
 // grantOne grants a lease for a task; made are those that the request has been granted already.
-func (m *Manager) grantOne(now micros.Time, ask Ask, made []*attempt) *attempt {
+func (m *Manager) grantOne(now micros.Timestamp, ask lease.Request, made []*attempt) *attempt {
 	j, mc := m.jobs[ask.Job], m.machines[ask.Machine]
 	if j == nil || mc == nil || j.over != "" || j.waiting == 0 || now < j.notBefore || !m.usable(now, mc) ||
 		mc.keep != "" && mc.keep != ask.Job || m.madeForOther(now, mc, j) {
@@ -78,7 +79,7 @@
 	if !jb.Allows(mc.spec, mc.zone, mc.spot) || !m.zoneAllows(j, mc.zone) || m.room(j) < 1 {
 		return nil
 	}
-	free, need := m.free(mc), space.Need(jb)
+	free, need := m.free(mc), resources.OfTask(jb)
 	claim := m.claim(j, mc)
 	if claim != nil {
 		free = free.Plus(claim.need, 1)
@@ -89,8 +90,8 @@
 	if m.next+1 >= 1<<attemptBits {
 		return nil
 	}
-	a := &attempt{job: j, id: m.cfg.Token<<attemptBits | m.next + 1, machine: mc, session: mc.session,
-		ours: true, kept: mc.keep == ask.Job, leaseEnd: now.Add(ask.Lease)}
+	a := &attempt{job: j, id: m.cfg.FencingToken<<attemptBits | m.next + 1, machine: mc, session: mc.session,
+		ours: true, kept: mc.keep == ask.Job, leaseEnd: now.Add(ask.Duration)}
 	if j.gang != nil && len(made) > 0 {
 		a.id = made[0].id // its tasks know one another by their attempt
 	}
@@ -110,7 +111,7 @@
 // madeForOther tells whether the room on a machine was made for a more urgent gang that has
 // still to take it. It needs all of it at once: a task that is back on one machine before the
 // gang's scheduler has seen the room spoils it on all.
-func (m *Manager) madeForOther(now micros.Time, mc *machine, j *job) bool {
+func (m *Manager) madeForOther(now micros.Timestamp, mc *machine, j *job) bool {
 	if now >= mc.madeUntil || mc.madeFor == j.rec.Job.ID {
 		return false
 	}
@@ -143,13 +144,13 @@
 		if m.limits.takes(j, t, placementSize(a.placement())) {
 			return true
 		}
-		t += j.rec.Chunk - t%j.rec.Chunk - 1 // on to the next record
+		t += j.rec.ShardSize - t%j.rec.ShardSize - 1 // on to the next record
 	}
 	return false
 }
 
-// Exhausted says that the term has no attempt numbers left.
-func (m *Manager) Exhausted() bool { return m.next+1 >= 1<<attemptBits }
+// AttemptNumbersExhausted says that the term has no attempt numbers left.
+func (m *Manager) AttemptNumbersExhausted() bool { return m.next+1 >= 1<<attemptBits }
 
 // room is how many more tasks the team's limit allows, counting every attempt that
 // may still exist.
@@ -160,10 +161,10 @@
 	}
 	n := wire.MaxTasks
 	if t.CPUsMax > 0 {
-		n = space.Fit(n, t.CPUsMax-t.cpus, j.rec.Job.CPUs)
+		n = resources.FitCount(n, t.CPUsMax-t.cpus, j.rec.Job.CPUs)
 	}
 	if t.GPUsMax > 0 {
-		n = space.Fit(n, t.GPUsMax-t.gpus, j.rec.Job.GPUs)
+		n = resources.FitCount(n, t.GPUsMax-t.gpus, j.rec.Job.GPUs)
 	}
 	return max(0, n)
 }
@@ -171,7 +172,7 @@
 // zoneAllows keeps `together` and `scatter`, counting every attempt that may exist.
 func (m *Manager) zoneAllows(j *job, zone string) bool {
 	jb := &j.rec.Job
-	if !jb.OneZone && !jb.Spread {
+	if !jb.SameZone && !jb.SpreadZones {
 		return true
 	}
 	inZone := 0
@@ -179,9 +180,9 @@
 		switch {
 		case a.machine.zone == zone:
 			inZone++
-		case a.machine.zone == "" || jb.OneZone:
+		case a.machine.zone == "" || jb.SameZone:
 			return false // elsewhere, or not known where
 		}
 	}
-	return !jb.Spread || inZone < (jb.Tasks+1)/2
+	return !jb.SpreadZones || inZone < (jb.Tasks+1)/2
 }
--- a/internal/manager/keep.go
+++ b/internal/manager/keep.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"saffronbend/internal/micros"
-	"saffronbend/internal/space"
+	"saffronbend/internal/resources"
 	"saffronbend/wire"
 )
 
@@ -14,12 +14,12 @@
 // of the machines in use that may be kept.
 const keepFor, keepShare = 8, 4
 
-// KeepRoom keeps machines free for the jobs that have waited longest without one of
+// ReserveForWaitingJobs keeps machines free for the jobs that have waited longest without one of
 // their tasks being placed: nothing else is placed there, so that small tasks that fit
 // anywhere cannot take for ever what a large one waits for. It does not depend on class,
 // priority or deadline. A kept machine empties by itself; it is kept until it has as many
 // of the job's tasks as it takes.
-func (m *Manager) KeepRoom(now micros.Time) {
+func (m *Manager) ReserveForWaitingJobs(now micros.Timestamp) {
 	kept, usable := 0, 0
 	mine := map[string]int{}
 	for _, mc := range m.machines {
@@ -38,7 +38,7 @@
 		kept++
 		mine[mc.keep] += mc.holds(m.jobs[mc.keep])
 	}
-	starved := m.waitingFor(now, m.cfg.Tuning.KeepAfter)
+	starved := m.waitingFor(now, m.cfg.Tuning.ReserveAfter)
 	slices.SortStableFunc(starved, func(a, b *job) int { return cmp.Compare(a.waitSince, b.waitSince) })
 	gangs := 0
 	for _, j := range starved[:min(len(starved), keepFor)] {
@@ -73,7 +73,7 @@
 // keepForGang keeps as many machines as the whole gang takes, in one zone if it must be, also
 // beyond the share that others may have, and gives their number. Where no zone has enough
 // nothing is kept: the fleet has to grow first.
-func (m *Manager) keepForGang(now micros.Time, j *job, mine int) (kept int) {
+func (m *Manager) keepForGang(now micros.Timestamp, j *job, mine int) (kept int) {
 	if mine >= j.waiting || m.room(j) < j.waiting {
 		return 0
 	}
@@ -83,11 +83,11 @@
 			continue
 		}
 		zone := ""
-		if j.rec.Job.OneZone {
+		if j.rec.Job.SameZone {
 			zone = mc.zone
 		}
 		holds[zone] += mc.holds(j)
-		free[zone] += m.free(mc).Holds(space.Need(&j.rec.Job), wire.MaxTasks)
+		free[zone] += m.free(mc).MaxTasks(resources.OfTask(&j.rec.Job), wire.MaxTasks)
 		if mc.keep != "" {
 			free[zone] += wire.MaxTasks // it stays where it has begun
 		}
@@ -113,7 +113,7 @@
 }
 
 // takes tells whether a machine may take a job's tasks once there is room.
-func (m *Manager) takes(now micros.Time, mc *machine, j *job) bool {
+func (m *Manager) takes(now micros.Timestamp, mc *machine, j *job) bool {
 	return m.usable(now, mc) && m.suits(mc, j)
 }
 
@@ -124,15 +124,15 @@
 
 // holds is how many tasks of a job the machine takes when it is empty.
 func (mc *machine) holds(j *job) int {
-	return space.Whole(mc.spec).Holds(space.Need(&j.rec.Job), wire.MaxTasks)
+	return resources.OfMachine(mc.spec).MaxTasks(resources.OfTask(&j.rec.Job), wire.MaxTasks)
 }
 
 // soonest gives the machines that may be kept for a job, those first on which a task of it should find room first, by the
 // owners' estimates, when nothing else is placed there; in the given zone, if one is given. Keeping one of them does not
 // change when there is room on another.
-func (m *Manager) soonest(now micros.Time, j *job, zone string) []*machine {
+func (m *Manager) soonest(now micros.Timestamp, j *job, zone string) []*machine {
 	type fit struct {
-		at micros.Time
+		at micros.Timestamp
 		mc *machine
 	}
 	var fits []fit
@@ -152,13 +152,13 @@
 	return machines
 }
 
-func (m *Manager) fitsAt(now micros.Time, mc *machine, jb *wire.Job) (micros.Time, bool) {
-	room, need := m.free(mc), space.Need(jb)
+func (m *Manager) fitsAt(now micros.Timestamp, mc *machine, jb *wire.Job) (micros.Timestamp, bool) {
+	room, need := m.free(mc), resources.OfTask(jb)
 	if room.Fits(need) {
 		return now, true
 	}
 	type end struct {
-		at micros.Time
+		at micros.Timestamp
 		a  *attempt
 	}
 	ends := make([]end, 0, len(mc.attempts))
@@ -167,7 +167,7 @@
 	}
 	slices.SortFunc(ends, func(a, b end) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.a.id, b.a.id)) })
 	for _, e := range ends {
-		room = room.Plus(space.Need(&e.a.job.rec.Job), 1)
+		room = room.Plus(resources.OfTask(&e.a.job.rec.Job), 1)
 		if room.Fits(need) {
 			return e.at, true
 		}
--- a/internal/manager/ledger.go
+++ b/internal/manager/ledger.go
@@ -12,14 +12,14 @@
 // machines that boot, are idle or silent.
 type spending struct {
 	run, lost, fetch, boot, idle, silent float64
-	at, told                             micros.Time
+	at, told                             micros.Timestamp
 }
 
 // tellEvery is how often the operators are told.
 const tellEvery = micros.Minute
 
 // account enters the time since the last call.
-func (m *Manager) account(now micros.Time) {
+func (m *Manager) account(now micros.Timestamp) {
 	s := &m.spent
 	if s.at == 0 {
 		s.at, s.told = now, now
@@ -69,7 +69,7 @@
 }
 
 // accountLost moves a run that gave no result to the losses.
-func (m *Manager) accountLost(now micros.Time, a *attempt) {
+func (m *Manager) accountLost(now micros.Timestamp, a *attempt) {
 	if mc := a.machine; a.runSince != 0 && mc.spec != nil && mc.spec.CPUs > 0 {
 		m.spent.lost += mc.price() * a.job.rec.Job.CPUs / mc.spec.CPUs * now.Sub(a.runSince).Seconds() / 3600
 	}
--- a/internal/manager/limits.go
+++ b/internal/manager/limits.go
@@ -31,10 +31,10 @@
 // takes tells whether the progress record of a task has room for that many bytes more.
 func (l *limits) takes(j *job, task, more int) bool {
 	load := 0
-	if c := j.chunks[task/j.rec.Chunk]; c != nil {
+	if c := j.chunks[task/j.rec.ShardSize]; c != nil {
 		load = c.load
 	}
-	return load+more+state.ChunkOverhead(j.rec.Chunk) <= l.bytes
+	return load+more+state.ProgressOverhead(j.rec.ShardSize) <= l.bytes
 }
 
 // refused lowers the limits after a transaction with so many changes, the largest value of
@@ -52,7 +52,7 @@
 }
 
 func (a *attempt) placement() state.Placement {
-	return state.Placement{Task: a.task, Machine: a.machine.id, Attempt: a.id, Session: a.session}
+	return state.Placement{Task: a.task, Machine: a.machine.id, Attempt: a.id, Incarnation: a.session}
 }
 
 // placementSize is how many bytes a placement takes; one that can't be encoded fits nowhere.
@@ -66,14 +66,14 @@
 
 // shrink takes back what was to be placed in records that are too long for it now: nothing
 // of it has been launched yet.
-func (m *Manager) shrink(now micros.Time) {
+func (m *Manager) shrink(now micros.Timestamp) {
 	for _, d := range slices.Clone(m.dirty) {
 		j := m.jobs[d.job]
-		if j == nil || m.limits.takes(j, d.chunk*j.rec.Chunk, 0) {
+		if j == nil || m.limits.takes(j, d.chunk*j.rec.ShardSize, 0) {
 			continue
 		}
 		for _, a := range sorted(j.active) {
-			if a.task/j.rec.Chunk == d.chunk && a.ours && !a.durable {
+			if a.task/j.rec.ShardSize == d.chunk && a.ours && !a.durable {
 				m.drop(now, a)
 			}
 		}
@@ -88,7 +88,7 @@
 // it is: its limits have been lowered to less than the settings say. It is made up anew
 // within lower ones. False: that is no way out, and the job's records are let alone for a
 // while.
-func (m *Manager) WriteRefused(now micros.Time, w *Write, largest int) bool {
+func (m *Manager) WriteRefused(now micros.Timestamp, w *WriteBatch, largest int) bool {
 	wayOut := m.limits.refused(len(w.Changes), largest)
 	if wayOut {
 		m.note("the state service takes less than the settings say", "changes", m.limits.ops, "bytes", m.limits.bytes)
@@ -99,7 +99,7 @@
 			}
 		}
 	}
-	m.WriteConflict(now, w.ID)
+	m.WriteConflicted(now, w.ID)
 	m.shrink(now)
 	return wayOut
 }
--- a/internal/manager/limits_test.go
+++ b/internal/manager/limits_test.go
@@ -12,7 +12,7 @@
 )
 
 // fits fails the test unless every value of a write keeps within the limit, as encoded.
-func (b *bench) fits(w *Write, bytes, ops int) {
+func (b *bench) fits(w *WriteBatch, bytes, ops int) {
 	b.Helper()
 	if len(w.Changes) > ops {
 		b.Errorf("%d changes, %d are allowed", len(w.Changes), ops)
@@ -39,7 +39,7 @@
 	w := b.m.NextWrite(b.now)
 	b.fits(w, 1024, 4)
 	b.rev++
-	b.m.Written(b.now, w.ID, b.rev)
+	b.m.WriteCommitted(b.now, w.ID, b.rev)
 	b.report("n-1-a", token, 1)
 	tasks := []string{fmt.Sprintf("run-1/0 %d ended done", first)}
 	for i := 1; i < got; i++ {
@@ -53,11 +53,11 @@
 // is not written, and nothing is placed that would lengthen it.
 func TestRecordOverTheLimitWaits(t *testing.T) {
 	open := []wire.Item{item(state.OpenKey("run-1"), 5, record("run-1", 48, small))}
-	var rec state.ChunkRecord
+	var rec state.ProgressRecord
 	for i := range 30 {
-		rec.Active = append(rec.Active, state.Placement{Task: i, Machine: "n-000001-a", Attempt: 99<<20 + uint64(i), Session: 1})
+		rec.Active = append(rec.Active, state.Placement{Task: i, Machine: "n-000001-a", Attempt: 99<<20 + uint64(i), Incarnation: 1})
 	}
-	b := newBench(t, open, []wire.Item{item(state.ChunkKey("run-1", 0), 6, rec)})
+	b := newBench(t, open, []wire.Item{item(state.ProgressKey("run-1", 0), 6, rec)})
 	b.m.limits = newLimits(settings.State{ValueKB: 1, TxnOps: 4})
 	b.up("n-2-a")
 	b.want(b.grant("run-1", "n-2-a", 1), 0)
@@ -108,7 +108,7 @@
 		w = b.m.NextWrite(b.now)
 		b.fits(w, 450, 2)
 		b.rev++
-		b.m.Written(b.now, w.ID, b.rev)
+		b.m.WriteCommitted(b.now, w.ID, b.rev)
 	}
 	b.job("run-9", 1, small)
 	b.grant("run-9", "n-1-a", 1)
@@ -129,7 +129,7 @@
 			j.Types = append(j.Types, "a-machine-type-with-a-long-name-of-more-than-forty-bytes")
 		}
 	})
-	data, err := json.Marshal(rec.Closed(wire.JobCancelled))
+	data, err := json.Marshal(rec.Finalized(wire.JobCancelled))
 	if err != nil || len(data) > 600 {
 		t.Errorf("%d bytes: %s (%v)", len(data), data, err)
 	}
@@ -143,7 +143,7 @@
 func TestNothingPromisedBeyondWhatCanBeWritten(t *testing.T) {
 	b := newBench(t, nil, nil)
 	b.m.limits = newLimits(settings.State{ValueKB: 4, TxnOps: 2})
-	b.m.cfg.Tuning.KeepAfter = 45 * micros.Second
+	b.m.cfg.Tuning.ReserveAfter = 45 * micros.Second
 	b.up("n-1-a", "n-2-a", "n-3-a")
 	for i := range 40 {
 		b.job(fmt.Sprintf("run-%d", i), 1, func(j *wire.Job) {
--- a/internal/manager/machines.go
+++ b/internal/manager/machines.go
@@ -7,16 +7,16 @@
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/gang"
 	"saffronbend/internal/micros"
-	"saffronbend/internal/space"
+	"saffronbend/internal/resources"
 	"saffronbend/internal/state"
 	"saffronbend/wire"
 )
 
-func (m *Manager) machine(now micros.Time, id string) *machine {
+func (m *Manager) machine(now micros.Timestamp, id string) *machine {
 	mc := m.machines[id]
 	if mc == nil {
 		mc = &machine{id: id, born: now, idleSince: now, lastHeard: now, attempts: map[string]*attempt{},
-			strays: map[string]wire.TaskReport{}, retained: map[retainedKey]retainedAttempt{}, images: map[string]*image{},
+			strays: map[string]wire.TaskStatus{}, retained: map[retainedKey]retainedAttempt{}, images: map[string]*image{},
 			directOK: true}
 		m.machines[id] = mc
 	}
@@ -34,8 +34,8 @@
 	}
 }
 
-// Hired enters machines that the cloud has rented.
-func (m *Manager) Hired(now micros.Time, h wire.Hire, names []string) {
+// MachinesScaledOut enters machines that the cloud has rented.
+func (m *Manager) MachinesScaledOut(now micros.Timestamp, h wire.ScaleOutRequest, names []string) {
 	for _, id := range names {
 		if m.gone[id] {
 			continue
@@ -55,8 +55,8 @@
 	missed     bool
 }
 
-// Listed takes the cloud's list. Absence from it proves nothing.
-func (m *Manager) Listed(now micros.Time, list []wire.Machine) {
+// MachinesListed takes the cloud's list. Absence from it proves nothing.
+func (m *Manager) MachinesListed(now micros.Timestamp, list []wire.Machine) {
 	m.listedAll = true
 	seen := map[string]bool{}
 	for _, l := range list {
@@ -104,7 +104,7 @@
 }
 
 // machineGone drops everything on a machine that provably runs nothing any more.
-func (m *Manager) machineGone(now micros.Time, mc *machine) {
+func (m *Manager) machineGone(now micros.Timestamp, mc *machine) {
 	for _, a := range sorted(mc.attempts) {
 		m.drop(now, a)
 	}
@@ -113,8 +113,8 @@
 	m.touchMachine(mc)
 }
 
-// Deleting notes that a deletion is being asked for: the machine takes nothing new.
-func (m *Manager) Deleting(ids []string) {
+// DeletionRequested notes that a deletion is being asked for: the machine takes nothing new.
+func (m *Manager) DeletionRequested(ids []string) {
 	for _, id := range ids {
 		if mc := m.machines[id]; mc != nil {
 			mc.deleting = true
@@ -123,8 +123,8 @@
 	}
 }
 
-// Deleted takes the answer 200 to a deletion: the machines and all on them are gone.
-func (m *Manager) Deleted(now micros.Time, ids []string) {
+// MachinesDeleted takes the answer 200 to a deletion: the machines and all on them are gone.
+func (m *Manager) MachinesDeleted(now micros.Timestamp, ids []string) {
 	for _, id := range ids {
 		if mc := m.machines[id]; mc != nil {
 			m.machineGone(now, mc)
@@ -135,7 +135,7 @@
 }
 
 // Tick lets time pass: leases run out, notices come due.
-func (m *Manager) Tick(now micros.Time) {
+func (m *Manager) Tick(now micros.Timestamp) {
 	m.account(now)
 	m.releaseStale(now)
 	m.renewReservations(now)
@@ -166,14 +166,14 @@
 // answered last was sent before we got it. A session of which we hear first in the answer to a direct order
 // lives for a whole lease, though nobody has answered it. The worker's clock may differ from ours by
 // 0.05% each way.
-func (m *Manager) ranOut(mc *machine) micros.Time {
-	return max(mc.renewed, m.renewers.last).Add(m.cfg.Lease + m.cfg.Lease/500 + m.cfg.Margin)
+func (m *Manager) ranOut(mc *machine) micros.Timestamp {
+	return max(mc.renewed, m.renewers.last).Add(m.cfg.WorkerLease + m.cfg.WorkerLease/500 + m.cfg.LeaseMargin)
 }
 
 // renewers is what is known of controllers that renew worker leases in our stead.
 type renewers struct {
-	last    micros.Time // when one may have done so last
-	clearAt micros.Time // up to when all is known
+	last    micros.Timestamp // when one may have done so last
+	clearAt micros.Timestamp // up to when all is known
 	asking  bool
 	on      bool              // at the last reading, somebody did
 	stamps  map[string]uint64 // of the records that tell when each began last
@@ -189,19 +189,19 @@
 	return false
 }
 
-// RenewersWanted tells whether the records of who renews in our stead have to be read.
-func (m *Manager) RenewersWanted() bool {
+// NeedsLeaseRenewers tells whether the records of who renews in our stead have to be read.
+func (m *Manager) NeedsLeaseRenewers() bool {
 	w := m.renewers.asking
 	m.renewers.asking = false
 	return w
 }
 
-// Renewers takes those records as they were read by a request sent at the given time.
-func (m *Manager) Renewers(now, sent micros.Time, records []wire.Item) {
+// LeaseRenewersRead takes those records as they were read by a request sent at the given time.
+func (m *Manager) LeaseRenewersRead(now, sent micros.Timestamp, records []wire.Item) {
 	stamps := map[string]uint64{}
 	on := false
 	for _, it := range records {
-		if state.RenewerIsOn(it.Key) {
+		if state.IsActiveRenewerKey(it.Key) {
 			on = true
 		} else {
 			stamps[it.Key] = it.Version
@@ -217,19 +217,19 @@
 
 // vacate stops what can save its progress before a spot machine is taken. Work that
 // cannot save goes on: it may finish in time.
-func (m *Manager) vacate(now micros.Time, mc *machine) {
+func (m *Manager) vacate(now micros.Timestamp, mc *machine) {
 	for _, a := range sorted(mc.attempts) {
 		jb := &a.job.rec.Job
 		if g := a.job.gang; g != nil && g.Phase() == gang.Launched {
 			// It would lose this machine before it is done, and begins elsewhere at once.
-			m.follow(now, a.job, g.Stop(), disruption.Reclaimed)
+			m.follow(now, a.job, g.Preempt(), disruption.Reclaimed)
 			continue
 		}
 		if a.stop || !a.listed || a.state != wire.TaskRunning || jb.CheckpointS == 0 {
 			continue
 		}
 		// Orders may have to wait for the next report when the direct way fails.
-		need := micros.Seconds(jb.SaveS) + m.cfg.Report + 3*micros.Second
+		need := micros.Seconds(jb.SaveS) + m.cfg.HeartbeatInterval + 3*micros.Second
 		if now.Add(need) < mc.notice {
 			continue
 		}
@@ -237,22 +237,22 @@
 		case g == nil:
 			m.stop(now, a, jb.SaveS+1, disruption.Reclaimed)
 		case m.savesInTime(now, a.job):
-			m.follow(now, a.job, g.Stop(), disruption.Reclaimed)
+			m.follow(now, a.job, g.Preempt(), disruption.Reclaimed)
 		case m.expectedEnd(now, a) > mc.notice:
 			// Its progress since the last checkpoint is lost in any case.
-			m.follow(now, a.job, g.End(), disruption.Reclaimed)
+			m.follow(now, a.job, g.Abort(), disruption.Reclaimed)
 		}
 	}
 }
 
 // free gives a machine's resources that no attempt or stray may be using, and that are reserved for none.
-func (m *Manager) free(mc *machine) space.Space {
+func (m *Manager) free(mc *machine) resources.Vector {
 	if mc.spec == nil {
-		return space.Space{}
+		return resources.Vector{}
 	}
-	free := space.Whole(mc.spec)
+	free := resources.OfMachine(mc.spec)
 	for _, a := range mc.attempts {
-		free = free.Plus(space.Need(&a.job.rec.Job), -1)
+		free = free.Plus(resources.OfTask(&a.job.rec.Job), -1)
 	}
 	for _, r := range mc.reserved {
 		free = free.Plus(r.need, -1)
@@ -261,14 +261,14 @@
 		id, _, _ := wire.SplitTask(tr.Task)
 		j := m.jobs[id]
 		if j == nil {
-			return space.Space{}
+			return resources.Vector{}
 		}
-		free = free.Plus(space.Need(&j.rec.Job), -1)
+		free = free.Plus(resources.OfTask(&j.rec.Job), -1)
 	}
 	return free
 }
 
-func (m *Manager) usable(now micros.Time, mc *machine) bool {
+func (m *Manager) usable(now micros.Timestamp, mc *machine) bool {
 	return mc.up && mc.confirmed && mc.deaf == 0 && mc.spec != nil && mc.notice == 0 && !mc.deleting && !m.cordons[mc.id] &&
-		mc.suspect == "" && now.Sub(mc.lastReport) < min(m.cfg.Lease/2, 2*m.cfg.Report+micros.Second)
+		mc.suspect == "" && now.Sub(mc.lastReport) < min(m.cfg.WorkerLease/2, 2*m.cfg.HeartbeatInterval+micros.Second)
 }
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -28,34 +28,34 @@
 
 // Config is what the manager must know beforehand.
 type Config struct {
-	Token  uint64
-	Teams  []settings.Team
-	Lease  micros.Span // worker lease
-	Report micros.Span
-	Margin micros.Span // added to a worker lease before it counts as run out
-	Cancel micros.Span
-	// GangWait is how long a task waits for the others of its gang.
-	GangWait micros.Span
-	// GangPeer is how soon the tasks of a gang notice that one is gone, and how long one that
+	FencingToken      uint64
+	Teams             []settings.Team
+	WorkerLease       micros.Duration // worker lease
+	HeartbeatInterval micros.Duration
+	LeaseMargin       micros.Duration // added to a worker lease before it counts as run out
+	CancelTimeout     micros.Duration
+	// GangWaitTimeout is how long a task waits for the others of its gang.
+	GangWaitTimeout micros.Duration
+	// GangPeerTimeout is how soon the tasks of a gang notice that one is gone, and how long one that
 	// has saved waits for the others.
-	GangPeer micros.Span
-	ListLag  micros.Span
-	Tuning   settings.Tuning
-	// Disruptions has an account kept of disturbed work, for drains.
-	Disruptions bool
-	// Reservation is how long room is kept for the successor of an evicted attempt.
-	Reservation micros.Span
-	// Directs bounds the direct orders that are out at once: each takes a connection.
-	Directs int
-	// State holds the limits of the state service.
-	State settings.State
+	GangPeerTimeout micros.Duration
+	ListLag         micros.Duration
+	Tuning          settings.Tuning
+	// TrackDisruptions has an account kept of disturbed work, for drains.
+	TrackDisruptions bool
+	// ReservationTTL is how long room is kept for the successor of an evicted attempt.
+	ReservationTTL micros.Duration
+	// MaxCommandPushes bounds the direct orders that are out at once: each takes a connection.
+	MaxCommandPushes int
+	// StoreLimits holds the limits of the state service.
+	StoreLimits settings.State
 }
 
 type job struct {
 	rec     state.OpenRecord
 	version uint64 // of status and open record
-	born    micros.Time
-	due     micros.Time // 0: none
+	born    micros.Timestamp
+	due     micros.Timestamp // 0: none
 	tasks   []byte
 	waiting int
 	cursor  int // no task below is waiting
@@ -66,19 +66,19 @@
 	arrival uint64
 	gang    *gang.Gang // nil: its tasks are independent
 	over    string
-	overAt  micros.Time // at the earliest
+	overAt  micros.Timestamp // at the earliest
 	// finalSent guards against a second final write while one is out.
 	finalOut bool
 	// failures of tasks by machine since the last success; a job that fails
 	// everywhere backs off instead of starting in a hot loop.
 	failed    map[string]int
 	fails     int
-	runs      int         // tasks done at a usual speed
-	ran       micros.Span // their run times together
-	notBefore micros.Time
-	holdUntil micros.Time // its records are let alone until then
+	runs      int             // tasks done at a usual speed
+	ran       micros.Duration // their run times together
+	notBefore micros.Timestamp
+	holdUntil micros.Timestamp // its records are let alone until then
 	// waitSince is since when tasks have waited without one of them being placed.
-	waitSince micros.Time
+	waitSince micros.Timestamp
 }
 
 // Task states.
@@ -92,8 +92,8 @@
 type chunk struct {
 	version uint64
 	dirty   bool
-	since   micros.Time // when it became so
-	launch  bool        // a launch waits for its being written
+	since   micros.Timestamp // when it became so
+	launch  bool             // a launch waits for its being written
 	out     bool
 	load    int // bytes of the placements that it has to hold
 	// disruption is the record of the disturbed tasks among those of the chunk.
@@ -119,10 +119,10 @@
 	directOut, directLost, direct bool
 	listed                        bool
 	state                         string
-	runSince                      micros.Time
-	leaseEnd                      micros.Time
+	runSince                      micros.Timestamp
+	leaseEnd                      micros.Timestamp
 	waiter                        string
-	waiterUntil                   micros.Time
+	waiterUntil                   micros.Timestamp
 	saved                         bool // has exited after saving
 	held                          bool // launched once its mates have their image
 	stop                          bool
@@ -130,12 +130,12 @@
 	evictedFor                    disruption.Cause
 	refused                       bool // has ended by itself without a result
 	stopGrace                     float64
-	stopSent                      micros.Time
+	stopSent                      micros.Timestamp
 }
 
 type image struct {
 	gb    float64
-	used  micros.Time
+	used  micros.Timestamp
 	ready bool
 }
 
@@ -144,40 +144,40 @@
 	spot                bool
 	spec                *wire.MachineType
 	state               string // as listed
-	born                micros.Time
+	born                micros.Timestamp
 	up                  bool
 	session, seq        uint64 // of the newest message, report or answer to a direct order
 	reportSeq           uint64 // of the newest report of the session
 	deadSession         uint64
 	confirmed           bool // has seen our token, so only our answers renew its lease
-	lastReport          micros.Time
+	lastReport          micros.Timestamp
 	// renewed is when the worker's lease may have been renewed last, or its session have begun.
-	renewed          micros.Time
-	lastHeard        micros.Time
-	listed, listedAt micros.Time // first and last time in a list
+	renewed          micros.Timestamp
+	lastHeard        micros.Timestamp
+	listed, listedAt micros.Timestamp // first and last time in a list
 	unlisted         int
-	notice           micros.Time // when it will be taken, 0: no notice
+	notice           micros.Timestamp // when it will be taken, 0: no notice
 	deleting         bool
 	suspect          string
 	// deaf is since when nothing shows that the worker hears us, 0 while something does;
 	// reports alone don't.
-	deaf, probed micros.Time
+	deaf, probed micros.Timestamp
 	keep         string // the job for which its room is kept
 	// madeFor is the gang for which others' tasks were stopped here: until then nothing less
 	// urgent takes the room.
 	madeFor   string
-	madeUntil micros.Time
+	madeUntil micros.Timestamp
 	// doubtUntil: until then a gang has failed lately by its silence.
-	doubtUntil  micros.Time
+	doubtUntil  micros.Timestamp
 	shownUsable bool
 	fails, slow int
 	attempts    map[string]*attempt // by task
-	strays      map[string]wire.TaskReport
+	strays      map[string]wire.TaskStatus
 	// retained are exited attempts whose direct launch may yet arrive, or arrive again: not
 	// cleared.
 	retained  map[retainedKey]retainedAttempt
 	images    map[string]*image
-	idleSince micros.Time // 0: not idle yet in this term
+	idleSince micros.Timestamp // 0: not idle yet in this term
 	directOK  bool
 	directOut bool
 	// reserved is room for the successors of evicted attempts, results are those that came from here and may not be durable.
@@ -190,7 +190,7 @@
 // Manager is the state of a term.
 type Manager struct {
 	cfg      Config
-	born     micros.Time
+	born     micros.Timestamp
 	next     uint64
 	jobs     map[string]*job
 	removed  map[string]uint64
@@ -205,12 +205,12 @@
 	finals  []string
 	cleanup []string
 	// orphans are progress records without a job: late copies of writes made them anew.
-	orphans  []Change
+	orphans  []RecordChange
 	writeOut *batch
 	writeNo  uint64
 	// writeTook is how long the last write took.
-	writeTook micros.Span
-	notes     []Note
+	writeTook micros.Duration
+	notes     []Event
 	arrivals  uint64
 	// preemptFrom is the job with which displacement goes on.
 	preemptFrom string
@@ -229,20 +229,20 @@
 	promisedTo map[disruption.Task]string
 	// replacements is how many tasks of jobs can't be evicted for lack of room elsewhere.
 	replacements map[string]int
-	vacated      []drain.Vacated
+	vacated      []drain.Vacating
 	listedAll    bool // the cloud has listed its machines in this term
 }
 
-// Note is news for the operators' log.
-type Note struct {
-	Text string
-	Args []any
+// Event is news for the operators' log.
+type Event struct {
+	Message string
+	Attrs   []any
 }
 
-func (m *Manager) note(text string, args ...any) { m.notes = append(m.notes, Note{text, args}) }
+func (m *Manager) note(text string, args ...any) { m.notes = append(m.notes, Event{text, args}) }
 
-// Notes gives the news since the last call.
-func (m *Manager) Notes() []Note {
+// Events gives the news since the last call.
+func (m *Manager) Events() []Event {
 	n := m.notes
 	m.notes = nil
 	return n
@@ -254,19 +254,19 @@
 }
 
 // New starts a term with what the state service holds.
-func New(now micros.Time, cfg Config, wall int64, open []wire.Item, chunks []wire.Item) (*Manager, error) {
+func New(now micros.Timestamp, cfg Config, wall int64, open []wire.Item, chunks []wire.Item) (*Manager, error) {
 	m := &Manager{cfg: cfg, born: now, jobs: map[string]*job{}, removed: map[string]uint64{}, machines: map[string]*machine{},
 		gone: map[string]bool{}, types: map[string]*wire.MachineType{}, assign: map[string]string{},
 		teams: map[string]*team{}, stateOK: true, direct: map[string]bool{}, guesses: map[string]float64{},
 		shown:        shown{touched: map[string]bool{}, jobsHit: map[string]bool{}, changed: true},
 		reservations: map[disruption.Task]*reservation{}, promisedTo: map[disruption.Task]string{}, replacements: map[string]int{}}
-	if cfg.Disruptions {
+	if cfg.TrackDisruptions {
 		m.ledger = disruption.NewLedger()
 	}
 	for _, t := range cfg.Teams {
 		m.teams[t.Name] = &team{Team: t}
 	}
-	m.limits = newLimits(cfg.State)
+	m.limits = newLimits(cfg.StoreLimits)
 	records, err := decodeOpen(open)
 	if err != nil {
 		return nil, err
@@ -275,13 +275,13 @@
 		m.addJob(now, wall, r.rec, r.version)
 	}
 	for _, it := range chunks {
-		id, n, ok := state.SplitChunkKey(it.Key)
+		id, n, ok := state.ParseProgressKey(it.Key)
 		j := m.jobs[id]
 		if !ok || j == nil {
-			m.orphans = append(m.orphans, Change{Key: it.Key, Version: it.Version})
+			m.orphans = append(m.orphans, RecordChange{Key: it.Key, Version: it.Version})
 			continue
 		}
-		var rec state.ChunkRecord
+		var rec state.ProgressRecord
 		if err := state.DecodeRecord(it, &rec); err != nil {
 			return nil, err
 		}
@@ -321,7 +321,7 @@
 			return nil, err
 		}
 	}
-	slices.SortStableFunc(records, func(a, b openRecord) int { return cmp.Compare(a.rec.Accepted, b.rec.Accepted) })
+	slices.SortStableFunc(records, func(a, b openRecord) int { return cmp.Compare(a.rec.AcceptedAt, b.rec.AcceptedAt) })
 	return records, nil
 }
 
@@ -337,10 +337,10 @@
 	return out
 }
 
-func (m *Manager) addJob(now micros.Time, wall int64, rec state.OpenRecord, version uint64) *job {
+func (m *Manager) addJob(now micros.Timestamp, wall int64, rec state.OpenRecord, version uint64) *job {
 	j := &job{rec: rec, version: version, tasks: make([]byte, rec.Job.Tasks), waiting: rec.Job.Tasks,
-		active: map[int]*attempt{}, chunks: map[int]*chunk{}, over: rec.Over, failed: map[string]int{}}
-	age := max(0, micros.Span(wall-rec.Accepted))
+		active: map[int]*attempt{}, chunks: map[int]*chunk{}, over: rec.FinalState, failed: map[string]int{}}
+	age := max(0, micros.Duration(wall-rec.AcceptedAt))
 	j.born = now.Add(-age)
 	m.arrivals++
 	j.arrival = m.arrivals
@@ -357,10 +357,10 @@
 	return j
 }
 
-func (m *Manager) addChunk(now micros.Time, j *job, n int, rec state.ChunkRecord, version uint64) error {
+func (m *Manager) addChunk(now micros.Timestamp, j *job, n int, rec state.ProgressRecord, version uint64) error {
 	c := &chunk{version: version}
 	j.chunks[n] = c
-	base := n * j.rec.Chunk
+	base := n * j.rec.ShardSize
 	err := state.DecodeDone(rec.Done, func(i int) {
 		if t := base + i; t < len(j.tasks) && j.tasks[t] == taskWaiting {
 			j.tasks[t] = taskDurable
@@ -378,7 +378,7 @@
 		}
 		mc := m.machine(now, p.Machine)
 		// A rebuilt lease has no end time and counts as the first lease.
-		a := &attempt{job: j, task: p.Task, id: p.Attempt, machine: mc, session: p.Session, durable: true,
+		a := &attempt{job: j, task: p.Task, id: p.Attempt, machine: mc, session: p.Incarnation, durable: true,
 			leaseEnd: now.Add(m.cfg.Tuning.FirstLease)}
 		m.place(a)
 	}
@@ -397,9 +397,9 @@
 	m.chunkOf(a.job, a.task).load += a.bytes
 	if g := a.job.gang; g != nil {
 		if a.ours {
-			g.Placed()
+			g.TaskPlaced()
 		} else {
-			g.Found()
+			g.TaskRecovered()
 		}
 	}
 	a.machine.attempts[a.name] = a
@@ -413,7 +413,7 @@
 
 // drop takes an attempt that is gone out of all books; its task waits again unless
 // it is done.
-func (m *Manager) drop(now micros.Time, a *attempt) {
+func (m *Manager) drop(now micros.Timestamp, a *attempt) {
 	j := a.job
 	if j.active[a.task] != a {
 		return
@@ -448,13 +448,13 @@
 	}
 	m.touchJob(j)
 	if j.gang != nil {
-		m.follow(now, j, j.gang.Gone(a.saved), disruption.Gang)
+		m.follow(now, j, j.gang.TaskGone(a.saved), disruption.Gang)
 	}
 }
 
 // settle moves a job on when its last task is done, or when it is over and nothing of
 // it can exist any more.
-func (m *Manager) settle(now micros.Time, j *job) {
+func (m *Manager) settle(now micros.Timestamp, j *job) {
 	if j == nil {
 		return
 	}
@@ -469,23 +469,23 @@
 	}
 }
 
-// SetAssign says which controller places which team's jobs.
-func (m *Manager) SetAssign(a map[string]string) {
+// SetTeamAssignments says which controller places which team's jobs.
+func (m *Manager) SetTeamAssignments(a map[string]string) {
 	if !maps.Equal(a, m.assign) {
 		m.assign = a
 		m.shown.changed = true
 	}
 }
 
-// SetStateOK says whether the state service serves this controller.
-func (m *Manager) SetStateOK(ok bool) {
+// SetStoreAvailable says whether the state service serves this controller.
+func (m *Manager) SetStoreAvailable(ok bool) {
 	m.shown.changed = m.shown.changed || ok != m.stateOK
 	m.stateOK = ok
 }
 
-// JobChanged takes an open record seen by the watch. A cancellation that it tells of may have been
+// OpenRecordChanged takes an open record seen by the watch. A cancellation that it tells of may have been
 // confirmed as early as since: what had been confirmed before that is known.
-func (m *Manager) JobChanged(now, since micros.Time, wall int64, rec state.OpenRecord, version uint64) {
+func (m *Manager) OpenRecordChanged(now, since micros.Timestamp, wall int64, rec state.OpenRecord, version uint64) {
 	id := rec.Job.ID
 	if version <= m.removed[id] {
 		return
@@ -500,8 +500,8 @@
 		return
 	}
 	j.version = version
-	if rec.Over != "" && j.over == "" {
-		j.over = rec.Over
+	if rec.FinalState != "" && j.over == "" {
+		j.over = rec.FinalState
 		j.overAt = min(now, since)
 		j.finalOut = false
 		m.finals = slices.DeleteFunc(m.finals, func(x string) bool { return x == id })
@@ -512,22 +512,22 @@
 	}
 }
 
-// RemovedBefore forgets the deletions up to a revision: the watch goes on from there.
-func (m *Manager) RemovedBefore(revision uint64) {
+// ForgetRemovedBefore forgets the deletions up to a revision: the watch goes on from there.
+func (m *Manager) ForgetRemovedBefore(revision uint64) {
 	maps.DeleteFunc(m.removed, func(_ string, v uint64) bool { return v <= revision })
 }
 
-func (m *Manager) stopAll(now micros.Time, j *job) {
+func (m *Manager) stopAll(now micros.Timestamp, j *job) {
 	if j.gang != nil {
-		j.gang.End()
+		j.gang.Abort()
 	}
 	for _, a := range sorted(j.active) {
 		m.stop(now, a, 0, disruption.Lost)
 	}
 }
 
-// JobRemoved forgets that a job's open record was deleted; the watch has passed it.
-func (m *Manager) JobRemoved(id string) { delete(m.removed, id) }
+// OpenRecordRemoved forgets that a job's open record was deleted; the watch has passed it.
+func (m *Manager) OpenRecordRemoved(id string) { delete(m.removed, id) }
 
 // sorted gives the attempts in the order of their tasks, so that the manager's
 // decisions do not depend on the order of a map.
@@ -540,7 +540,7 @@
 func byNumber(a, b *attempt) int { return cmp.Or(cmp.Compare(a.id, b.id), a.task-b.task) }
 
 // stop wants an attempt to end. One whose launch never left ends at once.
-func (m *Manager) stop(now micros.Time, a *attempt, grace float64, cause disruption.Cause) {
+func (m *Manager) stop(now micros.Timestamp, a *attempt, grace float64, cause disruption.Cause) {
 	m.disturb(now, a, cause)
 	if !a.launched() {
 		m.drop(now, a)
--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -6,22 +6,24 @@
 	"strings"
 	"testing"
 
+	"saffronbend/internal/lease"
 	"saffronbend/internal/micros"
 	"saffronbend/internal/settings"
+	"saffronbend/internal/snapshot"
 	"saffronbend/internal/state"
 	"saffronbend/wire"
 )
 
 const (
-	token = 7
-	lease = 10 * micros.Second
+	token       = 7
+	workerLease = 10 * micros.Second
 )
 
 // bench drives a Manager by hand, so that orders and reports can cross in any way.
 type bench struct {
 	*testing.T
 	m   *Manager
-	now micros.Time
+	now micros.Timestamp
 	seq uint64
 	rev uint64
 	// renewers are the records of controllers that renew in the leader's stead.
@@ -34,9 +36,9 @@
 
 // newBenchWith makes a bench of a configuration that differs from the usual.
 func newBenchWith(t *testing.T, open, chunks []wire.Item, change func(*Config)) *bench {
-	cfg := Config{Token: token, Teams: []settings.Team{{Name: "red", CPUsMax: 40}, {Name: "blue", CPUs: 4}}, Lease: lease,
-		Report: 2 * micros.Second, Margin: micros.Second, Cancel: 30 * micros.Second, GangWait: 20 * micros.Second, GangPeer: 5 * micros.Second, ListLag: 3 * micros.Second,
-		Tuning: settings.Tuning{FirstLease: 100 * micros.Second}, Directs: 2, State: settings.State{TxnOps: 8, ValueKB: 4}}
+	cfg := Config{FencingToken: token, Teams: []settings.Team{{Name: "red", CPUsMax: 40}, {Name: "blue", CPUs: 4}}, WorkerLease: workerLease,
+		HeartbeatInterval: 2 * micros.Second, LeaseMargin: micros.Second, CancelTimeout: 30 * micros.Second, GangWaitTimeout: 20 * micros.Second, GangPeerTimeout: 5 * micros.Second, ListLag: 3 * micros.Second,
+		Tuning: settings.Tuning{FirstLease: 100 * micros.Second}, MaxCommandPushes: 2, StoreLimits: settings.State{TxnOps: 8, ValueKB: 4}}
 	change(&cfg)
 	m, err := New(1000, cfg, 0, open, chunks)
 	if err != nil {
@@ -51,7 +53,7 @@
 	if change != nil {
 		change(&j)
 	}
-	return state.OpenRecord{Job: j, Chunk: 48}
+	return state.OpenRecord{Job: j, ShardSize: 48}
 }
 
 func item(key string, version uint64, v any) wire.Item {
@@ -64,16 +66,16 @@
 
 func (b *bench) job(id string, tasks int, change func(*wire.Job)) {
 	b.rev++
-	b.m.JobChanged(b.now, b.now, 0, record(id, tasks, change), b.rev)
+	b.m.OpenRecordChanged(b.now, b.now, 0, record(id, tasks, change), b.rev)
 }
 
-func (b *bench) wait(s micros.Span) { b.now = b.now.Add(s) }
+func (b *bench) wait(s micros.Duration) { b.now = b.now.Add(s) }
 
 // tick lets time pass twice, so that what the first time asks for is known the second.
 func (b *bench) tick() {
 	b.m.Tick(b.now)
-	if b.m.RenewersWanted() {
-		b.m.Renewers(b.now, b.now, b.renewers)
+	if b.m.NeedsLeaseRenewers() {
+		b.m.LeaseRenewersRead(b.now, b.now, b.renewers)
 		b.m.Tick(b.now)
 	}
 }
@@ -86,14 +88,14 @@
 }
 
 func (b *bench) reportAs(seq uint64, machine string, tok, session uint64, tasks ...string) string {
-	r := &wire.Report{Machine: machine, Addr: "10.1.0.1:9000", Type: "small", Zone: machine[len(machine)-1:], Session: session,
-		Seq: seq, Token: tok}
+	r := &wire.Heartbeat{Machine: machine, Addr: "10.1.0.1:9000", Type: "small", Zone: machine[len(machine)-1:], Incarnation: session,
+		Seq: seq, FencingToken: tok}
 	for _, s := range tasks {
-		var tr wire.TaskReport
-		_, _ = fmt.Sscan(s, &tr.Task, &tr.Attempt, &tr.State, &tr.Why)
+		var tr wire.TaskStatus
+		_, _ = fmt.Sscan(s, &tr.Task, &tr.Attempt, &tr.State, &tr.ExitReason)
 		r.Tasks = append(r.Tasks, tr)
 	}
-	a, _ := b.m.Report(b.now, r, "", true)
+	a, _ := b.m.Heartbeat(b.now, r, "", true)
 	if a == nil {
 		return "dropped"
 	}
@@ -116,14 +118,14 @@
 }
 
 func (b *bench) grant(job, machine string, n int) int {
-	return b.m.Grant(b.now, Request{Asks: []Ask{{Job: job, Machine: machine, Count: n, Lease: lease}}}).Granted[0]
+	return b.m.Grant(b.now, lease.Transaction{Requests: []lease.Request{{Job: job, Machine: machine, Count: n, Duration: workerLease}}}).Granted[0]
 }
 
 // write makes durable what is due.
 func (b *bench) write() {
 	for w := b.m.NextWrite(b.now); w != nil; w = b.m.NextWrite(b.now) {
 		b.rev++
-		b.m.Written(b.now, w.ID, b.rev)
+		b.m.WriteCommitted(b.now, w.ID, b.rev)
 	}
 }
 
@@ -150,7 +152,7 @@
 	b.job("run-1", 1, nil)
 	b.want(b.grant("run-1", "n-1-a", 1), 1)
 	b.want(b.report("n-1-a", token, 1), "")
-	b.want(len(b.m.Directs(b.now, true)), 0)
+	b.want(len(b.m.CommandPushes(b.now, true)), 0)
 	b.write()
 	b.want(b.report("n-1-a", token, 1), fmt.Sprintf("launch run-1/0 %d", first))
 }
@@ -161,7 +163,7 @@
 	b.job("run-1", 1, nil)
 	b.grant("run-1", "n-1-a", 1)
 	w := b.m.NextWrite(b.now)
-	rec := w.Changes[0].Value.(state.ChunkRecord)
+	rec := w.Changes[0].Value.(state.ProgressRecord)
 	b.want(rec.Active[0].Attempt>>attemptBits, uint64(token))
 }
 
@@ -169,8 +171,8 @@
 // list it: before, that leader's launch may still arrive.
 func TestEarlierAttemptGoneOnlyUnderOurToken(t *testing.T) {
 	open := []wire.Item{item(state.OpenKey("run-1"), 5, record("run-1", 1, nil))}
-	chunks := []wire.Item{item(state.ChunkKey("run-1", 0), 6,
-		state.ChunkRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: 99, Session: 1}}})}
+	chunks := []wire.Item{item(state.ProgressKey("run-1", 0), 6,
+		state.ProgressRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: 99, Incarnation: 1}}})}
 	b := newBench(t, open, chunks)
 	b.up("n-2-a")
 	b.want(b.grant("run-1", "n-2-a", 1), 0)
@@ -199,7 +201,7 @@
 	b.placed()
 	b.report("n-1-a", token, 1)
 	b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d running", first))
-	b.wait(lease + micros.Second/2)
+	b.wait(workerLease + micros.Second/2)
 	b.tick()
 	b.up("n-2-a")
 	b.want(b.grant("run-1", "n-2-a", 1), 0)
@@ -217,20 +219,20 @@
 	b := newBench(t, nil, nil)
 	b.placed()
 	b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d running", first))
-	b.m.Renewers(b.now, b.now, nil)
+	b.m.LeaseRenewersRead(b.now, b.now, nil)
 	lost := func() bool {
 		b.tick()
 		b.up("n-2-a")
 		return b.grant("run-1", "n-2-a", 1) == 1
 	}
-	b.wait(lease / 2)
+	b.wait(workerLease / 2)
 	b.renewers = []wire.Item{{Key: state.RenewerKey("c2", true), Version: 9}, {Key: state.RenewerKey("c2", false), Version: 9}}
-	b.wait(lease)
+	b.wait(workerLease)
 	b.want(lost(), false)
 	b.renewers = b.renewers[1:] // it has ended, but may have renewed until just now
-	b.wait(2 * lease)
+	b.wait(2 * workerLease)
 	b.want(lost(), false)
-	b.wait(lease)
+	b.wait(workerLease)
 	b.want(lost(), false)
 	b.wait(2 * micros.Second)
 	b.want(lost(), true)
@@ -240,8 +242,8 @@
 func TestLeaseRenewerBetweenReadings(t *testing.T) {
 	b := newBench(t, nil, nil)
 	b.placed()
-	b.m.Renewers(b.now, b.now, nil)
-	b.wait(lease + 2*micros.Second)
+	b.m.LeaseRenewersRead(b.now, b.now, nil)
+	b.wait(workerLease + 2*micros.Second)
 	b.renewers = []wire.Item{{Key: state.RenewerKey("c2", false), Version: 9}}
 	b.tick()
 	b.up("n-2-a")
@@ -251,15 +253,15 @@
 // Silence of a machine that never had our token proves nothing, however long.
 func TestSilenceUnderAnotherTokenProvesNothing(t *testing.T) {
 	open := []wire.Item{item(state.OpenKey("run-1"), 5, record("run-1", 1, nil))}
-	chunks := []wire.Item{item(state.ChunkKey("run-1", 0), 6,
-		state.ChunkRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: 99, Session: 1}}})}
+	chunks := []wire.Item{item(state.ProgressKey("run-1", 0), 6,
+		state.ProgressRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: 99, Incarnation: 1}}})}
 	b := newBench(t, open, chunks)
 	b.report("n-1-a", token-1, 1, "run-1/0 99 running")
-	b.wait(100 * lease)
+	b.wait(100 * workerLease)
 	b.tick()
 	b.up("n-2-a")
 	b.want(b.grant("run-1", "n-2-a", 1), 0)
-	b.m.Deleted(b.now, []string{"n-1-a"})
+	b.m.MachinesDeleted(b.now, []string{"n-1-a"})
 	b.want(b.grant("run-1", "n-2-a", 1), 1)
 	b.want(b.report("n-1-a", token, 1), "dropped")
 }
@@ -277,8 +279,8 @@
 	b := newBench(t, nil, nil)
 	b.placed()
 	running := fmt.Sprintf("run-1/0 %d running", first)
-	b.m.DirectDone(b.now, b.m.Directs(b.now, true)[0], DirectExecuted, &wire.Report{Machine: "n-1-a", Type: "small", Zone: "a", Session: 1, Seq: 51, Token: token,
-		Tasks: []wire.TaskReport{{Task: "run-1/0", Attempt: first, State: wire.TaskRunning}}})
+	b.m.CommandPushDone(b.now, b.m.CommandPushes(b.now, true)[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Seq: 51, FencingToken: token,
+		Tasks: []wire.TaskStatus{{Task: "run-1/0", Attempt: first, State: wire.TaskRunning}}})
 	b.want(b.reportAs(50, "n-1-a", token, 1), "")
 	b.want(b.reportAs(50, "n-1-a", token, 1), "dropped")
 	b.want(b.reportAs(51, "n-1-a", token, 1, running), "dropped")
@@ -290,20 +292,20 @@
 func TestDirectAnswerBeforeLaunchInAnswer(t *testing.T) {
 	b := newBench(t, nil, nil)
 	b.placed()
-	b.m.DirectDone(b.now, b.m.Directs(b.now, true)[0], DirectNotSent, nil)
+	b.m.CommandPushDone(b.now, b.m.CommandPushes(b.now, true)[0], PushNotSent, nil)
 	b.want(b.report("n-1-a", token, 1), fmt.Sprintf("launch run-1/0 %d", first))
 	b.job("run-2", 1, nil)
 	b.want(b.grant("run-2", "n-1-a", 1), 1)
 	b.write()
-	out := b.m.Directs(b.now, true)
+	out := b.m.CommandPushes(b.now, true)
 	b.want(len(out), 1)
 	rec := record("run-1", 1, nil)
-	rec.Over = wire.JobCancelled
+	rec.FinalState = wire.JobCancelled
 	b.rev++
-	b.m.JobChanged(b.now, b.now, 0, rec, b.rev)
+	b.m.OpenRecordChanged(b.now, b.now, 0, rec, b.rev)
 	b.seq++
-	b.m.DirectDone(b.now, out[0], DirectExecuted, &wire.Report{Machine: "n-1-a", Type: "small", Zone: "a", Session: 1, Seq: b.seq, Token: token,
-		Tasks: []wire.TaskReport{{Task: "run-2/0", Attempt: first + 1, State: wire.TaskRunning}}})
+	b.m.CommandPushDone(b.now, out[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Seq: b.seq, FencingToken: token,
+		Tasks: []wire.TaskStatus{{Task: "run-2/0", Attempt: first + 1, State: wire.TaskRunning}}})
 	b.want(len(b.m.machines["n-1-a"].attempts), 2)
 	b.report("n-1-a", token, 1, fmt.Sprintf("run-2/0 %d running", first+1))
 	b.want(len(b.m.machines["n-1-a"].attempts), 1)
@@ -316,20 +318,20 @@
 	b.placed()
 	b.report("n-1-a", token, 2)
 	b.want(b.grant("run-1", "n-1-a", 1), 0)
-	b.wait(lease)
+	b.wait(workerLease)
 	b.report("n-1-a", token, 3)
 	b.want(b.grant("run-1", "n-1-a", 1), 0)
-	d := b.m.Directs(b.now, true)
+	d := b.m.CommandPushes(b.now, true)
 	b.want(len(d), 1)
 	b.want(len(d[0].Body.Commands), 0)
-	b.m.DirectDone(b.now, d[0], DirectUnknown, nil)
+	b.m.CommandPushDone(b.now, d[0], PushOutcomeUnknown, nil)
 	b.want(b.grant("run-1", "n-1-a", 1), 0)
 	b.wait(4 * micros.Second)
 	b.report("n-1-a", token, 3)
-	d = b.m.Directs(b.now, true)
+	d = b.m.CommandPushes(b.now, true)
 	b.want(len(d), 1)
 	b.seq++
-	b.m.DirectDone(b.now, d[0], DirectExecuted, &wire.Report{Machine: "n-1-a", Type: "small", Zone: "a", Session: 3, Seq: b.seq, Token: token})
+	b.m.CommandPushDone(b.now, d[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 3, Seq: b.seq, FencingToken: token})
 	b.want(b.grant("run-1", "n-1-a", 1), 1)
 }
 
@@ -354,7 +356,7 @@
 	open := []wire.Item{item(state.OpenKey("run-1"), 5, record("run-1", 1, nil))}
 	b := newBench(t, open, nil)
 	b.want(b.report("n-9-a", token-1, 4, "run-1/0 99 running"), "")
-	b.want(len(b.m.View(b.now).Machines), 0)
+	b.want(len(b.m.Snapshot(b.now).Machines), 0)
 	b.up("n-1-a")
 	b.want(b.grant("run-1", "n-1-a", 1), 1)
 }
@@ -364,7 +366,7 @@
 func TestCopyAdoptsNothing(t *testing.T) {
 	open := []wire.Item{item(state.OpenKey("run-1"), 5, record("run-1", 1, nil))}
 	b := newBench(t, open, nil)
-	b.m.Listed(b.now, []wire.Machine{{ID: "n-9-a", Type: "small", Zone: "a", State: wire.MachineRunning}})
+	b.m.MachinesListed(b.now, []wire.Machine{{ID: "n-9-a", Type: "small", Zone: "a", State: wire.MachineRunning}})
 	b.report("n-9-a", token-1, 4, "run-1/0 99 running")
 	b.up("n-1-a")
 	b.want(b.grant("run-1", "n-1-a", 1), 1)
@@ -379,7 +381,7 @@
 	b.want(b.grant("run-2", "n-1-a", 1), 1)
 	b.wait(micros.Minute)
 	b.up("n-1-a")
-	b.m.KeepRoom(b.now)
+	b.m.ReserveForWaitingJobs(b.now)
 	b.want(b.grant("run-2", "n-1-a", 1), 0)
 	b.write()
 	b.report("n-1-a", token, 1)
@@ -419,7 +421,7 @@
 		for _, mc := range b.m.machines {
 			mc.keep = ""
 		}
-		b.m.KeepRoom(b.now)
+		b.m.ReserveForWaitingJobs(b.now)
 	})
 	b.want(kept(), machines/keepShare)
 	if allocs > machines*most {
@@ -437,27 +439,27 @@
 	second := first + 1
 	b.report("n-1-a", token, 1)
 	b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d running", first), fmt.Sprintf("run-2/0 %d ended done", second))
-	b.want(b.m.NextWrite(b.now), (*Write)(nil))
+	b.want(b.m.NextWrite(b.now), (*WriteBatch)(nil))
 	b.grant("run-2", "n-1-a", 1)
 	w := b.m.NextWrite(b.now)
 	b.want(len(w.Changes), 1)
-	b.want(len(w.Changes[0].Value.(state.ChunkRecord).Active), 1)
+	b.want(len(w.Changes[0].Value.(state.ProgressRecord).Active), 1)
 }
 
 // A follower's copy is that of the leader, whatever views it has missed.
 func TestMirrorFollowsTheView(t *testing.T) {
 	b := newBench(t, nil, nil)
-	var mi Mirror
+	var mi snapshot.Replica
 	since := uint64(0)
-	catchUp := func() *View {
-		v := b.m.View(b.now)
-		u := b.m.Update(b.now, since)
+	catchUp := func() *snapshot.Snapshot {
+		v := b.m.Snapshot(b.now)
+		u := b.m.SnapshotUpdate(b.now, since)
 		got := mi.Apply(u)
 		since = u.Version
 		b.want(len(got.Machines), len(v.Machines))
 		for i := range v.Machines {
 			b.want(got.Machines[i].ID, v.Machines[i].ID)
-			b.want(got.Machines[i].same(v.Machines[i]), true)
+			b.want(got.Machines[i].SameForSchedulers(v.Machines[i]), true)
 		}
 		b.want(len(got.Jobs), len(v.Jobs))
 		return got
@@ -466,15 +468,15 @@
 	b.job("run-1", 3, nil)
 	catchUp()
 	b.grant("run-1", "n-1-a", 2)
-	b.m.View(b.now) // missed
+	b.m.Snapshot(b.now) // missed
 	b.up("n-3-a")
 	got := catchUp()
 	b.want(len(got.Machines[0].Leases[0].Leases), 2)
-	b.m.Deleted(b.now, []string{"n-2-a"})
+	b.m.MachinesDeleted(b.now, []string{"n-2-a"})
 	b.job("run-2", 1, nil)
 	catchUp()
-	b.want(len(b.m.Update(b.now, since).Machines), 0) // nothing new to tell
-	b.want(mi.Apply(&Update{Token: token, Base: since + 1, Version: since + 2}) == nil, true)
+	b.want(len(b.m.SnapshotUpdate(b.now, since).Machines), 0) // nothing new to tell
+	b.want(mi.Apply(&snapshot.Update{FencingToken: token, BaseVersion: since + 1, Version: since + 2}) == nil, true)
 }
 
 // A direct launch of unknown outcome is repeated, and its attempt is never cleared: the
@@ -482,10 +484,10 @@
 func TestLostDirectLaunch(t *testing.T) {
 	b := newBench(t, nil, nil)
 	b.placed()
-	d := b.m.Directs(b.now, true)
+	d := b.m.CommandPushes(b.now, true)
 	b.want(len(d), 1)
 	b.want(b.report("n-1-a", token, 1), "") // in flight: neither gone nor repeated
-	b.m.DirectDone(b.now, d[0], DirectUnknown, nil)
+	b.m.CommandPushDone(b.now, d[0], PushOutcomeUnknown, nil)
 	b.want(b.report("n-1-a", token, 1), fmt.Sprintf("launch run-1/0 %d", first))
 	b.want(b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d ended error", first)), "")
 	b.want(b.grant("run-1", "n-1-a", 1), 1)
@@ -496,7 +498,7 @@
 func TestDirectLaunchNotSent(t *testing.T) {
 	b := newBench(t, nil, nil)
 	b.placed()
-	b.m.DirectDone(b.now, b.m.Directs(b.now, true)[0], DirectNotSent, nil)
+	b.m.CommandPushDone(b.now, b.m.CommandPushes(b.now, true)[0], PushNotSent, nil)
 	b.want(b.report("n-1-a", token, 1), fmt.Sprintf("launch run-1/0 %d", first))
 	b.want(b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d ended error", first)), fmt.Sprintf("clear run-1/0 %d", first))
 }
@@ -505,11 +507,11 @@
 func TestLostDirectLaunchOfCancelledJob(t *testing.T) {
 	b := newBench(t, nil, nil)
 	b.placed()
-	b.m.DirectDone(b.now, b.m.Directs(b.now, true)[0], DirectUnknown, nil)
+	b.m.CommandPushDone(b.now, b.m.CommandPushes(b.now, true)[0], PushOutcomeUnknown, nil)
 	rec := record("run-1", 1, nil)
-	rec.Over = wire.JobCancelled
+	rec.FinalState = wire.JobCancelled
 	b.rev++
-	b.m.JobChanged(b.now, b.now, 0, rec, b.rev)
+	b.m.OpenRecordChanged(b.now, b.now, 0, rec, b.rev)
 	b.want(b.report("n-1-a", token, 1), fmt.Sprintf("launch run-1/0 %d; stop run-1/0 %d", first, first))
 	b.want(b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d ended halted", first)), "")
 }
@@ -532,11 +534,11 @@
 func TestGrantsKeepThePlacesRules(t *testing.T) {
 	b := newBench(t, nil, nil)
 	b.up("n-1-a", "n-2-a", "n-3-a", "n-4-b")
-	b.job("run-1", 3, func(j *wire.Job) { j.Spread = true })
+	b.job("run-1", 3, func(j *wire.Job) { j.SpreadZones = true })
 	b.want(b.grant("run-1", "n-1-a", 2), 2)
 	b.want(b.grant("run-1", "n-2-a", 1), 0)
 	b.want(b.grant("run-1", "n-4-b", 1), 1)
-	b.job("run-2", 2, func(j *wire.Job) { j.OneZone = true })
+	b.job("run-2", 2, func(j *wire.Job) { j.SameZone = true })
 	b.want(b.grant("run-2", "n-2-a", 1), 1)
 	b.want(b.grant("run-2", "n-4-b", 1), 0)
 	zone := "b"
@@ -574,8 +576,8 @@
 	b.report("n-1-a", token, 1, running)
 	b.seq++
 	soon := 4.0
-	b.m.Report(b.now, &wire.Report{Machine: "n-1-a", Type: "small", Zone: "a", Session: 1, Seq: b.seq, Token: token, NoticeS: &soon,
-		Tasks: []wire.TaskReport{{Task: "run-1/0", Attempt: first, State: wire.TaskRunning}}}, "", true)
+	b.m.Heartbeat(b.now, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Seq: b.seq, FencingToken: token, ReclaimInS: &soon,
+		Tasks: []wire.TaskStatus{{Task: "run-1/0", Attempt: first, State: wire.TaskRunning}}}, "", true)
 	b.want(b.grant("run-1", "n-1-a", 1), 0)
 	b.m.Tick(b.now)
 	b.want(b.report("n-1-a", token, 1, running), fmt.Sprintf("stop run-1/0 %d", first))
@@ -604,7 +606,7 @@
 	b := newBench(t, nil, nil)
 	b.up("n-1-a", "n-2-a")
 	b.job("run-1", 5, nil)
-	res := b.m.Grant(b.now, Request{All: true, Asks: []Ask{{Job: "run-1", Machine: "n-1-a", Count: 2}, {Job: "run-1", Machine: "n-2-a", Count: 3}}})
+	res := b.m.Grant(b.now, lease.Transaction{AllOrNothing: true, Requests: []lease.Request{{Job: "run-1", Machine: "n-1-a", Count: 2}, {Job: "run-1", Machine: "n-2-a", Count: 3}}})
 	b.want(res.Granted[0]+res.Granted[1], 0)
 	b.want(b.grant("run-1", "n-1-a", 2), 2)
 }
@@ -615,7 +617,7 @@
 	b.up("n-1-a", "n-2-a")
 	b.job("run-1", 3, func(j *wire.Job) { j.Kind = wire.KindGang })
 	b.want(b.grant("run-1", "n-1-a", 2), 0) // not in parts
-	b.m.Grant(b.now, Request{All: true, Asks: []Ask{{Job: "run-1", Machine: "n-1-a", Count: 2}, {Job: "run-1", Machine: "n-2-a", Count: 1}}})
+	b.m.Grant(b.now, lease.Transaction{AllOrNothing: true, Requests: []lease.Request{{Job: "run-1", Machine: "n-1-a", Count: 2}, {Job: "run-1", Machine: "n-2-a", Count: 1}}})
 	b.write()
 	b.want(b.report("n-1-a", token, 1), fmt.Sprintf("launch run-1/0 %d; launch run-1/1 %d", b.m.jobs["run-1"].active[0].id, b.m.jobs["run-1"].active[0].id))
 	b.want(b.m.jobs["run-1"].active[2].id, b.m.jobs["run-1"].active[0].id)
@@ -650,7 +652,7 @@
 	b := newBench(t, nil, nil)
 	b.job("run-1", 6, func(j *wire.Job) { j.CPUs = 8 })
 	next := first
-	run := func(machine string, s micros.Span) {
+	run := func(machine string, s micros.Duration) {
 		b.up(machine)
 		b.want(b.grant("run-1", machine, 1), 1)
 		b.write()
@@ -681,9 +683,9 @@
 	open := []wire.Item{item(state.OpenKey("run-1"), 5, record("run-1", 4, nil))}
 	var active []state.Placement
 	for i := range 2 {
-		active = append(active, state.Placement{Task: i, Machine: "n-1-a", Attempt: uint64(90 + i), Session: 1})
+		active = append(active, state.Placement{Task: i, Machine: "n-1-a", Attempt: uint64(90 + i), Incarnation: 1})
 	}
-	b := newBench(t, open, []wire.Item{item(state.ChunkKey("run-1", 0), 6, state.ChunkRecord{Active: active})})
+	b := newBench(t, open, []wire.Item{item(state.ProgressKey("run-1", 0), 6, state.ProgressRecord{Active: active})})
 	b.report("n-1-a", token, 1, "run-1/0 90 running", "run-1/1 91 running")
 	b.wait(micros.Second / 2)
 	b.report("n-1-a", token, 1, "run-1/0 90 ended done", "run-1/1 91 ended done")
@@ -700,13 +702,13 @@
 		b.grant("run-1", m, 1)
 	}
 	b.write()
-	out := b.m.Directs(b.now, true)
+	out := b.m.CommandPushes(b.now, true)
 	b.want(len(out), 2)
-	b.want(len(b.m.Directs(b.now, true)), 0)
+	b.want(len(b.m.CommandPushes(b.now, true)), 0)
 	// Every turn of the leader asks; while all are out that must cost nothing.
-	b.want(testing.AllocsPerRun(10, func() { b.m.Directs(b.now, true) }), 0.0)
-	b.m.DirectDone(b.now, out[0], DirectUnknown, nil)
-	out = b.m.Directs(b.now, true)
+	b.want(testing.AllocsPerRun(10, func() { b.m.CommandPushes(b.now, true) }), 0.0)
+	b.m.CommandPushDone(b.now, out[0], PushOutcomeUnknown, nil)
+	out = b.m.CommandPushes(b.now, true)
 	b.want(len(out), 1)
 	b.want(out[0].Machine, "n-3-a")
 }
@@ -718,7 +720,7 @@
 	b.job("run-1", 2, nil)
 	b.wait(micros.Minute)
 	b.up("n-1-a")
-	b.m.KeepRoom(b.now)
+	b.m.ReserveForWaitingJobs(b.now)
 	b.want(b.grant("run-1", "n-1-a", 2), 2)
 	b.job("run-2", 1, func(j *wire.Job) { j.Urgency = "high" })
 	b.job("run-3", 2, nil)
@@ -751,7 +753,7 @@
 	}
 	b.job("run-90", 1, func(j *wire.Job) { j.Class, j.EstimateS = "rush", 80 })
 	b.job("run-91", 1, func(j *wire.Job) { j.Class, j.EstimateS = "other", 80 })
-	for _, jv := range b.m.View(b.now).Jobs {
+	for _, jv := range b.m.Snapshot(b.now).Jobs {
 		s := jv.Estimate.Seconds()
 		if jv.ID == "run-90" && (s < 20 || s > 35) || jv.ID == "run-91" && s != 80 {
 			t.Errorf("%s is expected to run %v s", jv.ID, s)
@@ -764,10 +766,10 @@
 func TestCopyOfADirectLaunch(t *testing.T) {
 	b := newBench(t, nil, nil)
 	b.placed()
-	d := b.m.Directs(b.now, true)[0]
+	d := b.m.CommandPushes(b.now, true)[0]
 	b.seq++
-	b.m.DirectDone(b.now, d, DirectExecuted, &wire.Report{Machine: "n-1-a", Type: "small", Zone: "a", Session: 1, Seq: b.seq, Token: token,
-		Tasks: []wire.TaskReport{{Task: "run-1/0", Attempt: first, State: wire.TaskRunning}}})
+	b.m.CommandPushDone(b.now, d, PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Seq: b.seq, FencingToken: token,
+		Tasks: []wire.TaskStatus{{Task: "run-1/0", Attempt: first, State: wire.TaskRunning}}})
 	b.want(b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d ended halted", first)), "")
 	b.want(b.grant("run-1", "n-1-a", 1), 1)
 }
@@ -782,10 +784,10 @@
 		b.job("run-1", 2, func(j *wire.Job) { j.Team = team })
 		b.grant("run-1", "n-1-a", 2)
 		b.write()
-		d := b.m.Directs(b.now, true)[0]
+		d := b.m.CommandPushes(b.now, true)[0]
 		b.seq++
-		b.m.DirectDone(b.now, d, DirectExecuted, &wire.Report{Machine: "n-1-a", Type: "small", Zone: "a", Session: 1, Seq: b.seq, Token: token,
-			Tasks: []wire.TaskReport{{Task: "run-1/0", Attempt: first, State: wire.TaskRunning}, {Task: "run-1/1", Attempt: first + 1, State: wire.TaskRunning}}})
+		b.m.CommandPushDone(b.now, d, PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Seq: b.seq, FencingToken: token,
+			Tasks: []wire.TaskStatus{{Task: "run-1/0", Attempt: first, State: wire.TaskRunning}, {Task: "run-1/1", Attempt: first + 1, State: wire.TaskRunning}}})
 		done := fmt.Sprintf("run-1/0 %d ended done", first)
 		b.report("n-1-a", token, 1, done, fmt.Sprintf("run-1/1 %d running", first+1))
 		b.wait(gather)
@@ -810,7 +812,7 @@
 	b.m.Preempt(b.now, func() bool { return false })
 	b.want(b.m.jobs["run-1"].waiting, 4)
 	b.want(b.grant("run-1", "n-1-a", 1), 0)
-	b.want(b.m.Grant(b.now, Request{All: true, Asks: []Ask{{Job: "run-2", Machine: "n-1-a", Count: 2}}}).Granted[0], 2)
+	b.want(b.m.Grant(b.now, lease.Transaction{AllOrNothing: true, Requests: []lease.Request{{Job: "run-2", Machine: "n-1-a", Count: 2}}}).Granted[0], 2)
 	b.wait(5 * micros.Second)
 	b.up("n-1-a")
 	b.want(b.grant("run-1", "n-1-a", 1), 0) // full
@@ -835,7 +837,7 @@
 	for i := range mostRetained {
 		b.m.machines["n-1-a"].retained[retainedKey{"run-1/9", uint64(i)}] = retainedAttempt{job: b.m.jobs["run-1"]}
 	}
-	b.want(len(b.m.Directs(b.now, true)), 0)
+	b.want(len(b.m.CommandPushes(b.now, true)), 0)
 	b.want(b.report("n-1-a", token, 1), fmt.Sprintf("launch run-1/0 %d", first))
 }
 
@@ -844,46 +846,46 @@
 func TestReportsPassedOn(t *testing.T) {
 	b := newBench(t, nil, nil)
 	b.placed()
-	passed := func(tasks ...wire.TaskReport) string {
+	passed := func(tasks ...wire.TaskStatus) string {
 		b.seq++
-		a, _ := b.m.Report(b.now, &wire.Report{Machine: "n-1-a", Addr: "10.1.0.1:9000", Type: "small", Zone: "a", Session: 1, Seq: b.seq,
-			Token: token, Tasks: tasks}, "c1", true)
+		a, _ := b.m.Heartbeat(b.now, &wire.Heartbeat{Machine: "n-1-a", Addr: "10.1.0.1:9000", Type: "small", Zone: "a", Incarnation: 1, Seq: b.seq,
+			FencingToken: token, Tasks: tasks}, "c1", true)
 		return orders(a.Commands)
 	}
 	b.want(passed(), fmt.Sprintf("launch run-1/0 %d", first))
-	d := b.m.Directs(b.now, true) // asked at once
+	d := b.m.CommandPushes(b.now, true) // asked at once
 	b.want(len(d), 1)
 	b.want(len(d[0].Body.Commands), 0)
-	b.m.DirectDone(b.now, d[0], DirectUnknown, nil)
-	b.want(len(b.m.Directs(b.now, true)), 0)
-	b.want(b.m.SendBack(b.now, "n-1-a"), false)
+	b.m.CommandPushDone(b.now, d[0], PushOutcomeUnknown, nil)
+	b.want(len(b.m.CommandPushes(b.now, true)), 0)
+	b.want(b.m.MayReturnToLeader(b.now, "n-1-a"), false)
 	// The answer did not come through as far as the report shows, but the worker has stayed
 	// where it got it from.
 	b.want(passed(), fmt.Sprintf("launch run-1/0 %d", first))
-	b.want(b.m.machines["n-1-a"].deaf, micros.Time(0))
+	b.want(b.m.machines["n-1-a"].deaf, micros.Timestamp(0))
 	for range 2 {
 		b.wait(15 * micros.Second / 2)
 		passed()
 	}
-	d = b.m.Directs(b.now, true)
+	d = b.m.CommandPushes(b.now, true)
 	b.want(len(d), 1)
 	b.seq++
-	b.m.DirectDone(b.now, d[0], DirectExecuted, &wire.Report{Machine: "n-1-a", Type: "small", Zone: "a", Session: 1, Seq: b.seq, Token: token})
-	b.want(b.m.SendBack(b.now, "n-1-a"), true)
+	b.m.CommandPushDone(b.now, d[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Seq: b.seq, FencingToken: token})
+	b.want(b.m.MayReturnToLeader(b.now, "n-1-a"), true)
 	// It is back with the other controller: our orders reach it, its reports don't reach us.
 	passed()
-	b.want(b.m.SendBack(b.now, "n-1-a"), false)
+	b.want(b.m.MayReturnToLeader(b.now, "n-1-a"), false)
 }
 
 // A late copy of a write may make a progress record anew after its job is over. It counts
 // for nothing, and the next leader deletes it.
 func TestOrphanedProgressIsDeleted(t *testing.T) {
-	b := newBench(t, nil, []wire.Item{item(state.ChunkKey("run-9", 0), 6,
-		state.ChunkRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: 99, Session: 1}}})})
+	b := newBench(t, nil, []wire.Item{item(state.ProgressKey("run-9", 0), 6,
+		state.ProgressRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: 99, Incarnation: 1}}})})
 	w := b.m.NextWrite(b.now)
 	b.want(len(w.Changes), 1)
-	b.want(w.Changes[0], Change{Key: state.ChunkKey("run-9", 0), Version: 6})
-	b.m.Written(b.now, w.ID, 101)
+	b.want(w.Changes[0], RecordChange{Key: state.ProgressKey("run-9", 0), Version: 6})
+	b.m.WriteCommitted(b.now, w.ID, 101)
 	b.want(b.m.NextWrite(b.now) == nil, true)
 	b.want(len(b.m.machines), 0)
 }
@@ -893,23 +895,23 @@
 // workers. The proof of its lease's end counts from when it had our token, not from before.
 func TestMachineThatDoesNotReportIsAsked(t *testing.T) {
 	open := []wire.Item{item(state.OpenKey("run-1"), 5, record("run-1", 1, nil))}
-	chunks := []wire.Item{item(state.ChunkKey("run-1", 0), 6,
-		state.ChunkRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: 99, Session: 3}}})}
+	chunks := []wire.Item{item(state.ProgressKey("run-1", 0), 6,
+		state.ProgressRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: 99, Incarnation: 3}}})}
 	b := newBench(t, open, chunks)
-	b.m.Listed(b.now, []wire.Machine{{ID: "n-1-a", Addr: "10.1.0.1:9000", Type: "small", Zone: "a", State: wire.MachineRunning}})
+	b.m.MachinesListed(b.now, []wire.Machine{{ID: "n-1-a", Addr: "10.1.0.1:9000", Type: "small", Zone: "a", State: wire.MachineRunning}})
 	b.tick()
-	b.want(len(b.m.Directs(b.now, true)), 0) // it may yet report by itself
+	b.want(len(b.m.CommandPushes(b.now, true)), 0) // it may yet report by itself
 	b.wait(2 * micros.Second)
 	b.tick()
-	d := b.m.Directs(b.now, true)
+	d := b.m.CommandPushes(b.now, true)
 	b.want(len(d), 1)
-	b.want(d[0].Body.Session, uint64(3))
+	b.want(d[0].Body.Incarnation, uint64(3))
 	b.want(len(d[0].Body.Commands), 0)
 	// An earlier leader may have renewed its lease until now.
 	b.wait(9 * micros.Second)
-	b.m.DirectDone(b.now, d[0], DirectExecuted, &wire.Report{Machine: "n-1-a", Type: "small", Zone: "a", Session: 3, Seq: 9, Token: token,
-		Tasks: []wire.TaskReport{{Task: "run-1/0", Attempt: 99, State: wire.TaskRunning}}})
-	b.wait(lease)
+	b.m.CommandPushDone(b.now, d[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 3, Seq: 9, FencingToken: token,
+		Tasks: []wire.TaskStatus{{Task: "run-1/0", Attempt: 99, State: wire.TaskRunning}}})
+	b.wait(workerLease)
 	b.tick()
 	b.up("n-2-a")
 	b.want(b.grant("run-1", "n-2-a", 1), 0)
@@ -923,29 +925,29 @@
 func TestSessionShownByDirectOrder(t *testing.T) {
 	b := newBench(t, nil, nil)
 	b.up("n-1-a")
-	b.m.Listed(b.now, []wire.Machine{{ID: "n-1-a", Addr: "10.1.0.1:9000", Type: "small", Zone: "a", State: wire.MachineRunning}})
-	b.wait(lease + 2*micros.Second)
+	b.m.MachinesListed(b.now, []wire.Machine{{ID: "n-1-a", Addr: "10.1.0.1:9000", Type: "small", Zone: "a", State: wire.MachineRunning}})
+	b.wait(workerLease + 2*micros.Second)
 	b.tick()
 	b.want(b.m.machines["n-1-a"].up, false)
-	out := b.m.Directs(b.now, true)
+	out := b.m.CommandPushes(b.now, true)
 	b.want(len(out), 1)
 	b.seq++
-	b.m.DirectDone(b.now, out[0], DirectExecuted, &wire.Report{Machine: "n-1-a", Type: "small", Zone: "a", Session: 2, Seq: b.seq, Token: token})
+	b.m.CommandPushDone(b.now, out[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 2, Seq: b.seq, FencingToken: token})
 	b.tick()
 	b.want(b.m.machines["n-1-a"].up, true)
-	b.wait(lease)
+	b.wait(workerLease)
 	b.tick()
 	b.want(b.m.machines["n-1-a"].up, true)
 	b.want(b.report("n-1-a", token, 2), "")
-	b.wait(lease + 2*micros.Second)
+	b.wait(workerLease + 2*micros.Second)
 	b.tick()
 	b.want(b.m.machines["n-1-a"].up, false)
 	// An answer of the session that has ended brings nothing, and no second question at once.
-	out = b.m.Directs(b.now, true)
+	out = b.m.CommandPushes(b.now, true)
 	b.want(len(out), 1)
 	b.seq++
-	b.m.DirectDone(b.now, out[0], DirectExecuted, &wire.Report{Machine: "n-1-a", Type: "small", Zone: "a", Session: 2, Seq: b.seq, Token: token})
-	b.want(len(b.m.Directs(b.now, true)), 0)
+	b.m.CommandPushDone(b.now, out[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 2, Seq: b.seq, FencingToken: token})
+	b.want(len(b.m.CommandPushes(b.now, true)), 0)
 }
 
 // A write that places tasks is conditioned on their job's being open, one that only books progress is not.
@@ -956,24 +958,24 @@
 	b.job("run-2", 1, nil)
 	b.grant("run-1", "n-1-a", 1)
 	w := b.m.NextWrite(b.now)
-	b.want(len(w.Open), 1)
-	b.want(w.Open[0].Key, state.OpenKey("run-1"))
-	b.want(w.Open[0].Version, b.rev-1)
+	b.want(len(w.OpenRecordConditions), 1)
+	b.want(w.OpenRecordConditions[0].Key, state.OpenKey("run-1"))
+	b.want(w.OpenRecordConditions[0].Version, b.rev-1)
 	// It was cancelled through another controller: the write fails, and is not made again.
-	rec := record("run-1", 1, nil).Closed(wire.JobCancelled)
+	rec := record("run-1", 1, nil).Finalized(wire.JobCancelled)
 	b.rev++
-	b.m.JobChanged(b.now, b.now, 0, rec, b.rev)
-	b.m.WriteConflict(b.now, w.ID)
+	b.m.OpenRecordChanged(b.now, b.now, 0, rec, b.rev)
+	b.m.WriteConflicted(b.now, w.ID)
 	w = b.m.NextWrite(b.now)
-	b.want(w != nil && len(w.Open) > 0, false)
-	b.want(len(b.m.Directs(b.now, true)), 0)
+	b.want(w != nil && len(w.OpenRecordConditions) > 0, false)
+	b.want(len(b.m.CommandPushes(b.now, true)), 0)
 }
 
 // How long a late launch of a cancelled job can still be made known counts from the earliest moment at which its
 // cancellation can have been confirmed.
 func TestLateNewsOfCancellation(t *testing.T) {
 	for _, c := range []struct {
-		age  micros.Span
+		age  micros.Duration
 		want int
 	}{{2 * micros.Second, 2}, {26 * micros.Second, 0}} {
 		b := newBench(t, nil, nil)
@@ -981,13 +983,13 @@
 		b.job("run-1", 1, nil)
 		b.grant("run-1", "n-1-a", 1)
 		b.write()
-		d := b.m.Directs(b.now, true)
+		d := b.m.CommandPushes(b.now, true)
 		b.want(len(d), 1)
-		b.m.DirectDone(b.now, d[0], DirectUnknown, nil)
+		b.m.CommandPushDone(b.now, d[0], PushOutcomeUnknown, nil)
 		since := b.now
 		b.wait(c.age)
 		b.rev++
-		b.m.JobChanged(b.now, since, 0, record("run-1", 1, nil).Closed(wire.JobCancelled), b.rev)
+		b.m.OpenRecordChanged(b.now, since, 0, record("run-1", 1, nil).Finalized(wire.JobCancelled), b.rev)
 		got := b.report("n-1-a", token, 1)
 		b.want(strings.Count(got, "run-1/0"), c.want)
 	}
--- a/internal/manager/moves.go
+++ b/internal/manager/moves.go
@@ -7,7 +7,7 @@
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
 	"saffronbend/internal/rebalance"
-	"saffronbend/internal/space"
+	"saffronbend/internal/resources"
 	"saffronbend/wire"
 )
 
@@ -15,7 +15,7 @@
 // that one attempt is never stopped for two reasons.
 
 // RebalanceSnapshot shows the work on all machines; remaining is how many more tasks of each team may be disturbed.
-func (m *Manager) RebalanceSnapshot(now micros.Time, remaining map[string]int) rebalance.Snapshot {
+func (m *Manager) RebalanceSnapshot(now micros.Timestamp, remaining map[string]int) rebalance.Snapshot {
 	s := rebalance.Snapshot{Now: now, Teams: map[string]rebalance.Team{}, Listed: m.listedAll}
 	for name := range m.teams {
 		s.Teams[name] = rebalance.Team{Remaining: remaining[name]}
@@ -41,18 +41,18 @@
 
 // mayStillReport tells whether a machine can hold work and has not reported to this leader, though it may yet do so: a worker
 // that goes without an answer for a lease ends its work.
-func (m *Manager) mayStillReport(now micros.Time, mc *machine) bool {
+func (m *Manager) mayStillReport(now micros.Timestamp, mc *machine) bool {
 	if mc.up && mc.confirmed || mc.deleting || mc.state == wire.MachineFailed {
 		return false
 	}
 	if mc.state == wire.MachineStarting && len(mc.attempts) == 0 {
 		return false
 	}
-	return now.Sub(m.born) <= m.cfg.Lease+m.cfg.Report+m.cfg.Margin
+	return now.Sub(m.born) <= m.cfg.WorkerLease+m.cfg.HeartbeatInterval+m.cfg.LeaseMargin
 }
 
-func (m *Manager) rebalanceMachine(now micros.Time, mc *machine) rebalance.Machine {
-	r := rebalance.Machine{ID: mc.id, Whole: space.Whole(mc.spec), Free: m.free(mc),
+func (m *Manager) rebalanceMachine(now micros.Timestamp, mc *machine) rebalance.Machine {
+	r := rebalance.Machine{ID: mc.id, Capacity: resources.OfMachine(mc.spec), Free: m.free(mc),
 		Known: m.reports(now, mc), Usable: m.usable(now, mc) && mc.keep == "", Cordoned: m.cordons[mc.id],
 		FetchGBPS: mc.spec.FetchGBPS, Images: map[string]bool{}}
 	for name, im := range mc.images {
@@ -63,17 +63,17 @@
 	}
 	for t, reserved := range mc.reserved {
 		if j := m.jobs[t.Job]; j != nil {
-			r.Reserved = append(r.Reserved, rebalance.Reserved{Team: j.rec.Job.Team, Need: reserved.need})
+			r.Reserved = append(r.Reserved, rebalance.Reservation{Team: j.rec.Job.Team, Need: reserved.need})
 		}
 	}
 	return r
 }
 
-func (m *Manager) rebalanceAttempt(now micros.Time, a *attempt) rebalance.Attempt {
+func (m *Manager) rebalanceAttempt(now micros.Timestamp, a *attempt) rebalance.Attempt {
 	jb := &a.job.rec.Job
-	return rebalance.Attempt{Task: taskOf(a), Team: jb.Team, Need: space.Need(jb), Gang: a.job.gang != nil,
-		Busy: m.leaving(a), Running: a.listed && a.state == wire.TaskRunning, Saves: jb.CheckpointS > 0,
-		Save: micros.Seconds(jb.SaveS), Ends: m.expectedEnd(now, a), Image: jb.Image, ImageGB: jb.ImageGB}
+	return rebalance.Attempt{Task: taskOf(a), Team: jb.Team, Need: resources.OfTask(jb), Gang: a.job.gang != nil,
+		Stopping: m.leaving(a), Running: a.listed && a.state == wire.TaskRunning, Checkpoints: jb.CheckpointS > 0,
+		CheckpointTime: micros.Seconds(jb.SaveS), ExpectedEnd: m.expectedEnd(now, a), Image: jb.Image, ImageGB: jb.ImageGB}
 }
 
 // leaving tells whether an attempt is being stopped for whatever reason. The successor of one that was is not: it is load on
@@ -86,12 +86,12 @@
 // mover carries out one round of moves. What waits for room does not change by moves, so it is looked for once.
 type mover struct {
 	m       *Manager
-	now     micros.Time
+	now     micros.Timestamp
 	waiting []*job
 }
 
-// Mover gives what carries out a round of moves that is decided on now.
-func (m *Manager) Mover(now micros.Time) rebalance.Mover {
+// MoveExecutor gives what carries out a round of moves that is decided on now.
+func (m *Manager) MoveExecutor(now micros.Timestamp) rebalance.MoveExecutor {
 	r := mover{m: m, now: now}
 	for _, j := range m.jobs {
 		if m.waitingForRoom(j) > 0 {
@@ -109,7 +109,7 @@
 	}
 	free := r.m.free(mc)
 	return !slices.ContainsFunc(r.waiting, func(other *job) bool {
-		return r.m.suits(mc, other) && free.Fits(space.Need(&other.rec.Job))
+		return r.m.suits(mc, other) && free.Fits(resources.OfTask(&other.rec.Job))
 	})
 }
 
@@ -131,12 +131,12 @@
 }
 
 // suitsMove tells whether a task of a job can be moved to a machine.
-func (m *Manager) suitsMove(now micros.Time, mc *machine, j *job) bool {
-	return m.usable(now, mc) && !m.madeForOther(now, mc, j) && m.suits(mc, j) && m.free(mc).Fits(space.Need(&j.rec.Job))
+func (m *Manager) suitsMove(now micros.Timestamp, mc *machine, j *job) bool {
+	return m.usable(now, mc) && !m.madeForOther(now, mc, j) && m.suits(mc, j) && m.free(mc).Fits(resources.OfTask(&j.rec.Job))
 }
 
 // Move has a task leave its machine for another: room there is reserved, and the attempt is stopped once the move is durable.
-func (m *Manager) Move(now micros.Time, t disruption.Task, to string) rebalance.Refusal {
+func (m *Manager) Move(now micros.Timestamp, t disruption.Task, to string) rebalance.Refusal {
 	j := m.jobs[t.Job]
 	if j == nil || j.active[t.Index] == nil {
 		return rebalance.NotThere
@@ -145,7 +145,7 @@
 	mc := m.machines[to]
 	switch {
 	case !m.evictable(a):
-		return rebalance.Taken
+		return rebalance.AlreadyStopping
 	case mc == nil || mc == a.machine || !m.suitsMove(now, mc, j):
 		return rebalance.NoRoom
 	}
@@ -154,13 +154,13 @@
 }
 
 // destinationStands tells whether the room that is reserved for an attempt's successor can still be used.
-func (m *Manager) destinationStands(now micros.Time, a *attempt) bool {
+func (m *Manager) destinationStands(now micros.Timestamp, a *attempt) bool {
 	r := m.reservations[taskOf(a)]
 	return r != nil && m.stands(now, r)
 }
 
 // abandonMove leaves a task where it is: its destination was lost before it was stopped.
-func (m *Manager) abandonMove(now micros.Time, a *attempt) {
+func (m *Manager) abandonMove(now micros.Timestamp, a *attempt) {
 	m.note("a move is abandoned: its destination is lost", "task", a.name, "machine", a.machine.id)
 	m.release(taskOf(a))
 	m.endDisturbance(now, a.job, a.task)
--- a/internal/manager/moves_test.go
+++ b/internal/manager/moves_test.go
@@ -17,7 +17,7 @@
 	for _, m := range b.m.RebalanceSnapshot(b.now, nil).Machines {
 		cpus := 0.0
 		for _, a := range m.Attempts {
-			if !a.Busy {
+			if !a.Stopping {
 				cpus += a.Need.CPUs
 			}
 		}
@@ -40,7 +40,7 @@
 	b.want(b.m.Move(b.now, task("run-1", 0), "n-2-a"), rebalance.Moved)
 	b.want(b.disturbed(), "run-1/0 rebalance")
 	b.want(b.loads(), after)
-	b.want(b.m.Move(b.now, task("run-1", 0), "n-2-a"), rebalance.Taken)
+	b.want(b.m.Move(b.now, task("run-1", 0), "n-2-a"), rebalance.AlreadyStopping)
 	b.write()
 	b.want(b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d running", first)), fmt.Sprintf("stop run-1/0 %d", first))
 	b.want(b.loads(), after)
@@ -51,7 +51,7 @@
 	b.write()
 	b.report("n-2-a", token, 1, fmt.Sprintf("run-1/0 %d fetching", first+1))
 	b.want(b.loads(), after)
-	b.want(b.m.Move(b.now, task("run-1", 0), "n-1-a"), rebalance.Taken)
+	b.want(b.m.Move(b.now, task("run-1", 0), "n-1-a"), rebalance.AlreadyStopping)
 	b.report("n-2-a", token, 1, fmt.Sprintf("run-1/0 %d running", first+1))
 	b.want(b.disturbed(), "")
 	b.want(b.loads(), after)
@@ -63,12 +63,12 @@
 	b.runningTask()
 	b.want(b.m.Move(b.now, task("run-1", 0), "n-2-a"), rebalance.Moved)
 	w, _ := b.nextWrite()
-	b.m.Deleted(b.now, []string{"n-2-a"})
+	b.m.MachinesDeleted(b.now, []string{"n-2-a"})
 	b.rev++
-	b.m.Written(b.now, w.ID, b.rev)
+	b.m.WriteCommitted(b.now, w.ID, b.rev)
 	b.want(b.disturbed(), "")
 	b.want(b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d running", first)), "")
-	b.want(len(b.m.Directs(b.now, true)), 0)
+	b.want(len(b.m.CommandPushes(b.now, true)), 0)
 }
 
 // A move takes nothing that is wanted otherwise, and goes nowhere where it can't be.
@@ -78,29 +78,29 @@
 	b.want(b.m.Move(b.now, task("run-1", 0), "n-1-a"), rebalance.NoRoom)
 	b.want(b.m.Move(b.now, task("run-1", 0), "n-9-a"), rebalance.NoRoom)
 	b.want(b.m.Move(b.now, task("run-9", 0), "n-2-a"), rebalance.NotThere)
-	b.want(b.m.Mover(b.now).MayHost(task("run-1", 0), "n-2-a"), true)
+	b.want(b.m.MoveExecutor(b.now).MayHost(task("run-1", 0), "n-2-a"), true)
 	b.job("run-2", 1, savesProgress)
-	b.want(b.m.Mover(b.now).MayHost(task("run-1", 0), "n-2-a"), false) // its room is for work that waits
+	b.want(b.m.MoveExecutor(b.now).MayHost(task("run-1", 0), "n-2-a"), false) // its room is for work that waits
 	b.m.SetCordons(b.now, map[string]bool{"n-2-a": true}, nil)
 	b.want(b.m.Move(b.now, task("run-1", 0), "n-2-a"), rebalance.NoRoom)
 	b.m.SetCordons(b.now, nil, nil)
-	b.m.JobChanged(b.now, b.now, 0, cancelled("run-1"), b.rev+1)
-	b.want(b.m.Move(b.now, task("run-1", 0), "n-2-a"), rebalance.Taken)
+	b.m.OpenRecordChanged(b.now, b.now, 0, cancelled("run-1"), b.rev+1)
+	b.want(b.m.Move(b.now, task("run-1", 0), "n-2-a"), rebalance.AlreadyStopping)
 }
 
 // cancelled is the record of a job that its user has cancelled.
 func cancelled(id string) state.OpenRecord {
 	rec := record(id, 1, savesProgress)
-	rec.Over = wire.JobCancelled
+	rec.FinalState = wire.JobCancelled
 	return rec
 }
 
 // A machine that has not reported to a new leader may hold work; that is known only once its lease must have run out.
 func TestUnheardMachinesAreUnknown(t *testing.T) {
 	b := drainBench(t, nil, nil, nil)
-	b.m.Listed(b.now, []wire.Machine{{ID: "n-1-a", Type: "small", Zone: "a", State: wire.MachineRunning}})
+	b.m.MachinesListed(b.now, []wire.Machine{{ID: "n-1-a", Type: "small", Zone: "a", State: wire.MachineRunning}})
 	b.want(b.m.RebalanceSnapshot(b.now, nil).Unknown, 1)
-	b.wait(b.m.cfg.Lease + b.m.cfg.Report + b.m.cfg.Margin + micros.Second)
+	b.wait(b.m.cfg.WorkerLease + b.m.cfg.HeartbeatInterval + b.m.cfg.LeaseMargin + micros.Second)
 	b.want(b.m.RebalanceSnapshot(b.now, nil).Unknown, 0)
 }
 
@@ -115,7 +115,7 @@
 	earlier.want(w.Changes[1].Value.(state.DisruptionRecord).Open[0].To, "n-2-a")
 
 	open := []wire.Item{item("open/run-1", 4, record("run-1", 1, savesProgress))}
-	chunks := []wire.Item{item("tasks/run-1/0", 6, state.ChunkRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: before, Session: 1}}})}
+	chunks := []wire.Item{item("tasks/run-1/0", 6, state.ProgressRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: before, Incarnation: 1}}})}
 	disruptions := []wire.Item{item("disruption/run-1/0", 6, state.DisruptionRecord{Open: []state.OpenDisturbance{{Task: 0, Attempt: before, Cause: "rebalance", To: "n-2-a"}}})}
 	for _, there := range []bool{true, false} {
 		b := drainBench(t, open, chunks, disruptions)
@@ -128,7 +128,7 @@
 		b.m.Tick(b.now)
 		b.want(len(b.m.reservations) == 1, there)
 		b.want(b.m.machines["n-2-a"] != nil, there)
-		b.wait(b.m.cfg.Reservation + micros.Second)
+		b.wait(b.m.cfg.ReservationTTL + micros.Second)
 		b.m.Tick(b.now)
 		b.want(len(b.m.promisedTo), 0)
 	}
