--- a/internal/manager/orders.go
+++ b/internal/manager/orders.go
@@ -11,12 +11,14 @@
 // answerLife is how long after its report a worker heeds an answer.
 const answerLife = 4 * micros.Second
 
-// LaunchToStop is how long after its cancellation at the earliest an attempt may be launched and stopped in one answer, so that
+// LaunchBeforeStopAfter is how long after its cancellation at the earliest an attempt may be launched and stopped in one answer, so that
 // a late launch finds it known: the worker must have heard the answer before the job's time is up.
-func LaunchToStop(cancel micros.Span) micros.Span { return cancel - answerLife - micros.Second }
+func LaunchBeforeStopAfter(cancel micros.Duration) micros.Duration {
+	return cancel - answerLife - micros.Second
+}
 
 // orders makes the commands that answer a report.
-func (m *Manager) orders(now micros.Time, mc *machine, r *wire.Report, launch bool) []wire.Command {
+func (m *Manager) orders(now micros.Timestamp, mc *machine, r *wire.Heartbeat, launch bool) []wire.Command {
 	cmds := []wire.Command{}
 	// An answer's line must stay below 64 KiB; the rest follows with the next report.
 	const mostCommands = 400
@@ -29,9 +31,9 @@
 		if tr.State == wire.TaskExited {
 			// Done tasks are durable before they are cleared. An attempt whose direct
 			// launch may yet arrive is not cleared, or that launch would start it again.
-			held := ok && j != nil && n < len(j.tasks) && j.over == "" && j.tasks[n] == taskDone && tr.Why == wire.WhyDone
+			held := ok && j != nil && n < len(j.tasks) && j.over == "" && j.tasks[n] == taskDone && tr.ExitReason == wire.ExitDone
 			if !held && mc.mayClear(tr.Task, tr.Attempt) {
-				cmds = append(cmds, wire.Command{Op: wire.OpForget, Task: tr.Task, Attempt: tr.Attempt})
+				cmds = append(cmds, wire.Command{Op: wire.OpClear, Task: tr.Task, Attempt: tr.Attempt})
 			}
 			continue
 		}
@@ -41,7 +43,7 @@
 	}
 	for _, a := range sorted(mc.attempts) {
 		name := a.name
-		if a.session != r.Session || !a.durable {
+		if a.session != r.Incarnation || !a.durable {
 			continue
 		}
 		if len(cmds) >= mostCommands {
@@ -56,7 +58,7 @@
 			// the same answer and never cleared. A worker that has gone without an answer until the
 			// job's time is nearly up has begun a new session by then, since the time is longer than
 			// its lease; and answers are dropped after 4 s.
-			if a.job.over == "" || now < a.job.overAt.Add(LaunchToStop(m.cfg.Cancel)) {
+			if a.job.over == "" || now < a.job.overAt.Add(LaunchBeforeStopAfter(m.cfg.CancelTimeout)) {
 				mc.retained[retainedKey{name, a.id}] = retainedAttempt{job: a.job}
 				a.sentSeq = r.Seq
 				cmds = append(cmds, wire.Command{Op: wire.OpStart, Task: name, Attempt: a.id}, wire.StopCommand(name, a.id, 0))
@@ -69,23 +71,23 @@
 	return cmds
 }
 
-// Direct is an order that does not wait for the worker's next report.
-type Direct struct {
+// CommandPush is an order that does not wait for the worker's next report.
+type CommandPush struct {
 	Machine string
 	Addr    string
-	Body    wire.Direct
+	Body    wire.CommandPush
 }
 
-// Directs collects direct orders: launches that have become durable, stops, and empty
+// CommandPushes collects direct orders: launches that have become durable, stops, and empty
 // orders by which a machine may show that it hears us. A machine has one direct order
 // out at a time. Only machines with news since the last call are looked at.
-func (m *Manager) Directs(now micros.Time, launch bool) []Direct {
-	if len(m.direct) == 0 || m.directs >= m.cfg.Directs {
+func (m *Manager) CommandPushes(now micros.Timestamp, launch bool) []CommandPush {
+	if len(m.direct) == 0 || m.directs >= m.cfg.MaxCommandPushes {
 		return nil // what is marked stays so; what is not sent goes with answers to reports
 	}
-	var out []Direct
+	var out []CommandPush
 	for _, id := range slices.Sorted(maps.Keys(m.direct)) {
-		if m.directs >= m.cfg.Directs {
+		if m.directs >= m.cfg.MaxCommandPushes {
 			break
 		}
 		delete(m.direct, id)
@@ -97,14 +99,14 @@
 			if m.probeDue(now, mc) {
 				mc.probed, mc.directOut = now, true
 				m.directs++
-				out = append(out, Direct{Machine: id, Addr: mc.addr, Body: wire.Direct{Token: m.cfg.Token, Session: mc.knownSession(), Commands: []wire.Command{}}})
+				out = append(out, CommandPush{Machine: id, Addr: mc.addr, Body: wire.CommandPush{FencingToken: m.cfg.FencingToken, Incarnation: mc.knownSession(), Commands: []wire.Command{}}})
 			}
 			continue
 		}
 		if !mc.up || !mc.confirmed || !mc.directOK || len(mc.attempts) == 0 {
 			continue
 		}
-		d := Direct{Machine: id, Addr: mc.addr, Body: wire.Direct{Token: m.cfg.Token, Session: mc.session}}
+		d := CommandPush{Machine: id, Addr: mc.addr, Body: wire.CommandPush{FencingToken: m.cfg.FencingToken, Incarnation: mc.session}}
 		for _, a := range sorted(mc.attempts) {
 			if a.session != mc.session || !a.durable || len(d.Body.Commands) >= 100 {
 				continue
@@ -151,7 +153,7 @@
 // probeDue tells whether it is time to ask a machine whether it hears us. One that has
 // reported and does not have our token yet most likely shows it with its next report; most
 // of a new leader's machines report within the first seconds.
-func (m *Manager) probeDue(now micros.Time, mc *machine) bool {
+func (m *Manager) probeDue(now micros.Timestamp, mc *machine) bool {
 	const pause, longPause, settle = 3 * micros.Second, 15 * micros.Second, 2 * micros.Second
 	if !mc.up && now.Sub(m.born) < settle {
 		return false
@@ -159,26 +161,26 @@
 	if !mc.up || mc.cutOff() {
 		return mc.probed == 0 || now.Sub(mc.probed) >= longPause
 	}
-	patience := micros.Span(0)
+	patience := micros.Duration(0)
 	if !mc.confirmed && mc.lastReport != 0 {
 		patience = m.reportDue()
 	}
 	return now.Sub(mc.deaf) >= patience && (mc.probed == 0 || now.Sub(mc.probed) >= pause)
 }
 
-// DirectOutcome is what is known of a direct order.
-type DirectOutcome int
+// PushOutcome is what is known of a direct order.
+type PushOutcome int
 
 // Outcomes. Of an executed or refused order there is the worker's report.
 const (
-	DirectUnknown DirectOutcome = iota // it may yet be carried out
-	DirectNotSent                      // it was not sent, and will not be
-	DirectRefused
-	DirectExecuted
+	PushOutcomeUnknown PushOutcome = iota // it may yet be carried out
+	PushNotSent                           // it was not sent, and will not be
+	PushRefused
+	PushExecuted
 )
 
-// DirectDone takes the outcome of a direct order, and the worker's report if there is one.
-func (m *Manager) DirectDone(now micros.Time, d Direct, out DirectOutcome, r *wire.Report) (deposed bool) {
+// CommandPushDone takes the outcome of a direct order, and the worker's report if there is one.
+func (m *Manager) CommandPushDone(now micros.Timestamp, d CommandPush, out PushOutcome, r *wire.Heartbeat) (deposed bool) {
 	m.directs--
 	mc := m.machines[d.Machine]
 	if mc == nil {
@@ -193,11 +195,11 @@
 			}
 			a.directOut = false
 			switch out {
-			case DirectUnknown:
+			case PushOutcomeUnknown:
 				a.directLost = true
-			case DirectExecuted:
+			case PushExecuted:
 				a.sentSeq = max(a.sentSeq, 1)
-			case DirectNotSent:
+			case PushNotSent:
 				a.direct = false
 			}
 		}
@@ -206,15 +208,15 @@
 		mc.directOK = false
 		return false
 	}
-	if r.Token > m.cfg.Token {
+	if r.FencingToken > m.cfg.FencingToken {
 		return true
 	}
 	if r.Machine == d.Machine {
 		taken := m.take(now, r, false) != nil
-		if taken && out == DirectRefused && r.Session != d.Body.Session {
+		if taken && out == PushRefused && r.Incarnation != d.Body.Incarnation {
 			mc.probed = 0 // that was the wrong session, the right one is known now
 		}
-		if out == DirectExecuted && mc.session == d.Body.Session {
+		if out == PushExecuted && mc.session == d.Body.Incarnation {
 			m.heard(mc)
 			m.touchMachine(mc)
 		}
--- a/internal/manager/preempt.go
+++ b/internal/manager/preempt.go
@@ -6,7 +6,7 @@
 
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
-	"saffronbend/internal/space"
+	"saffronbend/internal/resources"
 	"saffronbend/wire"
 )
 
@@ -14,17 +14,17 @@
 // and the tasks on it that may make room.
 type target struct {
 	mc      *machine
-	room    space.Space
+	room    resources.Vector
 	victims []*attempt
 }
 
 // Preempt stops work of lower priority for jobs that have waited longer than the
 // operators allow and find no room. What is already being stopped counts as room. A round
 // that runs out of time goes on with the next job at the next call.
-func (m *Manager) Preempt(now micros.Time, spent func() bool) {
+func (m *Manager) Preempt(now micros.Timestamp, spent func() bool) {
 	var needy []*job
 	for _, j := range m.waitingFor(now, m.cfg.Tuning.PreemptAfter) {
-		if j.rec.Job.Priority() > 0 || m.guaranteed(j, space.Space{}) {
+		if j.rec.Job.Priority() > 0 || m.guaranteed(j, resources.Vector{}) {
 			needy = append(needy, j)
 		}
 	}
@@ -37,7 +37,7 @@
 	}
 	m.preemptFrom = ""
 	targets := m.targets(now)
-	promised := map[string]space.Space{}
+	promised := map[string]resources.Vector{}
 	budget := 4
 	for _, j := range needy {
 		if spent() {
@@ -57,7 +57,7 @@
 // waitingFor gives the jobs, by arrival, that could have tasks placed and have waited longer
 // than this without one of them being placed. A new leader first hears from its machines: before, a job that waited under
 // the last one would find no room though there is some.
-func (m *Manager) waitingFor(now micros.Time, longer micros.Span) []*job {
+func (m *Manager) waitingFor(now micros.Timestamp, longer micros.Duration) []*job {
 	if now.Sub(m.born) <= min(longer, m.reportDue()) {
 		return nil
 	}
@@ -66,7 +66,7 @@
 	})
 }
 
-func (m *Manager) targets(now micros.Time) []*target {
+func (m *Manager) targets(now micros.Timestamp) []*target {
 	var targets []*target
 	for _, mc := range m.machines {
 		if !m.usable(now, mc) {
@@ -77,7 +77,7 @@
 			jb := &a.job.rec.Job
 			switch {
 			case a.stop, a.evicting:
-				place.room = place.room.Plus(space.Need(jb), 1)
+				place.room = place.room.Plus(resources.OfTask(jb), 1)
 			case a.kept:
 				// It has waited long for this room.
 			case a.job.gang != nil && m.mayDisplaceGang(now, a.job):
@@ -96,9 +96,9 @@
 
 // displace finds room for a job's waiting tasks, and stops others' tasks where there is
 // none; it gives what is left of the budget.
-func (m *Manager) displace(now micros.Time, j *job, targets []*target, promised map[string]space.Space, budget int) int {
+func (m *Manager) displace(now micros.Timestamp, j *job, targets []*target, promised map[string]resources.Vector, budget int) int {
 	jb := &j.rec.Job
-	need := space.Need(jb)
+	need := resources.OfTask(jb)
 	mine := m.targetsFor(j, targets)
 	take := func(place *target) {
 		place.room = place.room.Plus(need, -1)
@@ -124,7 +124,7 @@
 				if a.job.gang != nil && !m.worthIt(now, j, a.job) {
 					continue
 				}
-				after := place.room.Plus(space.Need(&a.job.rec.Job), place.freedBy(a))
+				after := place.room.Plus(resources.OfTask(&a.job.rec.Job), place.freedBy(a))
 				if loss := loss(a); loss < least && after.Fits(need) {
 					best, victim, least = place, a, loss
 				}
@@ -169,7 +169,7 @@
 
 // makeRoom stops a task, or the whole gang that it belongs to, and books the room that comes
 // free.
-func (m *Manager) makeRoom(now micros.Time, a *attempt, targets []*target, by *job) {
+func (m *Manager) makeRoom(now micros.Timestamp, a *attempt, targets []*target, by *job) {
 	// taking is how long the job's scheduler may need to see the room and ask for it.
 	const taking = 2 * micros.Second
 	jb := &a.job.rec.Job
@@ -178,7 +178,7 @@
 	freed := []*attempt{a}
 	if a.job.gang != nil {
 		freed = sorted(a.job.active)
-		m.follow(now, a.job, a.job.gang.Stop(), disruption.Preemption)
+		m.follow(now, a.job, a.job.gang.Preempt(), disruption.Preemption)
 	} else {
 		m.stop(now, a, grace, disruption.Preemption)
 	}
@@ -188,7 +188,7 @@
 			x.machine.madeFor, x.machine.madeUntil = by.rec.Job.ID, now.Add(micros.Seconds(grace)+taking)
 		}
 		if i := slices.IndexFunc(targets, func(place *target) bool { return place.mc == x.machine }); i >= 0 {
-			targets[i].room = targets[i].room.Plus(space.Need(jb), 1)
+			targets[i].room = targets[i].room.Plus(resources.OfTask(jb), 1)
 		}
 	}
 }
@@ -203,10 +203,10 @@
 
 // loss is the time that a task loses when it makes room; for one of a gang, what all of them
 // lose. A gang that cannot save in time is no victim.
-func loss(a *attempt) micros.Span {
-	n, lost := micros.Span(1), micros.Span(0)
+func loss(a *attempt) micros.Duration {
+	n, lost := micros.Duration(1), micros.Duration(0)
 	if a.job.gang != nil {
-		n, lost = micros.Span(len(a.job.active)), micros.Second // all fetch and wait anew
+		n, lost = micros.Duration(len(a.job.active)), micros.Second // all fetch and wait anew
 	}
 	if a.state == wire.TaskRunning {
 		lost = micros.Seconds(a.job.rec.Job.SaveS)
@@ -216,7 +216,7 @@
 
 // guaranteed tells whether the team's guarantee covers another task of the job, beside
 // what has been promised to the team in this round.
-func (m *Manager) guaranteed(j *job, promised space.Space) bool {
+func (m *Manager) guaranteed(j *job, promised resources.Vector) bool {
 	t, jb := m.teams[j.rec.Job.Team], &j.rec.Job
 	return t != nil && t.CPUs+t.GPUs > 0 && t.cpus+promised.CPUs+jb.CPUs <= t.CPUs && t.gpus+promised.GPUs+jb.GPUs <= t.GPUs
 }
@@ -224,7 +224,7 @@
 // displaces tells whether a job may displace another's task: one of lower priority, or
 // one that another team runs beyond its own guarantee where the job's team has not
 // got its own.
-func (m *Manager) displaces(j, other *job, promised space.Space) bool {
+func (m *Manager) displaces(j, other *job, promised resources.Vector) bool {
 	if other.rec.Job.Priority() < j.rec.Job.Priority() {
 		return true
 	}
--- a/internal/manager/reports.go
+++ b/internal/manager/reports.go
@@ -6,24 +6,25 @@
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/gang"
 	"saffronbend/internal/micros"
+	"saffronbend/internal/snapshot"
 	"saffronbend/wire"
 )
 
-// Report is a worker's report; via names the controller that passes it on, if one does.
+// Heartbeat is a worker's report; via names the controller that passes it on, if one does.
 // The answer is nil when the controller must not renew the worker's lease.
-func (m *Manager) Report(now micros.Time, r *wire.Report, via string, launch bool) (answer *wire.ReportAnswer, deposed bool) {
-	if r.Token > m.cfg.Token {
+func (m *Manager) Heartbeat(now micros.Timestamp, r *wire.Heartbeat, via string, launch bool) (answer *wire.HeartbeatResponse, deposed bool) {
+	if r.FencingToken > m.cfg.FencingToken {
 		return nil, true
 	}
-	if m.machines[r.Machine] == nil && !m.gone[r.Machine] && r.Token != m.cfg.Token {
+	if m.machines[r.Machine] == nil && !m.gone[r.Machine] && r.FencingToken != m.cfg.FencingToken {
 		// A machine that we don't know and that has not heard us: it may be new, or this a
 		// late copy from one that was returned under an earlier leader. An answer is all it
 		// gets; if it hears that, its next report has our token.
-		return &wire.ReportAnswer{Token: m.cfg.Token, Commands: []wire.Command{}}, false
+		return &wire.HeartbeatResponse{FencingToken: m.cfg.FencingToken, Commands: []wire.Command{}}, false
 	}
 	// A worker stays with a controller only while that one's answers reach it.
 	old := m.machines[r.Machine]
-	stays := via != "" && old != nil && old.via == via && old.session == r.Session && old.seq+1 == r.Seq
+	stays := via != "" && old != nil && old.via == via && old.session == r.Incarnation && old.seq+1 == r.Seq
 	mc := m.take(now, r, true)
 	overtaken := mc == nil && m.overtaken(r)
 	switch {
@@ -51,21 +52,21 @@
 	if !overtaken {
 		commands = m.orders(now, mc, r, launch)
 	}
-	return &wire.ReportAnswer{Token: m.cfg.Token, Commands: commands}, false
+	return &wire.HeartbeatResponse{FencingToken: m.cfg.FencingToken, Commands: commands}, false
 }
 
 // overtaken tells whether a report is older only than the answer to a direct order that its worker gave after
 // sending it. The worker still waits for its answer, and without one would leave for another controller. What the
 // report says is known better by now, so the answer carries no commands.
-func (m *Manager) overtaken(r *wire.Report) bool {
+func (m *Manager) overtaken(r *wire.Heartbeat) bool {
 	mc := m.machines[r.Machine]
-	return mc != nil && r.Session == mc.session && r.Session > mc.deadSession && r.Seq > mc.reportSeq && r.Seq < mc.seq
+	return mc != nil && r.Incarnation == mc.session && r.Incarnation > mc.deadSession && r.Seq > mc.reportSeq && r.Seq < mc.seq
 }
 
-// SendBack tells whether a machine whose reports are passed on has heard an order of our own
+// MayReturnToLeader tells whether a machine whose reports are passed on has heard an order of our own
 // since, and so may be sent back to us. If it comes by the other way again all the same,
 // its reports don't reach us: they are passed on until another order has come through.
-func (m *Manager) SendBack(now micros.Time, id string) bool {
+func (m *Manager) MayReturnToLeader(now micros.Timestamp, id string) bool {
 	mc := m.machines[id]
 	if mc == nil || mc.via == "" || !mc.directOK || mc.deaf != 0 {
 		return false
@@ -76,25 +77,25 @@
 
 // take books a report, or the worker's answer to a direct order; nil if it is late or
 // its machine is known to be gone.
-func (m *Manager) take(now micros.Time, r *wire.Report, unasked bool) *machine {
+func (m *Manager) take(now micros.Timestamp, r *wire.Heartbeat, unasked bool) *machine {
 	if m.gone[r.Machine] {
 		return nil
 	}
 	mc := m.machine(now, r.Machine)
 	// Held-back reports arrive minutes late; their worker has given them up, so an
 	// answer would renew nothing, and their task list is old.
-	if r.Session <= mc.deadSession || r.Session < mc.session || r.Session == mc.session && r.Seq <= mc.seq {
+	if r.Incarnation <= mc.deadSession || r.Incarnation < mc.session || r.Incarnation == mc.session && r.Seq <= mc.seq {
 		return nil
 	}
-	if mc.session != 0 && r.Session > mc.session {
+	if mc.session != 0 && r.Incarnation > mc.session {
 		// It went without an answer for a whole lease. Whether it hears us again is yet to
 		// be shown.
 		m.unheard(now, mc)
 	}
-	if r.Session > mc.session {
+	if r.Incarnation > mc.session {
 		mc.renewed, mc.reportSeq = now, 0
 		for _, a := range sorted(mc.attempts) {
-			if a.session < r.Session {
+			if a.session < r.Incarnation {
 				m.drop(now, a)
 			}
 		}
@@ -104,7 +105,7 @@
 		mc.up = true
 		mc.idleSince = now
 	}
-	switch heard := r.Token == m.cfg.Token; {
+	switch heard := r.FencingToken == m.cfg.FencingToken; {
 	case heard && !mc.confirmed:
 		m.heard(mc)
 		// Until it had our token, another's answer may have renewed its lease after the last
@@ -113,7 +114,7 @@
 	case !heard:
 		m.unheard(now, mc)
 	}
-	mc.session, mc.seq = r.Session, r.Seq
+	mc.session, mc.seq = r.Incarnation, r.Seq
 	mc.addr, mc.typ, mc.zone, mc.spot = r.Addr, r.Type, r.Zone, r.Spot
 	mc.spec = m.types[mc.typ]
 	if unasked {
@@ -121,12 +122,12 @@
 		mc.reportSeq = r.Seq
 	}
 	mc.directOK = mc.directOK || mc.via == "" || !unasked
-	mc.confirmed = r.Token == m.cfg.Token
-	if r.NoticeS != nil {
+	mc.confirmed = r.FencingToken == m.cfg.FencingToken
+	if r.ReclaimInS != nil {
 		if mc.notice == 0 {
-			m.note("machine will be taken back", "machine", mc.id, "in_s", *r.NoticeS, "tasks", len(mc.attempts))
+			m.note("machine will be taken back", "machine", mc.id, "in_s", *r.ReclaimInS, "tasks", len(mc.attempts))
 		}
-		mc.notice = now.Add(micros.Seconds(*r.NoticeS))
+		mc.notice = now.Add(micros.Seconds(*r.ReclaimInS))
 	}
 	m.merge(now, mc, r, unasked)
 	m.touchMachine(mc)
@@ -138,7 +139,7 @@
 
 // unheard notes that something shows that a machine may not hear us, though its reports
 // arrive; heard that it does.
-func (m *Manager) unheard(now micros.Time, mc *machine) {
+func (m *Manager) unheard(now micros.Timestamp, mc *machine) {
 	if mc.deaf == 0 {
 		mc.deaf = now
 	}
@@ -146,7 +147,7 @@
 
 func (m *Manager) heard(mc *machine) { mc.deaf = 0 }
 
-func (m *Manager) merge(now micros.Time, mc *machine, r *wire.Report, unasked bool) {
+func (m *Manager) merge(now micros.Timestamp, mc *machine, r *wire.Heartbeat, unasked bool) {
 	clear(mc.strays)
 	for _, a := range mc.attempts {
 		a.listed = false
@@ -169,13 +170,13 @@
 			// It runs though the books lack it. To start it elsewhere would be to run it
 			// twice, so it is taken over as it is. Only a report from our term shows that it
 			// runs; an older one may be a late copy.
-			a = &attempt{job: j, task: n, id: tr.Attempt, machine: mc, session: r.Session,
+			a = &attempt{job: j, task: n, id: tr.Attempt, machine: mc, session: r.Incarnation,
 				leaseEnd: now.Add(m.cfg.Tuning.FirstLease)}
 			m.place(a)
 			m.touch(now, j, n, false)
 			if j.gang != nil {
 				// Not of an attempt that the books know as a whole, so it ends.
-				m.follow(now, j, j.gang.Rebuilt(), disruption.Gang)
+				m.follow(now, j, j.gang.RecoveryDone(), disruption.Gang)
 				if j.gang.Phase() == gang.Ending {
 					m.stop(now, a, 0, disruption.Gang)
 				}
@@ -186,7 +187,7 @@
 			continue
 		}
 		a.listed = true
-		if a.state == "" && a.ours && a.session == r.Session {
+		if a.state == "" && a.ours && a.session == r.Incarnation {
 			m.heard(mc) // it has carried out our launch
 		}
 		if a.state != tr.State {
@@ -209,7 +210,7 @@
 		}
 	}
 	for _, a := range sorted(mc.attempts) {
-		if a.listed || a.session != r.Session || !mc.confirmed || !a.durable {
+		if a.listed || a.session != r.Incarnation || !mc.confirmed || !a.durable {
 			continue
 		}
 		if unasked && a.ours && a.state == "" && a.sentSeq != 0 && a.sentSeq < r.Seq && !a.directOut {
@@ -227,12 +228,12 @@
 }
 
 // exited books a task that the worker lists as exited.
-func (m *Manager) exited(now micros.Time, mc *machine, j *job, n int, a *attempt, tr wire.TaskReport) {
+func (m *Manager) exited(now micros.Timestamp, mc *machine, j *job, n int, a *attempt, tr wire.TaskStatus) {
 	if _, ok := mc.retained[retainedKey{tr.Task, tr.Attempt}]; ok && a == nil {
 		return // booked before, and still listed because it is not cleared
 	}
 	mine := a != nil && a.id == tr.Attempt && a.machine == mc
-	if tr.Why == wire.WhyDone {
+	if tr.ExitReason == wire.ExitDone {
 		// A result counts from whichever attempt it comes.
 		if j.tasks[n] < taskDone {
 			m.finish(now, j, n)
@@ -243,12 +244,12 @@
 			// Of a run that began under an earlier leader only the end is known.
 			if mine && a.ours && a.runSince != 0 {
 				m.noteSpeed(mc, j, now.Sub(a.runSince))
-				m.shown.finished = append(m.shown.finished, Finished{Job: j.rec.Job.ID, Class: j.rec.Job.Class, Team: j.rec.Job.Team,
+				m.shown.finished = append(m.shown.finished, snapshot.CompletedRun{Job: j.rec.Job.ID, Class: j.rec.Job.Class, Team: j.rec.Job.Team,
 					Machine: mc.id, Run: now.Sub(a.runSince)})
 			}
 			mc.fails = 0
 			if j.gang != nil {
-				m.follow(now, j, j.gang.Done(), disruption.Gang)
+				m.follow(now, j, j.gang.TaskDone(), disruption.Gang)
 			}
 		}
 		m.noteImage(now, mc, &j.rec.Job, true)
@@ -273,16 +274,16 @@
 	switch {
 	case j.gang != nil:
 		m.gangExit(now, mc, j, a, tr)
-	case tr.Why == wire.WhyError:
+	case tr.ExitReason == wire.ExitError:
 		m.noteFailure(now, mc, j)
 	}
-	a.refused = tr.Why != wire.WhyStopped && tr.Why != wire.WhyMates
+	a.refused = tr.ExitReason != wire.ExitStopped && tr.ExitReason != wire.ExitGangPeerGone
 	m.retain(a, false)
 	m.drop(now, a)
 }
 
 // finish counts a task as done.
-func (m *Manager) finish(now micros.Time, j *job, n int) {
+func (m *Manager) finish(now micros.Timestamp, j *job, n int) {
 	if j.tasks[n] == taskWaiting {
 		j.waiting--
 	}
@@ -347,16 +348,16 @@
 
 // estimate is a job's expected run time: what its tasks took where some are done, or else
 // the owner's estimate in the light of what the class's were worth.
-func (m *Manager) estimate(j *job) micros.Span {
+func (m *Manager) estimate(j *job) micros.Duration {
 	if j.runs >= 3 {
-		return j.ran / micros.Span(j.runs)
+		return j.ran / micros.Duration(j.runs)
 	}
 	return micros.Seconds(j.rec.Job.EstimateS).Scale(math.Exp(m.guesses[j.rec.Job.Class]))
 }
 
 // expectedEnd is when an attempt's run should end; one that has not begun counts as
 // beginning now.
-func (m *Manager) expectedEnd(now micros.Time, a *attempt) micros.Time {
+func (m *Manager) expectedEnd(now micros.Timestamp, a *attempt) micros.Timestamp {
 	since := now
 	if a.runSince != 0 {
 		since = a.runSince
@@ -366,11 +367,11 @@
 
 // noteSpeed suspects a machine that twice in a row took far longer for a task than the
 // job's other tasks took elsewhere.
-func (m *Manager) noteSpeed(mc *machine, j *job, run micros.Span) {
+func (m *Manager) noteSpeed(mc *machine, j *job, run micros.Duration) {
 	const tooSlow, enough, inARow = 3, 2, 2
 	// Begin and end are seen by reports only.
-	blur := 2 * m.cfg.Report
-	if j.runs >= enough && run > tooSlow*j.ran/micros.Span(j.runs)+blur {
+	blur := 2 * m.cfg.HeartbeatInterval
+	if j.runs >= enough && run > tooSlow*j.ran/micros.Duration(j.runs)+blur {
 		mc.slow++
 	} else {
 		mc.slow = 0
@@ -386,7 +387,7 @@
 // noteFailure blames machine or job. A machine is suspect when tasks of several
 // jobs, or many tasks, fail on it in a row; a job that fails on several machines is
 // at fault itself and backs off.
-func (m *Manager) noteFailure(now micros.Time, mc *machine, j *job) {
+func (m *Manager) noteFailure(now micros.Timestamp, mc *machine, j *job) {
 	j.failed[mc.id]++
 	j.fails++
 	if len(j.failed) >= 3 {
@@ -405,7 +406,7 @@
 
 // noteImage keeps the model of a machine's cache: most recently used images, as many
 // as its disk holds.
-func (m *Manager) noteImage(now micros.Time, mc *machine, jb *wire.Job, ready bool) {
+func (m *Manager) noteImage(now micros.Timestamp, mc *machine, jb *wire.Job, ready bool) {
 	im := mc.images[jb.Image]
 	if im == nil {
 		im = &image{}
--- a/internal/manager/reservations.go
+++ b/internal/manager/reservations.go
@@ -6,7 +6,8 @@
 
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
-	"saffronbend/internal/space"
+	"saffronbend/internal/resources"
+	"saffronbend/internal/snapshot"
 )
 
 // reservation is room on a machine for the successor of an attempt that is evicted. It is made before the eviction and given
@@ -14,14 +15,14 @@
 type reservation struct {
 	task    disruption.Task
 	machine *machine
-	need    space.Space
-	until   micros.Time
+	need    resources.Vector
+	until   micros.Timestamp
 }
 
 // reserve keeps room on a machine for a task.
-func (m *Manager) reserve(now micros.Time, t disruption.Task, mc *machine, need space.Space) {
+func (m *Manager) reserve(now micros.Timestamp, t disruption.Task, mc *machine, need resources.Vector) {
 	m.release(t)
-	r := &reservation{task: t, machine: mc, need: need, until: now.Add(m.cfg.Reservation)}
+	r := &reservation{task: t, machine: mc, need: need, until: now.Add(m.cfg.ReservationTTL)}
 	m.reservations[t] = r
 	if mc.reserved == nil {
 		mc.reserved = map[disruption.Task]*reservation{}
@@ -42,12 +43,12 @@
 }
 
 // stands tells whether reserved room can still be used: its machine is there and takes new tasks.
-func (m *Manager) stands(now micros.Time, r *reservation) bool {
+func (m *Manager) stands(now micros.Timestamp, r *reservation) bool {
 	return m.machines[r.machine.id] == r.machine && m.usable(now, r.machine)
 }
 
 // releaseStale gives up the reservations that nobody will claim.
-func (m *Manager) releaseStale(now micros.Time) {
+func (m *Manager) releaseStale(now micros.Timestamp) {
 	for t, r := range m.reservations {
 		_, disturbed := m.ledger.Get(t)
 		j := m.jobs[t.Job]
@@ -59,15 +60,15 @@
 
 // renewReservations reserves the room that an earlier leader had reserved, as soon as its machine has reported and if the room
 // is still free and wanted.
-func (m *Manager) renewReservations(now micros.Time) {
+func (m *Manager) renewReservations(now micros.Timestamp) {
 	for t, id := range m.promisedTo {
 		j, mc := m.jobs[t.Job], m.machines[id]
 		_, disturbed := m.ledger.Get(t)
 		switch {
-		case !disturbed || j == nil || now.Sub(m.born) > m.cfg.Reservation:
+		case !disturbed || j == nil || now.Sub(m.born) > m.cfg.ReservationTTL:
 			delete(m.promisedTo, t)
-		case mc != nil && m.usable(now, mc) && m.free(mc).Fits(space.Need(&j.rec.Job)):
-			m.reserve(now, t, mc, space.Need(&j.rec.Job))
+		case mc != nil && m.usable(now, mc) && m.free(mc).Fits(resources.OfTask(&j.rec.Job)):
+			m.reserve(now, t, mc, resources.OfTask(&j.rec.Job))
 			delete(m.promisedTo, t)
 		}
 	}
@@ -90,23 +91,17 @@
 	return first
 }
 
-// Reserved is room that is kept on a machine for tasks of a job and is not part of its free room.
-type Reserved struct {
-	Job string `json:"j"`
-	space.Space
-}
-
 // showReserved gives the reserved room on a machine that may be claimed.
-func (m *Manager) showReserved(mc *machine) []Reserved {
-	room := map[string]space.Space{}
+func (m *Manager) showReserved(mc *machine) []snapshot.Reservation {
+	room := map[string]resources.Vector{}
 	for t, r := range mc.reserved {
 		if m.claimable(r) {
 			room[t.Job] = room[t.Job].Plus(r.need, 1)
 		}
 	}
-	out := make([]Reserved, 0, len(room))
+	out := make([]snapshot.Reservation, 0, len(room))
 	for _, job := range slices.Sorted(maps.Keys(room)) {
-		out = append(out, Reserved{job, room[job]})
+		out = append(out, snapshot.Reservation{Job: job, Vector: room[job]})
 	}
 	return out
 }
--- a/internal/manager/show.go
+++ b/internal/manager/show.go
@@ -6,7 +6,8 @@
 	"slices"
 
 	"saffronbend/internal/micros"
-	"saffronbend/internal/space"
+	"saffronbend/internal/resources"
+	"saffronbend/internal/snapshot"
 	"saffronbend/wire"
 )
 
@@ -14,12 +15,12 @@
 type shown struct {
 	version  uint64
 	changed  bool
-	machines []*MachineView // by name
-	jobs     []*JobView     // by arrival
+	machines []*snapshot.Machine // by name
+	jobs     []*snapshot.Job     // by arrival
 	touched  map[string]bool
 	jobsHit  map[string]bool
 	gone     []goneEntry
-	finished []Finished
+	finished []snapshot.CompletedRun
 	// forgot is the version below which gone entries are no longer known.
 	forgot uint64
 }
@@ -50,27 +51,27 @@
 	m.shown.changed = true
 }
 
-// Changed tells whether anything has happened since the last view.
-func (m *Manager) Changed() bool { return m.shown.changed }
+// SnapshotStale tells whether anything has happened since the last view.
+func (m *Manager) SnapshotStale() bool { return m.shown.changed }
 
-// NextVersion is the version of the next view, the first that shows what has been
+// NextSnapshotVersion is the version of the next view, the first that shows what has been
 // granted until now.
-func (m *Manager) NextVersion() uint64 { return m.shown.version + 1 }
+func (m *Manager) NextSnapshotVersion() uint64 { return m.shown.version + 1 }
 
-// View shows all resources and jobs. Only what has been touched is looked at.
-func (m *Manager) View(now micros.Time) *View {
+// Snapshot shows all resources and jobs. Only what has been touched is looked at.
+func (m *Manager) Snapshot(now micros.Timestamp) *snapshot.Snapshot {
 	sh := &m.shown
 	sh.version++
 	sh.changed = false
 	m.showMachines(now)
 	m.showJobs()
-	v := &View{Token: m.cfg.Token, Version: sh.version, Now: now, StateOK: m.stateOK, Assign: m.assign, Rooms: m.rooms(),
-		Machines: sh.machines, Jobs: sh.jobs, Replacements: m.showReplacements(), Vacated: m.vacated}
+	v := &snapshot.Snapshot{FencingToken: m.cfg.FencingToken, Version: sh.version, Now: now, StoreAvailable: m.stateOK, TeamAssignments: m.assign, QuotaHeadroom: m.rooms(),
+		Machines: sh.machines, Jobs: sh.jobs, Replacements: m.showReplacements(), Vacating: m.vacated}
 	for i := range sh.finished {
 		f := &sh.finished[i]
-		if f.version == 0 {
-			f.version = sh.version
-			v.Finished = append(v.Finished, *f)
+		if f.PublishedIn == 0 {
+			f.PublishedIn = sh.version
+			v.CompletedRuns = append(v.CompletedRuns, *f)
 		}
 	}
 	sh.finished = sh.finished[max(0, len(sh.finished)-sh.mostRuns()):]
@@ -81,39 +82,39 @@
 	return v
 }
 
-// Update gives what a follower that has a version of the view needs to have the newest.
-func (m *Manager) Update(now micros.Time, since uint64) *Update {
+// SnapshotUpdate gives what a follower that has a version of the view needs to have the newest.
+func (m *Manager) SnapshotUpdate(now micros.Timestamp, since uint64) *snapshot.Update {
 	sh := &m.shown
 	if since < sh.forgot {
 		since = 0
 	}
-	u := &Update{Token: m.cfg.Token, Base: since, Version: sh.version, Now: now, StateOK: m.stateOK, Assign: m.assign, Rooms: m.rooms()}
+	u := &snapshot.Update{FencingToken: m.cfg.FencingToken, BaseVersion: since, Version: sh.version, Now: now, StoreAvailable: m.stateOK, TeamAssignments: m.assign, QuotaHeadroom: m.rooms()}
 	for _, mv := range sh.machines {
-		if mv.version > since {
+		if mv.ChangedIn > since {
 			u.Machines = append(u.Machines, mv)
 		}
 	}
 	for _, jv := range sh.jobs {
-		if jv.version > since {
+		if jv.ChangedIn > since {
 			u.Jobs = append(u.Jobs, jv)
 		}
 	}
 	if since != 0 {
 		for _, g := range sh.gone {
 			if g.version > since {
-				u.Gone = append(u.Gone, g.id)
+				u.Removed = append(u.Removed, g.id)
 			}
 		}
 	}
 	for _, f := range sh.finished {
-		if f.version > since {
-			u.Finished = append(u.Finished, f)
+		if f.PublishedIn > since {
+			u.CompletedRuns = append(u.CompletedRuns, f)
 		}
 	}
 	return u
 }
 
-func (m *Manager) showMachines(now micros.Time) {
+func (m *Manager) showMachines(now micros.Timestamp) {
 	sh := &m.shown
 	if len(sh.touched) == 0 {
 		return
@@ -122,7 +123,7 @@
 	list := slices.Clone(sh.machines)
 	for _, id := range slices.Sorted(maps.Keys(sh.touched)) {
 		mc := m.machines[id]
-		i, found := slices.BinarySearchFunc(list, id, func(mv *MachineView, id string) int { return cmp.Compare(mv.ID, id) })
+		i, found := slices.BinarySearchFunc(list, id, func(mv *snapshot.Machine, id string) int { return cmp.Compare(mv.ID, id) })
 		switch {
 		case mc == nil && found:
 			list = slices.Delete(list, i, i+1)
@@ -130,10 +131,10 @@
 		case mc == nil:
 		default:
 			mv := m.showMachine(now, mc)
-			mv.version = sh.version
+			mv.ChangedIn = sh.version
 			if found {
-				if mv.same(list[i]) {
-					mv.version = list[i].version
+				if mv.SameForSchedulers(list[i]) {
+					mv.ChangedIn = list[i].ChangedIn
 				}
 				list[i] = mv
 			} else {
@@ -150,7 +151,7 @@
 	if len(sh.jobsHit) == 0 {
 		return
 	}
-	list := make([]*JobView, 0, len(sh.jobs)+len(sh.jobsHit))
+	list := make([]*snapshot.Job, 0, len(sh.jobs)+len(sh.jobsHit))
 	for _, jv := range sh.jobs {
 		if !sh.jobsHit[jv.ID] {
 			list = append(list, jv)
@@ -163,23 +164,23 @@
 	for id := range sh.jobsHit {
 		if j := m.jobs[id]; j != nil && j.over == "" {
 			jv := m.showJob(j)
-			jv.version = sh.version
+			jv.ChangedIn = sh.version
 			list = append(list, jv)
 		}
 	}
-	slices.SortFunc(list, func(a, b *JobView) int { return cmp.Compare(a.arrival, b.arrival) })
+	slices.SortFunc(list, func(a, b *snapshot.Job) int { return cmp.Compare(a.Arrival, b.Arrival) })
 	sh.jobs = list
 	clear(sh.jobsHit)
 }
 
 // rooms gives what the teams' limits leave them.
-func (m *Manager) rooms() map[string]Room {
-	var out map[string]Room
+func (m *Manager) rooms() map[string]snapshot.QuotaHeadroom {
+	var out map[string]snapshot.QuotaHeadroom
 	for name, t := range m.teams {
 		if t.CPUsMax <= 0 && t.GPUsMax <= 0 {
 			continue
 		}
-		var r Room
+		var r snapshot.QuotaHeadroom
 		if t.CPUsMax > 0 {
 			left := t.CPUsMax - t.cpus
 			r.CPUs = &left
@@ -189,7 +190,7 @@
 			r.GPUs = &left
 		}
 		if out == nil {
-			out = map[string]Room{}
+			out = map[string]snapshot.QuotaHeadroom{}
 		}
 		out[name] = r
 	}
@@ -202,21 +203,21 @@
 	return mc.unlisted > 0 && mc.listed != 0 && mc.listedAt.Sub(mc.listed) > 4*m.cfg.ListLag
 }
 
-func (m *Manager) showMachine(now micros.Time, mc *machine) *MachineView {
-	mv := &MachineView{ID: mc.id, Type: mc.typ, Zone: mc.zone, Spot: mc.spot, Up: mc.up, Usable: m.usable(now, mc), Keep: mc.keep,
+func (m *Manager) showMachine(now micros.Timestamp, mc *machine) *snapshot.Machine {
+	mv := &snapshot.Machine{ID: mc.id, Type: mc.typ, Zone: mc.zone, Spot: mc.spot, Up: mc.up, Usable: m.usable(now, mc), ReservedForJob: mc.keep,
 		State: mc.state, Failed: mc.state == wire.MachineFailed, Deleting: mc.deleting,
-		Suspect: mc.suspect, Missing: m.missing(mc), Born: mc.born, Heard: mc.lastHeard, Deaf: mc.deaf}
+		QuarantineReason: mc.suspect, Unlisted: m.missing(mc), RegisteredAt: mc.born, LastHeartbeat: mc.lastHeard, UnreachableSince: mc.deaf}
 	mc.shownUsable = mv.Usable
-	mv.Doubt = mc.fails > 0 || mc.slow > 0 || now < mc.doubtUntil
-	mv.Space = m.free(mc).AtLeastNone()
+	mv.Unreliable = mc.fails > 0 || mc.slow > 0 || now < mc.doubtUntil
+	mv.Vector = m.free(mc).NonNegative()
 	mv.Reserved = m.showReserved(mc)
 	// A machine that has just come up reports twice before it is usable: the second
 	// time it has our token.
-	mv.Coming = mc.spec != nil && mc.notice == 0 && !mc.deleting && mc.suspect == "" && !mv.Failed && !m.cordons[mc.id] &&
-		(mc.state == wire.MachineStarting && !mc.up || !mc.confirmed && now.Sub(mc.lastHeard) < m.cfg.Lease)
-	mv.Stuck = !mc.confirmed && len(mc.attempts) > 0
+	mv.ExpectedSoon = mc.spec != nil && mc.notice == 0 && !mc.deleting && mc.suspect == "" && !mv.Failed && !m.cordons[mc.id] &&
+		(mc.state == wire.MachineStarting && !mc.up || !mc.confirmed && now.Sub(mc.lastHeard) < m.cfg.WorkerLease)
+	mv.NeedsDeletion = !mc.confirmed && len(mc.attempts) > 0
 	if len(mc.attempts) == 0 && len(mc.strays) == 0 && len(mc.reserved) == 0 {
-		mv.Idle = max(1, mc.idleSince)
+		mv.IdleSince = max(1, mc.idleSince)
 	}
 	for _, name := range slices.Sorted(maps.Keys(mc.images)) {
 		if mc.images[name].ready {
@@ -232,39 +233,27 @@
 		if !ok {
 			i = len(mv.Leases)
 			groups[jb.ID] = i
-			mv.Leases = append(mv.Leases, LeaseGroup{Job: jb.ID, Space: space.Need(jb)})
+			mv.Leases = append(mv.Leases, snapshot.JobLeases{Job: jb.ID, Vector: resources.OfTask(jb)})
 		}
-		mv.Leases[i].Leases = append(mv.Leases[i].Leases, Lease{Attempt: a.id, Ends: a.leaseEnd, Waiter: a.waiter,
-			Until: a.waiterUntil, Due: m.expectedEnd(now, a)})
+		mv.Leases[i].Leases = append(mv.Leases[i].Leases, snapshot.Lease{Attempt: a.id, Expiry: a.leaseEnd, Waiter: a.waiter,
+			WaiterUntil: a.waiterUntil, ExpectedEnd: m.expectedEnd(now, a)})
 	}
 	return mv
 }
 
-// same tells whether schedulers see the machine as in an earlier view.
-func (m *MachineView) same(o *MachineView) bool {
-	return m.Type == o.Type && m.Zone == o.Zone && m.Spot == o.Spot && m.Usable == o.Usable && m.Space == o.Space &&
-		m.Keep == o.Keep && m.Doubt == o.Doubt && slices.Equal(m.Reserved, o.Reserved) && slices.Equal(m.Images, o.Images) &&
-		slices.Equal(m.Fetching, o.Fetching) &&
-		slices.EqualFunc(m.Leases, o.Leases, func(a, b LeaseGroup) bool {
-			return a.Job == b.Job && slices.EqualFunc(a.Leases, b.Leases, func(x, y Lease) bool {
-				return x.Attempt == y.Attempt && x.Ends == y.Ends && x.Waiter == y.Waiter && x.Until == y.Until
-			})
-		})
-}
-
-func (m *Manager) showJob(j *job) *JobView {
+func (m *Manager) showJob(j *job) *snapshot.Job {
 	jb := &j.rec.Job
-	jv := &JobView{ID: jb.ID, Class: jb.Class, Team: jb.Team, Priority: jb.Priority(), Space: space.Need(jb),
+	jv := &snapshot.Job{ID: jb.ID, Class: jb.Class, Team: jb.Team, Priority: jb.Priority(), Vector: resources.OfTask(jb),
 		Image: jb.Image, ImageGB: jb.ImageGB, Types: jb.Types, Zone: jb.Zone, Spot: jb.Spot,
-		OneZone: jb.OneZone, Gang: j.gang != nil, Estimate: m.estimate(j), Waiting: j.waiting, Active: len(j.active),
-		Done: j.done, NotBefore: j.notBefore, Born: j.born, Due: j.due, Since: j.waitSince, arrival: j.arrival}
-	if jb.Spread {
-		jv.ZoneMax = (jb.Tasks + 1) / 2
+		SameZone: jb.SameZone, Gang: j.gang != nil, Estimate: m.estimate(j), Waiting: j.waiting, Active: len(j.active),
+		Done: j.done, NotBefore: j.notBefore, AcceptedAt: j.born, Deadline: j.due, WaitingSince: j.waitSince, Arrival: j.arrival}
+	if jb.SpreadZones {
+		jv.MaxPerZone = (jb.Tasks + 1) / 2
 	}
-	if jb.OneZone || jb.Spread {
-		jv.InZone = map[string]int{}
+	if jb.SameZone || jb.SpreadZones {
+		jv.ActiveByZone = map[string]int{}
 		for _, a := range j.active {
-			jv.InZone[a.machine.zone]++
+			jv.ActiveByZone[a.machine.zone]++
 		}
 	}
 	for _, a := range j.active {
@@ -273,7 +262,7 @@
 		}
 	}
 	if len(j.failed) < 3 {
-		jv.Avoid = slices.Sorted(maps.Keys(j.failed))
+		jv.AvoidMachines = slices.Sorted(maps.Keys(j.failed))
 	}
 	return jv
 }
--- a/internal/manager/writes.go
+++ b/internal/manager/writes.go
@@ -19,7 +19,7 @@
 
 type batch struct {
 	id       uint64
-	began    micros.Time
+	began    micros.Timestamp
 	chunks   []dirtyChunk
 	attempts []*attempt
 	// disruptions are the chunks of which the record of disturbed tasks changes, too.
@@ -38,8 +38,8 @@
 }
 
 // touch marks the chunk of a task for writing.
-func (m *Manager) touch(now micros.Time, j *job, task int, launch bool) {
-	n := task / j.rec.Chunk
+func (m *Manager) touch(now micros.Timestamp, j *job, task int, launch bool) {
+	n := task / j.rec.ShardSize
 	c := m.chunkOf(j, task)
 	c.launch = c.launch || launch
 	if !c.dirty {
@@ -50,7 +50,7 @@
 }
 
 // chunkOf is the progress record of a task.
-func (m *Manager) chunkOf(j *job, task int) *chunk { return j.chunk(task / j.rec.Chunk) }
+func (m *Manager) chunkOf(j *job, task int) *chunk { return j.chunk(task / j.rec.ShardSize) }
 
 // chunk is the progress record of a number.
 func (j *job) chunk(n int) *chunk {
@@ -62,34 +62,34 @@
 	return c
 }
 
-// Change is a durable change with the version that its key must have. Value nil
+// RecordChange is a durable change with the version that its key must have. Value nil
 // deletes the key.
-type Change struct {
+type RecordChange struct {
 	Key     string
 	Version uint64
 	Value   any
-	// Mark is found in the value of a chunk once this write has been carried out.
-	Mark string
+	// IdempotencyMark is found in the value of a chunk once this write has been carried out.
+	IdempotencyMark string
 }
 
-// Write is a transaction to be carried out under the leader's key.
-type Write struct {
+// WriteBatch is a transaction to be carried out under the leader's key.
+type WriteBatch struct {
 	ID      uint64
-	Changes []Change
-	// Open are the open records of the jobs that it completes or places tasks of, with the versions that
+	Changes []RecordChange
+	// OpenRecordConditions are the open records of the jobs that it completes or places tasks of, with the versions that
 	// they must have: a user may have cancelled a job through another controller.
-	Open []Change
+	OpenRecordConditions []RecordChange
 }
 
 // NextWrite gives the next transaction, if one is due and none is out: first what completes jobs, then progress, then what
 // deletes the records of jobs that are over.
-func (m *Manager) NextWrite(now micros.Time) *Write {
+func (m *Manager) NextWrite(now micros.Timestamp) *WriteBatch {
 	if m.writeOut != nil {
 		return nil
 	}
 	b := &batch{id: m.writeNo + 1, cleaned: map[string][]int{}}
-	w := &Write{ID: b.id}
-	mark := strconv.FormatUint(m.cfg.Token, 36) + "." + strconv.FormatUint(b.id, 36)
+	w := &WriteBatch{ID: b.id}
+	mark := strconv.FormatUint(m.cfg.FencingToken, 36) + "." + strconv.FormatUint(b.id, 36)
 	maxOps := m.limits.ops
 	m.completeJobs(now, b, w, maxOps)
 	m.writeChunks(now, b, w, maxOps, mark)
@@ -102,7 +102,7 @@
 	}
 	slices.Sort(b.open)
 	for _, id := range slices.Compact(b.open) {
-		w.Open = append(w.Open, Change{Key: state.OpenKey(id), Version: m.jobs[id].version})
+		w.OpenRecordConditions = append(w.OpenRecordConditions, RecordChange{Key: state.OpenKey(id), Version: m.jobs[id].version})
 	}
 	m.writeNo++
 	b.began = now
@@ -112,7 +112,7 @@
 
 // completeJobs adds the jobs to a write whose tasks are all done. Each is final in one transaction, together with its records
 // where they fit: its tasks need no record of their own then.
-func (m *Manager) completeJobs(now micros.Time, b *batch, w *Write, maxOps int) {
+func (m *Manager) completeJobs(now micros.Timestamp, b *batch, w *WriteBatch, maxOps int) {
 	for i := 0; i < len(m.finals) && len(w.Changes)+2 <= maxOps; {
 		id := m.finals[i]
 		j := m.jobs[id]
@@ -133,19 +133,19 @@
 		j.finalOut = true
 		b.finals = append(b.finals, id)
 		b.open = append(b.open, id)
-		w.Changes = append(w.Changes, Change{Key: state.StatusKey(id), Version: j.version, Value: state.StatusRecord{Status: wire.JobDone}})
+		w.Changes = append(w.Changes, RecordChange{Key: state.StatusKey(id), Version: j.version, Value: state.StatusRecord{Status: wire.JobDone}})
 		if full {
-			w.Changes = append(w.Changes, Change{Key: state.OpenKey(id), Version: j.version})
+			w.Changes = append(w.Changes, RecordChange{Key: state.OpenKey(id), Version: j.version})
 			w.Changes = append(w.Changes, deletions...)
 			b.closed = append(b.closed, id)
 		} else {
-			w.Changes = append(w.Changes, Change{Key: state.OpenKey(id), Version: j.version, Value: j.rec.Closed(wire.JobDone)})
+			w.Changes = append(w.Changes, RecordChange{Key: state.OpenKey(id), Version: j.version, Value: j.rec.Finalized(wire.JobDone)})
 		}
 	}
 }
 
 // deleteRecords adds the deletion of the records of jobs that are over, as far as there is room in the write.
-func (m *Manager) deleteRecords(now micros.Time, b *batch, w *Write, maxOps int) {
+func (m *Manager) deleteRecords(now micros.Timestamp, b *batch, w *WriteBatch, maxOps int) {
 	for i := 0; i < len(m.cleanup) && len(w.Changes) < maxOps; {
 		id := m.cleanup[i]
 		j := m.jobs[id]
@@ -161,14 +161,14 @@
 		if !j.deleteChunks(b, w, maxOps) || len(w.Changes) >= maxOps {
 			return
 		}
-		w.Changes = append(w.Changes, Change{Key: state.OpenKey(id), Version: j.version})
+		w.Changes = append(w.Changes, RecordChange{Key: state.OpenKey(id), Version: j.version})
 		b.closed = append(b.closed, id)
 		m.cleanup = slices.Delete(m.cleanup, i, i+1)
 	}
 }
 
 // deleteChunks adds the deletion of a job's chunks to a write; all: they have found room in it.
-func (j *job) deleteChunks(b *batch, w *Write, maxOps int) (all bool) {
+func (j *job) deleteChunks(b *batch, w *WriteBatch, maxOps int) (all bool) {
 	id := j.rec.Job.ID
 	for _, n := range slices.Sorted(maps.Keys(j.chunks)) {
 		c := j.chunks[n]
@@ -187,20 +187,20 @@
 }
 
 // deletions gives the changes that delete a chunk's records.
-func (c *chunk) deletions(id string, n int) []Change {
-	var out []Change
+func (c *chunk) deletions(id string, n int) []RecordChange {
+	var out []RecordChange
 	if c.version != 0 {
-		out = append(out, Change{Key: state.ChunkKey(id, n), Version: c.version})
+		out = append(out, RecordChange{Key: state.ProgressKey(id, n), Version: c.version})
 	}
 	if c.disruption.version != 0 {
-		out = append(out, Change{Key: state.DisruptionKey(id, n), Version: c.disruption.version})
+		out = append(out, RecordChange{Key: state.DisruptionKey(id, n), Version: c.disruption.version})
 	}
 	return out
 }
 
 // deletions gives the changes that delete all of a job's records of progress and of disturbed tasks.
-func (j *job) deletions() []Change {
-	var out []Change
+func (j *job) deletions() []RecordChange {
+	var out []RecordChange
 	for _, n := range slices.Sorted(maps.Keys(j.chunks)) {
 		out = append(out, j.chunks[n].deletions(j.rec.Job.ID, n)...)
 	}
@@ -213,13 +213,13 @@
 // launches and the results that people wait for.
 const gather, mostGather, writesPerGather = 2 * micros.Second, 15 * micros.Second, 10
 
-func (m *Manager) gathering() micros.Span {
+func (m *Manager) gathering() micros.Duration {
 	return min(mostGather, max(gather, writesPerGather*m.writeTook))
 }
 
 // writeChunks adds progress to a write: first what launches wait for, then, while no
 // transaction is worth keeping free for them, what has waited long enough.
-func (m *Manager) writeChunks(now micros.Time, b *batch, w *Write, maxOps int, mark string) {
+func (m *Manager) writeChunks(now micros.Timestamp, b *batch, w *WriteBatch, maxOps int, mark string) {
 	gather := m.gathering()
 	m.urgentFirst(maxOps)
 	for _, launches := range []bool{true, false} {
@@ -234,7 +234,7 @@
 			}
 			c := j.chunks[d.chunk]
 			if len(w.Changes) >= maxOps || launches != c.launch || !launches && now.Sub(c.since) < gather || now < j.holdUntil ||
-				!m.limits.takes(j, d.chunk*j.rec.Chunk, 0) {
+				!m.limits.takes(j, d.chunk*j.rec.ShardSize, 0) {
 				rest = append(rest, d)
 				continue
 			}
@@ -264,12 +264,12 @@
 	if len(m.dirty) <= maxOps {
 		return
 	}
-	rank := func(d dirtyChunk) micros.Time {
+	rank := func(d dirtyChunk) micros.Timestamp {
 		j := m.jobs[d.job]
 		if j == nil {
 			return 0
 		}
-		return j.chunks[d.chunk].since.Add(-headStart * micros.Span(j.rec.Job.Priority()))
+		return j.chunks[d.chunk].since.Add(-headStart * micros.Duration(j.rec.Job.Priority()))
 	}
 	slices.SortStableFunc(m.dirty, func(a, b dirtyChunk) int { return cmp.Compare(rank(a), rank(b)) })
 }
@@ -278,13 +278,13 @@
 // seconds, so that nothing new is to be promised to a job: the more urgent it is, or if it has
 // waited long, the later. What can't be written for long would only hold room, and jobs that
 // are placed bit by bit take a write for each bit.
-func (m *Manager) backlogged(now micros.Time, j *job) bool {
+func (m *Manager) backlogged(now micros.Timestamp, j *job) bool {
 	const patience, overdue = 2 * micros.Second, 5
 	if m.writeTook <= 0 {
 		return false
 	}
-	times := 1 + micros.Span(j.rec.Job.Priority())
-	if now.Sub(j.waitSince) > m.cfg.Tuning.KeepAfter {
+	times := 1 + micros.Duration(j.rec.Job.Priority())
+	if now.Sub(j.waitSince) > m.cfg.Tuning.ReserveAfter {
 		times = overdue
 	}
 	most := int(patience*times/m.writeTook) * m.limits.ops
@@ -300,13 +300,13 @@
 	return launches > most
 }
 
-func (m *Manager) chunkChange(b *batch, j *job, d dirtyChunk, mark string) Change {
+func (m *Manager) chunkChange(b *batch, j *job, d dirtyChunk, mark string) RecordChange {
 	c := j.chunks[d.chunk]
 	c.dirty, c.launch = false, false
 	b.chunks = append(b.chunks, d)
-	base := d.chunk * j.rec.Chunk
-	size := min(j.rec.Chunk, len(j.tasks)-base)
-	rec := state.ChunkRecord{Write: mark}
+	base := d.chunk * j.rec.ShardSize
+	size := min(j.rec.ShardSize, len(j.tasks)-base)
+	rec := state.ProgressRecord{IdempotencyMark: mark}
 	rec.Done = state.EncodeDone(size, func(i int) bool { return j.tasks[base+i] >= taskDone })
 	for i := range size {
 		t := base + i
@@ -321,7 +321,7 @@
 			}
 		}
 	}
-	return Change{Key: state.ChunkKey(j.rec.Job.ID, d.chunk), Version: c.version, Value: rec, Mark: mark}
+	return RecordChange{Key: state.ProgressKey(j.rec.Job.ID, d.chunk), Version: c.version, Value: rec, IdempotencyMark: mark}
 }
 
 // jobs gives the jobs whose records the write changes.
@@ -344,8 +344,8 @@
 	return b
 }
 
-// Written takes the outcome of a write that was carried out.
-func (m *Manager) Written(now micros.Time, id, revision uint64) {
+// WriteCommitted takes the outcome of a write that was carried out.
+func (m *Manager) WriteCommitted(now micros.Timestamp, id, revision uint64) {
 	b := m.endWrite(id)
 	if b == nil {
 		return
@@ -365,7 +365,7 @@
 		a.durable = true
 		m.direct[a.machine.id] = true
 		if j := a.job; j.gang != nil && j.active[a.task] == a {
-			m.follow(now, j, j.gang.Recorded(), disruption.Gang)
+			m.follow(now, j, j.gang.PlacementDurable(), disruption.Gang)
 		}
 	}
 	for _, d := range b.done {
@@ -401,16 +401,16 @@
 	m.shown.changed = true
 }
 
-// WriteConflict takes the outcome of a write that changed nothing because a user has
+// WriteConflicted takes the outcome of a write that changed nothing because a user has
 // cancelled a job of it meanwhile. What has become of its jobs has been told before.
-func (m *Manager) WriteConflict(now micros.Time, id uint64) {
+func (m *Manager) WriteConflicted(now micros.Timestamp, id uint64) {
 	b := m.endWrite(id)
 	if b == nil {
 		return
 	}
 	for _, d := range b.chunks {
 		if j := m.jobs[d.job]; j != nil {
-			m.touch(now, j, d.chunk*j.rec.Chunk, true)
+			m.touch(now, j, d.chunk*j.rec.ShardSize, true)
 		}
 	}
 	for id, ns := range b.cleaned {
--- a/internal/micros/micros.go
+++ b/internal/micros/micros.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// Time is an instant on this process's steady clock, in microseconds.
-type Time int64
+// Timestamp is an instant on this process's steady clock, in microseconds.
+type Timestamp int64
 
-// Span is a length of time in microseconds.
-type Span int64
+// Duration is a length of time in microseconds.
+type Duration int64
 
 // Common lengths.
 const (
-	Millisecond Span = 1000
-	Second      Span = 1000 * Millisecond
-	Minute      Span = 60 * Second
+	Millisecond Duration = 1000
+	Second      Duration = 1000 * Millisecond
+	Minute      Duration = 60 * Second
 	// Forever is longer than any wait the service makes.
-	Forever Span = math.MaxInt64 / 4
+	Forever Duration = math.MaxInt64 / 4
 )
 
 // Seconds converts a decimal number of seconds, clamping what does not fit.
-func Seconds(s float64) Span {
+func Seconds(s float64) Duration {
 	us := math.Round(s * 1e6)
 	switch {
 	case math.IsNaN(us):
@@ -35,14 +35,14 @@
 	case us < -float64(Forever):
 		return -Forever
 	}
-	return Span(us)
+	return Duration(us)
 }
 
 // Seconds gives the span as a decimal number of seconds.
-func (s Span) Seconds() float64 { return float64(s) / 1e6 }
+func (s Duration) Seconds() float64 { return float64(s) / 1e6 }
 
-// Duration converts to the standard library's type, for timers.
-func (s Span) Duration() time.Duration {
+// Std converts to the standard library's type, for timers.
+func (s Duration) Std() time.Duration {
 	if s > Forever/1000 {
 		s = Forever / 1000
 	}
@@ -50,13 +50,13 @@
 }
 
 // Scale multiplies the span by a factor.
-func (s Span) Scale(f float64) Span { return Seconds(s.Seconds() * f) }
+func (s Duration) Scale(f float64) Duration { return Seconds(s.Seconds() * f) }
 
 // Add gives the instant s later.
-func (t Time) Add(s Span) Time { return t + Time(s) }
+func (t Timestamp) Add(s Duration) Timestamp { return t + Timestamp(s) }
 
 // Sub gives the time from u to t.
-func (t Time) Sub(u Time) Span { return Span(t - u) }
+func (t Timestamp) Sub(u Timestamp) Duration { return Duration(t - u) }
 
 // Clock reads the steady clock and the time of day.
 type Clock struct{ start time.Time }
@@ -66,7 +66,7 @@
 func NewClock() Clock { return Clock{start: time.Now().Add(-time.Second)} }
 
 // Now reads the steady clock.
-func (c Clock) Now() Time { return Time(time.Since(c.start).Microseconds()) }
+func (c Clock) Now() Timestamp { return Timestamp(time.Since(c.start).Microseconds()) }
 
 // Wall gives the time of day in microseconds since 1970.
 func (c Clock) Wall() int64 { return time.Now().UnixMicro() }
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -16,10 +16,10 @@
 	"saffronbend/internal/operator/operatorpb/operatorpbconnect"
 )
 
-var errStep = errors.New("a step has at most " + strconv.Itoa(drain.MostStep) + " machines")
+var errStep = errors.New("a step has at most " + strconv.Itoa(drain.MaxStep) + " machines")
 
-// Drains carries out the operators' requests on the leader.
-type Drains interface {
+// DrainController carries out the operators' requests on the leader.
+type DrainController interface {
 	Leader
 	StartDrain(ctx context.Context, r drain.Request) (drain.Status, error)
 	ChangeDrain(ctx context.Context, name string, to drain.State) (drain.Status, error)
@@ -30,17 +30,17 @@
 // drainService adapts Drains to the generated interface.
 type drainService struct {
 	forwarder[operatorpbconnect.DrainServiceClient]
-	drains Drains
+	drains DrainController
 }
 
 // DrainHandler gives the path below which the service of drains is served, and its handler.
-func DrainHandler(d Drains, dial call.Dialer) (path string, h http.Handler) {
-	s := &drainService{forwarder[operatorpbconnect.DrainServiceClient]{d, dial, NewClient}, d}
+func DrainHandler(d DrainController, dial call.Dialer) (path string, h http.Handler) {
+	s := &drainService{forwarder[operatorpbconnect.DrainServiceClient]{d, dial, NewDrainClient}, d}
 	return operatorpbconnect.NewDrainServiceHandler(s, connect.WithReadMaxBytes(mostMessage))
 }
 
-// NewClient makes a client for the service of drains on a cluster address.
-func NewClient(dial call.Dialer, addr string) (client operatorpbconnect.DrainServiceClient, closeIdle func()) {
+// NewDrainClient makes a client for the service of drains on a cluster address.
+func NewDrainClient(dial call.Dialer, addr string) (client operatorpbconnect.DrainServiceClient, closeIdle func()) {
 	return newClient(operatorpbconnect.NewDrainServiceClient, dial, addr)
 }
 
@@ -55,7 +55,7 @@
 }
 
 func decodeStart(m *operatorpb.StartDrainRequest) (drain.Request, error) {
-	if m.Step > drain.MostStep {
+	if m.Step > drain.MaxStep {
 		return drain.Request{}, errStep
 	}
 	if math.IsNaN(m.DeadlineS) || math.IsNaN(m.OlderThanS) {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -18,9 +18,9 @@
 
 // Errors that a controller answers with.
 var (
-	ErrOff         = errors.New("drains are switched off: set drains { enabled: true } in the options")
-	ErrSpreadOff   = errors.New("moves are switched off: set spread { enabled: true } in the options")
-	ErrUnavailable = errors.New("no leader can make this durable now")
+	ErrDrainsDisabled      = errors.New("drains are switched off: set drains { enabled: true } in the options")
+	ErrRebalancingDisabled = errors.New("moves are switched off: set spread { enabled: true } in the options")
+	ErrUnavailable         = errors.New("no leader can make this durable now")
 )
 
 const (
@@ -83,9 +83,9 @@
 	err  error
 	code connect.Code
 }{
-	{ErrUnavailable, connect.CodeUnavailable}, {ErrOff, connect.CodeFailedPrecondition}, {ErrSpreadOff, connect.CodeFailedPrecondition},
+	{ErrUnavailable, connect.CodeUnavailable}, {ErrDrainsDisabled, connect.CodeFailedPrecondition}, {ErrRebalancingDisabled, connect.CodeFailedPrecondition},
 	{drain.ErrUnknown, connect.CodeNotFound}, {drain.ErrMachine, connect.CodeNotFound}, {drain.ErrTeam, connect.CodeNotFound},
-	{drain.ErrEmpty, connect.CodeNotFound}, {drain.ErrNameInUse, connect.CodeAlreadyExists}, {drain.ErrOver, connect.CodeFailedPrecondition},
+	{drain.ErrEmpty, connect.CodeNotFound}, {drain.ErrNameInUse, connect.CodeAlreadyExists}, {drain.ErrEnded, connect.CodeFailedPrecondition},
 	{drain.ErrTooMany, connect.CodeResourceExhausted}, {drain.ErrName, connect.CodeInvalidArgument}, {drain.ErrSelection, connect.CodeInvalidArgument},
 	{drain.ErrDeadline, connect.CodeInvalidArgument}, {errStep, connect.CodeInvalidArgument}, {disruption.ErrBudget, connect.CodeInvalidArgument},
 }
--- a/internal/operator/spread.go
+++ b/internal/operator/spread.go
@@ -16,8 +16,8 @@
 // answer has to fit into a message.
 const defaultMachines, mostMachines = 20, 2000
 
-// Spread carries out the operators' requests about moves on the leader.
-type Spread interface {
+// Rebalancing carries out the operators' requests about moves on the leader.
+type Rebalancing interface {
 	Leader
 	// SpreadStatus shows the so many machines with the most load.
 	SpreadStatus(ctx context.Context, machines int) (rebalance.Status, error)
@@ -28,17 +28,17 @@
 // spreadService adapts Spread to the generated interface.
 type spreadService struct {
 	forwarder[operatorpbconnect.SpreadServiceClient]
-	spread Spread
+	spread Rebalancing
 }
 
-// SpreadHandler gives the path below which the service of moves is served, and its handler.
-func SpreadHandler(sp Spread, dial call.Dialer) (path string, h http.Handler) {
-	s := &spreadService{forwarder[operatorpbconnect.SpreadServiceClient]{sp, dial, NewSpreadClient}, sp}
+// RebalancingHandler gives the path below which the service of moves is served, and its handler.
+func RebalancingHandler(sp Rebalancing, dial call.Dialer) (path string, h http.Handler) {
+	s := &spreadService{forwarder[operatorpbconnect.SpreadServiceClient]{sp, dial, NewRebalancingClient}, sp}
 	return operatorpbconnect.NewSpreadServiceHandler(s, connect.WithReadMaxBytes(mostMessage))
 }
 
-// NewSpreadClient makes a client for the service of moves on a cluster address.
-func NewSpreadClient(dial call.Dialer, addr string) (client operatorpbconnect.SpreadServiceClient, closeIdle func()) {
+// NewRebalancingClient makes a client for the service of moves on a cluster address.
+func NewRebalancingClient(dial call.Dialer, addr string) (client operatorpbconnect.SpreadServiceClient, closeIdle func()) {
 	return newClient(operatorpbconnect.NewSpreadServiceClient, dial, addr)
 }
 
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -15,7 +15,8 @@
 	"github.com/julienschmidt/httprouter"
 
 	"saffronbend/internal/call"
-	"saffronbend/internal/manager"
+	"saffronbend/internal/lease"
+	"saffronbend/internal/snapshot"
 	"saffronbend/wire"
 )
 
@@ -24,18 +25,18 @@
 // ErrNotLeader says that the controller asked does not lead under that token.
 var ErrNotLeader = errors.New("the controller does not lead")
 
-// Asks carries a controller's lease requests. It is sent regularly, also without any,
+// LeaseRequests carries a controller's lease requests. It is sent regularly, also without any,
 // as a sign of life.
-type Asks struct {
-	Member   string            `json:"member"`
-	Token    uint64            `json:"token"`
-	Requests []manager.Request `json:"requests,omitempty"`
+type LeaseRequests struct {
+	Member       string              `json:"member"`
+	FencingToken uint64              `json:"token"`
+	Requests     []lease.Transaction `json:"requests,omitempty"`
 }
 
-// Answers carries their results. They show in the view from Version on.
-type Answers struct {
-	Version uint64           `json:"version"`
-	Results []manager.Result `json:"results,omitempty"`
+// LeaseResponses carries their results. They show in the view from Version on.
+type LeaseResponses struct {
+	SnapshotVersion uint64         `json:"version"`
+	Results         []lease.Result `json:"results,omitempty"`
 }
 
 // Leader is what a controller offers to the others.
@@ -43,34 +44,34 @@
 	// Subscribe enters a follower of a term until ctx ends; nil if there is no such term.
 	// What it gives waits for a view newer than that of a version, and gives the changes
 	// since; nil when the term is over.
-	Subscribe(ctx context.Context, member string, token uint64) func(since uint64) *manager.Update
-	// Ask serves lease requests.
-	Ask(ctx context.Context, a Asks) (*Answers, error)
-	// Announced takes another controller's word that it leads.
-	Announced(ctx context.Context, a Announcement)
-	// Relayed serves a worker's report that came to another controller.
-	Relayed(ctx context.Context, r Relay) (*RelayAnswer, error)
+	Subscribe(ctx context.Context, member string, token uint64) func(since uint64) *snapshot.Update
+	// RequestLeases serves lease requests.
+	RequestLeases(ctx context.Context, a LeaseRequests) (*LeaseResponses, error)
+	// LeaderAnnounced takes another controller's word that it leads.
+	LeaderAnnounced(ctx context.Context, a Announcement)
+	// HeartbeatRelayed serves a worker's report that came to another controller.
+	HeartbeatRelayed(ctx context.Context, r RelayedHeartbeat) (*RelayResponse, error)
 }
 
-// Relay passes on a report of a worker that the leader does not answer though it has its
+// RelayedHeartbeat passes on a report of a worker that the leader does not answer though it has its
 // token.
-type Relay struct {
-	Member string       `json:"member"`
-	Token  uint64       `json:"token"`
-	Report *wire.Report `json:"report"`
+type RelayedHeartbeat struct {
+	Member       string          `json:"member"`
+	FencingToken uint64          `json:"token"`
+	Heartbeat    *wire.Heartbeat `json:"report"`
 }
 
-// RelayAnswer is the leader's answer to the worker. Reached says that the leader's orders
+// RelayResponse is the leader's answer to the worker. Reached says that the leader's orders
 // reach the worker again, so it may be sent there.
-type RelayAnswer struct {
-	Answer  *wire.ReportAnswer `json:"answer,omitempty"`
-	Reached bool               `json:"reached,omitempty"`
+type RelayResponse struct {
+	Response          *wire.HeartbeatResponse `json:"answer,omitempty"`
+	CommandsDelivered bool                    `json:"reached,omitempty"`
 }
 
 // Announcement says who leads under which token.
 type Announcement struct {
-	Member string `json:"member"`
-	Token  uint64 `json:"token"`
+	Member       string `json:"member"`
+	FencingToken uint64 `json:"token"`
 }
 
 const (
@@ -96,15 +97,15 @@
 		r.Handler(http.MethodPost, o.Prefix+"*method", o.Handler)
 	}
 	r.GET(pathView, func(w http.ResponseWriter, req *http.Request, _ httprouter.Params) { serveView(w, req, leader) })
-	r.POST(pathAsk, serve(leader.Ask))
-	r.POST(pathPass, serve(leader.Relayed))
+	r.POST(pathAsk, serve(leader.RequestLeases))
+	r.POST(pathPass, serve(leader.HeartbeatRelayed))
 	r.POST(pathLead, func(w http.ResponseWriter, req *http.Request, _ httprouter.Params) {
 		var a Announcement
 		if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxAsks)).Decode(&a); err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		leader.Announced(req.Context(), a)
+		leader.LeaderAnnounced(req.Context(), a)
 	})
 	srv := &http.Server{Handler: r, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute,
 		BaseContext: func(net.Listener) context.Context { return ctx }, Protocols: call.HTTP2(), MaxHeaderBytes: 16 << 10}
@@ -172,9 +173,9 @@
 // Close ends the client's connections.
 func (c *Client) Close() { c.tr.CloseIdleConnections() }
 
-// Updates follows the leader's view until the stream breaks, ctx ends, or an update is
+// FollowSnapshots follows the leader's view until the stream breaks, ctx ends, or an update is
 // not accepted.
-func (c *Client) Updates(ctx context.Context, each func(*manager.Update) bool) error {
+func (c *Client) FollowSnapshots(ctx context.Context, each func(*snapshot.Update) bool) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	watchdog := time.AfterFunc(silence, func() { cancel(errors.New("the stream has fallen silent")) })
@@ -194,7 +195,7 @@
 	}
 	dec := json.NewDecoder(resp.Body)
 	for {
-		u := new(manager.Update)
+		u := new(snapshot.Update)
 		if err := dec.Decode(u); err != nil {
 			if cause := context.Cause(ctx); cause != nil {
 				err = cause
@@ -208,19 +209,19 @@
 	}
 }
 
-// Ask sends lease requests.
-func (c *Client) Ask(ctx context.Context, requests []manager.Request) (*Answers, error) {
-	var ans Answers
-	if err := c.post(ctx, pathAsk, Asks{Member: c.member, Token: c.token, Requests: requests}, &ans); err != nil {
+// RequestLeases sends lease requests.
+func (c *Client) RequestLeases(ctx context.Context, requests []lease.Transaction) (*LeaseResponses, error) {
+	var ans LeaseResponses
+	if err := c.post(ctx, pathAsk, LeaseRequests{Member: c.member, FencingToken: c.token, Requests: requests}, &ans); err != nil {
 		return nil, err
 	}
 	return &ans, nil
 }
 
-// Relay passes a worker's report on.
-func (c *Client) Relay(ctx context.Context, r *wire.Report) (*RelayAnswer, error) {
-	var ans RelayAnswer
-	if err := c.post(ctx, pathPass, Relay{Member: c.member, Token: c.token, Report: r}, &ans); err != nil {
+// RelayHeartbeat passes a worker's report on.
+func (c *Client) RelayHeartbeat(ctx context.Context, r *wire.Heartbeat) (*RelayResponse, error) {
+	var ans RelayResponse
+	if err := c.post(ctx, pathPass, RelayedHeartbeat{Member: c.member, FencingToken: c.token, Heartbeat: r}, &ans); err != nil {
 		return nil, err
 	}
 	return &ans, nil
@@ -228,7 +229,7 @@
 
 // Announce says that this client's controller leads under its token.
 func (c *Client) Announce(ctx context.Context) error {
-	return c.post(ctx, pathLead, Announcement{Member: c.member, Token: c.token}, nil)
+	return c.post(ctx, pathLead, Announcement{Member: c.member, FencingToken: c.token}, nil)
 }
 
 func (c *Client) post(ctx context.Context, path string, in, out any) error {
--- a/internal/rebalance/load.go
+++ b/internal/rebalance/load.go
@@ -4,26 +4,26 @@
 	"math"
 
 	"saffronbend/internal/micros"
-	"saffronbend/internal/space"
+	"saffronbend/internal/resources"
 )
 
 // usage is what is used of a machine, in all and by team.
 type usage struct {
-	whole space.Space
-	all   space.Space
-	teams map[string]space.Space
+	whole resources.Vector
+	all   resources.Vector
+	teams map[string]resources.Vector
 }
 
-func newUsage(whole space.Space) *usage {
-	return &usage{whole: whole, teams: map[string]space.Space{}}
+func newUsage(whole resources.Vector) *usage {
+	return &usage{whole: whole, teams: map[string]resources.Vector{}}
 }
 
-func (u *usage) add(team string, need space.Space) {
+func (u *usage) add(team string, need resources.Vector) {
 	u.all = u.all.Plus(need, 1)
 	u.teams[team] = u.teams[team].Plus(need, 1)
 }
 
-func (u *usage) remove(team string, need space.Space) {
+func (u *usage) remove(team string, need resources.Vector) {
 	u.all = u.all.Plus(need, -1)
 	u.teams[team] = u.teams[team].Plus(need, -1)
 }
@@ -49,7 +49,7 @@
 
 // relief is by how much a move reduces the potential, for each unit of the task's share of the source machine. Between equal
 // machines it is the difference of their loads, less the task's share.
-func relief(source, destination *usage, team string, need space.Space, teamCap float64, contended bool) float64 {
+func relief(source, destination *usage, team string, need resources.Vector, teamCap float64, contended bool) float64 {
 	potential := func() float64 {
 		return source.potential(team, teamCap, contended) + destination.potential(team, teamCap, contended)
 	}
@@ -69,11 +69,11 @@
 // average is an exponentially weighted average over time.
 type average struct {
 	value float64
-	at    micros.Time
+	at    micros.Timestamp
 }
 
 // observe takes a value that holds now. The first counts as if it had held for ever.
-func (a *average) observe(now micros.Time, value float64, constant micros.Span) {
+func (a *average) observe(now micros.Timestamp, value float64, constant micros.Duration) {
 	if a.at == 0 {
 		a.value, a.at = value, now
 		return
--- a/internal/rebalance/plan.go
+++ b/internal/rebalance/plan.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"saffronbend/internal/micros"
-	"saffronbend/internal/space"
+	"saffronbend/internal/resources"
 )
 
 // Bounds of a round and of what is remembered.
@@ -25,11 +25,11 @@
 type round struct {
 	p     *Planner
 	s     Snapshot
-	mover Mover
+	mover MoveExecutor
 	spent func() bool
 	// usage is what is used of each machine once the moves are done that were decided on.
 	usage        map[string]*usage
-	free         map[string]space.Space
+	free         map[string]resources.Vector
 	remaining    map[string]int
 	destinations []*Machine
 	moves        []Move
@@ -37,7 +37,7 @@
 }
 
 // Plan decides on one round of moves, until spent says that its time is over.
-func (p *Planner) Plan(s Snapshot, mover Mover, spent func() bool) []Move {
+func (p *Planner) Plan(s Snapshot, mover MoveExecutor, spent func() bool) []Move {
 	p.prune(s.Now)
 	p.observe(s)
 	p.held = nil
@@ -95,10 +95,10 @@
 
 // usageOf gives what is used of a machine by work that will be there for a while: tasks that are being stopped or are about to
 // end don't count, tasks that are on their way do.
-func usageOf(now micros.Time, m *Machine) *usage {
-	u := newUsage(m.Whole)
+func usageOf(now micros.Timestamp, m *Machine) *usage {
+	u := newUsage(m.Capacity)
 	for i := range m.Attempts {
-		if a := &m.Attempts[i]; !a.Busy && !a.endsSoon(now) {
+		if a := &m.Attempts[i]; !a.Stopping && !a.endsSoon(now) {
 			u.add(a.Team, a.Need)
 		}
 	}
@@ -109,10 +109,12 @@
 }
 
 // endsSoon tells whether a task runs and should end before long.
-func (a *Attempt) endsSoon(now micros.Time) bool { return a.Running && a.remaining(now) < nearlyDone }
+func (a *Attempt) endsSoon(now micros.Timestamp) bool {
+	return a.Running && a.remaining(now) < nearlyDone
+}
 
 // remaining is how long the task should still run.
-func (a *Attempt) remaining(now micros.Time) micros.Span { return a.Ends.Sub(now) }
+func (a *Attempt) remaining(now micros.Timestamp) micros.Duration { return a.ExpectedEnd.Sub(now) }
 
 // obstacle says why nothing is moved at all at present.
 func (p *Planner) obstacle(s Snapshot) string {
@@ -129,8 +131,8 @@
 	return ""
 }
 
-func (p *Planner) newRound(s Snapshot, mover Mover, spent func() bool) *round {
-	r := &round{p: p, s: s, mover: mover, spent: spent, usage: p.usage, free: map[string]space.Space{}, remaining: map[string]int{},
+func (p *Planner) newRound(s Snapshot, mover MoveExecutor, spent func() bool) *round {
+	r := &round{p: p, s: s, mover: mover, spent: spent, usage: p.usage, free: map[string]resources.Vector{}, remaining: map[string]int{},
 		movedTeams: map[string]bool{}}
 	for name, team := range s.Teams {
 		r.remaining[name] = team.Remaining
@@ -197,7 +199,7 @@
 	}
 	u := r.usage[m.ID]
 	slices.SortFunc(out, func(a, b *Attempt) int {
-		return cmp.Or(cmp.Compare(u.teamLoad(b.Team), u.teamLoad(a.Team)), cmp.Compare(a.Need.DominantShare(m.Whole), b.Need.DominantShare(m.Whole)),
+		return cmp.Or(cmp.Compare(u.teamLoad(b.Team), u.teamLoad(a.Team)), cmp.Compare(a.Need.DominantShare(m.Capacity), b.Need.DominantShare(m.Capacity)),
 			cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Index, b.Task.Index))
 	})
 	return out
@@ -236,13 +238,13 @@
 	_, taskCools := r.p.tasks[a.Task]
 	_, teamCools := r.p.teams[a.Team]
 	switch {
-	case a.Busy:
-		return string(Taken)
+	case a.Stopping:
+		return string(AlreadyStopping)
 	case a.Gang:
 		return "it is one of a gang"
 	case !a.Running:
 		return "it does not run yet"
-	case !a.Saves:
+	case !a.Checkpoints:
 		return "it can't save"
 	case a.endsSoon(r.s.Now):
 		return "it is nearly done"
@@ -289,14 +291,14 @@
 }
 
 // surplus is by how much the gain exceeds the price and the margin.
-func (m Move) surplus(margin float64) micros.Span { return m.Gain - m.Price.Scale(margin) }
+func (m Move) surplus(margin float64) micros.Duration { return m.Gain - m.Price.Scale(margin) }
 
 // option weighs a move. What holds for a moment only is no relief: the smoothed difference of the loads bounds it.
 func (r *round) option(m, d *Machine, a *Attempt) Move {
 	now := r.s.Now
 	byUsage := relief(r.usage[m.ID], r.usage[d.ID], a.Team, a.Need, r.p.cfg.Cap, r.p.contended[a.Team])
 	smoothed := r.p.loads[m.ID].value - r.p.loads[d.ID].value
-	price := a.Save + r.p.cfg.Start
+	price := a.CheckpointTime + r.p.cfg.Start
 	if !d.Images[a.Image] && d.FetchGBPS > 0 {
 		price += micros.Seconds(a.ImageGB / d.FetchGBPS)
 	}
--- a/internal/rebalance/rebalance.go
+++ b/internal/rebalance/rebalance.go
@@ -23,13 +23,13 @@
 	LeastRelief float64
 	// TaskCooldown is the time after a move in which the task is not moved again; TeamCooldown, in which no other task of its
 	// team is; MachineCooldown, in which its source is no destination and its destination no source.
-	TaskCooldown, TeamCooldown, MachineCooldown micros.Span
+	TaskCooldown, TeamCooldown, MachineCooldown micros.Duration
 	// MovesPerMinute bounds the moves in any minute.
 	MovesPerMinute int
 	// Smoothing is the time constant of the averages of load.
-	Smoothing micros.Span
+	Smoothing micros.Duration
 	// Start is how long it takes to stop a task and to launch another, beside saving and fetching.
-	Start micros.Span
+	Start micros.Duration
 }
 
 // role is what a machine was in a move.
@@ -49,17 +49,17 @@
 // Planner decides on the moves of a term.
 type Planner struct {
 	cfg    Config
-	began  micros.Time
+	began  micros.Timestamp
 	paused bool
 
-	loads     map[string]*average    // by machine
-	waited    map[string]micros.Time // when tasks of a team waited last
-	tasks     map[disruption.Task]micros.Time
-	teams     map[string]micros.Time
-	machines  map[machineRole]micros.Time
-	recent    []micros.Time // moves within the last minute
-	history   []Move        // the last moves, the oldest first
-	held      []Held        // why work stays, as of the last round
+	loads     map[string]*average         // by machine
+	waited    map[string]micros.Timestamp // when tasks of a team waited last
+	tasks     map[disruption.Task]micros.Timestamp
+	teams     map[string]micros.Timestamp
+	machines  map[machineRole]micros.Timestamp
+	recent    []micros.Timestamp // moves within the last minute
+	history   []Move             // the last moves, the oldest first
+	held      []Held             // why work stays, as of the last round
 	waitsFor  string
 	usage     map[string]*usage // as of the last round
 	contended map[string]bool   // teams with which others compete
@@ -67,26 +67,26 @@
 
 // New makes the planner of a term. What the last leader has moved, and when, is not known: nothing is moved until the longest
 // cooldown is over.
-func New(now micros.Time, cfg Config) *Planner {
-	return &Planner{cfg: cfg, began: now, loads: map[string]*average{}, waited: map[string]micros.Time{},
-		tasks: map[disruption.Task]micros.Time{}, teams: map[string]micros.Time{}, machines: map[machineRole]micros.Time{},
+func New(now micros.Timestamp, cfg Config) *Planner {
+	return &Planner{cfg: cfg, began: now, loads: map[string]*average{}, waited: map[string]micros.Timestamp{},
+		tasks: map[disruption.Task]micros.Timestamp{}, teams: map[string]micros.Timestamp{}, machines: map[machineRole]micros.Timestamp{},
 		waitsFor: "the first round"}
 }
 
 // Pause stops moves until they are resumed; those that are under way are completed.
 func (p *Planner) Pause(paused bool) {
 	p.paused = paused
-	p.Hold("the next round")
+	p.Suspend("the next round")
 }
 
-// Hold notes why no round is decided on at present.
-func (p *Planner) Hold(reason string) {
+// Suspend notes why no round is decided on at present.
+func (p *Planner) Suspend(reason string) {
 	p.waitsFor = reason
 	p.held = nil
 }
 
 // longestCooldown is the time after which no cooldown of an earlier leader can last.
-func (p *Planner) longestCooldown() micros.Span {
+func (p *Planner) longestCooldown() micros.Duration {
 	return max(p.cfg.TaskCooldown, p.cfg.TeamCooldown, p.cfg.MachineCooldown)
 }
 
@@ -102,11 +102,11 @@
 }
 
 // prune forgets cooldowns that are over.
-func (p *Planner) prune(now micros.Time) {
-	maps.DeleteFunc(p.tasks, func(_ disruption.Task, at micros.Time) bool { return now.Sub(at) >= p.cfg.TaskCooldown })
-	maps.DeleteFunc(p.teams, func(_ string, at micros.Time) bool { return now.Sub(at) >= p.cfg.TeamCooldown })
-	maps.DeleteFunc(p.machines, func(_ machineRole, at micros.Time) bool { return now.Sub(at) >= p.cfg.MachineCooldown })
-	p.recent = slices.DeleteFunc(p.recent, func(at micros.Time) bool { return now.Sub(at) >= micros.Minute })
+func (p *Planner) prune(now micros.Timestamp) {
+	maps.DeleteFunc(p.tasks, func(_ disruption.Task, at micros.Timestamp) bool { return now.Sub(at) >= p.cfg.TaskCooldown })
+	maps.DeleteFunc(p.teams, func(_ string, at micros.Timestamp) bool { return now.Sub(at) >= p.cfg.TeamCooldown })
+	maps.DeleteFunc(p.machines, func(_ machineRole, at micros.Timestamp) bool { return now.Sub(at) >= p.cfg.MachineCooldown })
+	p.recent = slices.DeleteFunc(p.recent, func(at micros.Timestamp) bool { return now.Sub(at) >= micros.Minute })
 }
 
 // cooling tells whether a machine was in a role within its cooldown.
--- a/internal/rebalance/rebalance_test.go
+++ b/internal/rebalance/rebalance_test.go
@@ -9,13 +9,13 @@
 
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
-	"saffronbend/internal/space"
+	"saffronbend/internal/resources"
 )
 
 var policy = Config{Cap: 0.5, Margin: 2, LeastRelief: 0.2, TaskCooldown: 60 * micros.Second, TeamCooldown: 5 * micros.Second,
 	MachineCooldown: 30 * micros.Second, MovesPerMinute: 10, Smoothing: 10 * micros.Second, Start: 4 * micros.Second}
 
-const start = micros.Time(1000 * 1000 * 1000)
+const start = micros.Timestamp(1000 * 1000 * 1000)
 
 // fleet is a model of machines that carries moves out at once.
 type fleet struct {
@@ -30,20 +30,20 @@
 func newFleet(machines ...string) *fleet {
 	f := &fleet{budget: 1000, waiting: map[string]int{}}
 	for i, tasks := range machines {
-		m := Machine{ID: fmt.Sprintf("m%03d", i), Whole: space.Space{CPUs: 4, MemoryGB: 16}, Free: space.Space{CPUs: 4, MemoryGB: 16},
+		m := Machine{ID: fmt.Sprintf("m%03d", i), Capacity: resources.Vector{CPUs: 4, MemoryGB: 16}, Free: resources.Vector{CPUs: 4, MemoryGB: 16},
 			Known: true, Usable: true, FetchGBPS: 0.5, Images: map[string]bool{}}
 		for n, team := range tasks {
-			need := space.Space{CPUs: 1, MemoryGB: 1}
+			need := resources.Vector{CPUs: 1, MemoryGB: 1}
 			m.Free = m.Free.Plus(need, -1)
 			m.Attempts = append(m.Attempts, Attempt{Task: disruption.Task{Job: fmt.Sprintf("%c%d", team, i), Index: n}, Team: string(team), Need: need,
-				Running: true, Saves: true, Save: micros.Second, Ends: start.Add(2000 * micros.Second), Image: "img", ImageGB: 1})
+				Running: true, Checkpoints: true, CheckpointTime: micros.Second, ExpectedEnd: start.Add(2000 * micros.Second), Image: "img", ImageGB: 1})
 		}
 		f.machines = append(f.machines, m)
 	}
 	return f
 }
 
-func (f *fleet) snapshot(now micros.Time) Snapshot {
+func (f *fleet) snapshot(now micros.Timestamp) Snapshot {
 	s := Snapshot{Now: now, Machines: f.machines, Teams: map[string]Team{}, Listed: true}
 	for _, team := range []string{"r", "b"} {
 		s.Teams[team] = Team{Remaining: f.budget, Waiting: f.waiting[team]}
@@ -65,7 +65,7 @@
 func (f *fleet) Move(disruption.Task, string) Refusal { return f.refuse }
 
 // round has the planner decide, and carries the moves out.
-func (f *fleet) round(p *Planner, now micros.Time) []Move {
+func (f *fleet) round(p *Planner, now micros.Timestamp) []Move {
 	moves := p.Plan(f.snapshot(now), f, func() bool { return false })
 	for _, m := range moves {
 		f.carryOut(m)
@@ -88,7 +88,7 @@
 }
 
 // ready makes a planner that has known the fleet for as long as its cooldowns last, and the time.
-func (f *fleet) ready(cfg Config) (*Planner, micros.Time) {
+func (f *fleet) ready(cfg Config) (*Planner, micros.Timestamp) {
 	p := New(start.Add(-cfg.TaskCooldown), cfg)
 	return p, start
 }
@@ -97,7 +97,7 @@
 func (f *fleet) loads() []float64 {
 	var out []float64
 	for i := range f.machines {
-		out = append(out, f.machines[i].Whole.Plus(f.machines[i].Free, -1).DominantShare(f.machines[i].Whole))
+		out = append(out, f.machines[i].Capacity.Plus(f.machines[i].Free, -1).DominantShare(f.machines[i].Capacity))
 	}
 	return out
 }
@@ -127,14 +127,14 @@
 	}{
 		{"none", "", func(*fleet, *Config) {}},
 		{"gang", "one of a gang", func(f *fleet, _ *Config) { f.each(func(a *Attempt) { a.Gang = true }) }},
-		{"can't save", "can't save", func(f *fleet, _ *Config) { f.each(func(a *Attempt) { a.Saves = false }) }},
+		{"can't save", "can't save", func(f *fleet, _ *Config) { f.each(func(a *Attempt) { a.Checkpoints = false }) }},
 		{"fetching", "does not run yet", func(f *fleet, _ *Config) { f.each(func(a *Attempt) { a.Running = false }) }},
-		{"busy", "being stopped", func(f *fleet, _ *Config) { f.each(func(a *Attempt) { a.Busy = true }) }},
+		{"busy", "being stopped", func(f *fleet, _ *Config) { f.each(func(a *Attempt) { a.Stopping = true }) }},
 		{"nearly done", "nearly done", func(f *fleet, _ *Config) {
-			f.each(func(a *Attempt) { a.Ends = start.Add(nearlyDone - micros.Second) })
+			f.each(func(a *Attempt) { a.ExpectedEnd = start.Add(nearlyDone - micros.Second) })
 		}},
 		{"price", "less than 2 times the price", func(f *fleet, _ *Config) {
-			f.each(func(a *Attempt) { a.Ends = start.Add(20 * micros.Second) })
+			f.each(func(a *Attempt) { a.ExpectedEnd = start.Add(20 * micros.Second) })
 		}},
 		{"budget", "budget is used up", func(f *fleet, _ *Config) { f.budget = 0 }},
 		{"relief", "is too small", func(_ *fleet, cfg *Config) { cfg.LeastRelief = 0.9 }},
@@ -297,7 +297,7 @@
 		}
 	}
 	for i := range f.machines {
-		if !f.machines[i].Free.Fits(space.Space{}) {
+		if !f.machines[i].Free.Fits(resources.Vector{}) {
 			t.Fatalf("machine %s is overfull: %+v", f.machines[i].ID, f.machines[i].Free)
 		}
 	}
--- a/internal/rebalance/snapshot.go
+++ b/internal/rebalance/snapshot.go
@@ -3,12 +3,12 @@
 import (
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
-	"saffronbend/internal/space"
+	"saffronbend/internal/resources"
 )
 
 // Snapshot is what the planner decides on.
 type Snapshot struct {
-	Now      micros.Time
+	Now      micros.Timestamp
 	Machines []Machine // by name
 	Teams    map[string]Team
 	// Unknown is how many machines may run work and have not reported to this leader yet. Listed says that the cloud has
@@ -19,9 +19,9 @@
 
 // Machine is a machine and the work on it.
 type Machine struct {
-	ID    string
-	Whole space.Space
-	Free  space.Space // neither used nor reserved
+	ID       string
+	Capacity resources.Vector
+	Free     resources.Vector // neither used nor reserved
 	// Known says that the machine reports and has our token, so that its work is known. Usable, that it takes new tasks.
 	Known, Usable bool
 	// Cordoned machines are emptied by drains, not by moves.
@@ -29,28 +29,28 @@
 	FetchGBPS float64
 	Images    map[string]bool // that are there
 	Attempts  []Attempt
-	Reserved  []Reserved // for tasks that are on their way
+	Reserved  []Reservation // for tasks that are on their way
 }
 
 // Attempt is an attempt that may exist on a machine.
 type Attempt struct {
-	Task    disruption.Task
-	Team    string
-	Need    space.Space
-	Gang    bool
-	Busy    bool // is being stopped, or its job is over
-	Running bool // is reported running
-	Saves   bool // nothing is lost when it is stopped
-	Save    micros.Span
-	Ends    micros.Time // expected end of its run
-	Image   string
-	ImageGB float64
+	Task           disruption.Task
+	Team           string
+	Need           resources.Vector
+	Gang           bool
+	Stopping       bool // is being stopped, or its job is over
+	Running        bool // is reported running
+	Checkpoints    bool // nothing is lost when it is stopped
+	CheckpointTime micros.Duration
+	ExpectedEnd    micros.Timestamp // expected end of its run
+	Image          string
+	ImageGB        float64
 }
 
-// Reserved is room on a machine that is kept for a team's task.
-type Reserved struct {
+// Reservation is room on a machine that is kept for a team's task.
+type Reservation struct {
 	Team string
-	Need space.Space
+	Need resources.Vector
 }
 
 // Team is what the planner knows of a team.
@@ -65,14 +65,14 @@
 
 // Outcomes of a move.
 const (
-	Moved    Refusal = ""
-	NotThere Refusal = "it has ended"
-	Taken    Refusal = "it is being stopped"
-	NoRoom   Refusal = "the destination has no room any more"
+	Moved           Refusal = ""
+	NotThere        Refusal = "it has ended"
+	AlreadyStopping Refusal = "it is being stopped"
+	NoRoom          Refusal = "the destination has no room any more"
 )
 
-// Mover carries moves out.
-type Mover interface {
+// MoveExecutor carries moves out.
+type MoveExecutor interface {
 	// MayHost tells whether a machine may take a task: it is of a kind that the task's job allows, has room, and no work that
 	// waits could use that room.
 	MayHost(t disruption.Task, machine string) bool
@@ -82,13 +82,13 @@
 
 // Move is a move that was decided on.
 type Move struct {
-	At       micros.Time
+	At       micros.Timestamp
 	Task     disruption.Task
 	Team     string
 	From, To string
 	// Relief is the reduction of imbalance, Gain that over the task's remaining time, Price the time that the move costs.
 	Relief      float64
-	Gain, Price micros.Span
+	Gain, Price micros.Duration
 }
 
 // Held says why a task stays where it is.
--- a/internal/rebalance/solver_test.go
+++ b/internal/rebalance/solver_test.go
@@ -9,24 +9,24 @@
 
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
-	"saffronbend/internal/space"
+	"saffronbend/internal/resources"
 )
 
 // unevenFleet draws machines of eight CPUs with tasks of one to three CPUs, which fill the first half of them.
 func unevenFleet(r *rand.Rand, machines int) *fleet {
 	f := newFleet(make([]string, machines)...)
-	whole := space.Space{CPUs: 8, MemoryGB: 64}
+	whole := resources.Vector{CPUs: 8, MemoryGB: 64}
 	for i := range f.machines {
 		m := &f.machines[i]
-		m.Whole, m.Free = whole, whole
+		m.Capacity, m.Free = whole, whole
 		for n := 0; i < machines/2 && n < 8; n++ {
-			need := space.Space{CPUs: float64(1 + r.IntN(3)), MemoryGB: 1}
+			need := resources.Vector{CPUs: float64(1 + r.IntN(3)), MemoryGB: 1}
 			if !m.Free.Fits(need) {
 				continue
 			}
 			m.Free = m.Free.Plus(need, -1)
 			m.Attempts = append(m.Attempts, Attempt{Task: disruption.Task{Job: fmt.Sprint("r", i), Index: n}, Team: "r", Need: need,
-				Running: true, Saves: true, Ends: start.Add(2000 * micros.Second), Image: "img"})
+				Running: true, Checkpoints: true, ExpectedEnd: start.Add(2000 * micros.Second), Image: "img"})
 		}
 	}
 	return f
@@ -43,7 +43,7 @@
 func (f *fleet) greatest() int {
 	most := 0.0
 	for i := range f.machines {
-		most = max(most, f.machines[i].Whole.CPUs-f.machines[i].Free.CPUs)
+		most = max(most, f.machines[i].Capacity.CPUs-f.machines[i].Free.CPUs)
 	}
 	return int(most)
 }
--- a/internal/rebalance/status.go
+++ b/internal/rebalance/status.go
@@ -10,7 +10,7 @@
 
 // Status is what operators are told.
 type Status struct {
-	Now      micros.Time
+	Now      micros.Timestamp
 	Paused   bool
 	WaitsFor string // why nothing is moved at all; empty: moves are decided on
 	Machines []MachineLoad
@@ -34,7 +34,7 @@
 }
 
 // Status gives the state as of the last round, with the so many machines that have the most load.
-func (p *Planner) Status(now micros.Time, machines int) Status {
+func (p *Planner) Status(now micros.Timestamp, machines int) Status {
 	st := Status{Now: now, Paused: p.paused, WaitsFor: p.waitsFor, Held: slices.Clone(p.held), Moves: slices.Clone(p.history), Known: len(p.usage)}
 	slices.Reverse(st.Moves)
 	for id, u := range p.usage {
--- a/internal/scale/drain_test.go
+++ b/internal/scale/drain_test.go
@@ -14,13 +14,13 @@
 
 // disturbances is what the workers show of tasks that were stopped.
 type disturbances struct {
-	stopped map[string]micros.Time // that do not run again yet
+	stopped map[string]micros.Timestamp // that do not run again yet
 	lasted  *hdrhistogram.Histogram
 	most    int // at once
 }
 
 func newDisturbances() *disturbances {
-	return &disturbances{stopped: map[string]micros.Time{}, lasted: hdrhistogram.New(1, 10*60*1000, 3)}
+	return &disturbances{stopped: map[string]micros.Timestamp{}, lasted: hdrhistogram.New(1, 10*60*1000, 3)}
 }
 
 // observe notes which tasks run again.
@@ -48,10 +48,10 @@
 	s := c.manager.DrainSnapshot(c.now)
 	s.Complete = true
 	acts := d.planner.Plan(s, func(t disruption.Task) drain.Refusal { return c.manager.Evict(c.now, t) }, func() bool { return false })
-	c.manager.SetReplacements(acts.Replace)
-	c.manager.Deleting(acts.Return)
-	c.manager.Deleted(c.now, acts.Return)
-	for _, id := range acts.Return {
+	c.manager.SetReplacements(acts.NeedReplacement)
+	c.manager.DeletionRequested(acts.ScaleIn)
+	c.manager.MachinesDeleted(c.now, acts.ScaleIn)
+	for _, id := range acts.ScaleIn {
 		w := c.workers[machineNumber(c.t, id)]
 		if len(w.running) > 0 {
 			c.t.Fatalf("%s is returned while tasks run on it", id)
@@ -65,7 +65,7 @@
 func (c *cluster) stopped(w *worker, a taskAttempt) {
 	delete(w.running, a)
 	delete(c.on, a.task)
-	w.ended[a] = wire.WhyStopped
+	w.ended[a] = wire.ExitStopped
 	w.nextReport = c.now
 	if c.disturbed != nil {
 		c.disturbed.stopped[a.task] = c.now
@@ -91,7 +91,7 @@
 }
 
 // drainTenth drains a tenth of the machines, each with four tasks, under a budget, and gives the time that it took.
-func drainTenth(t testing.TB, machines int, limit string) (took micros.Span, d *drainRun) {
+func drainTenth(t testing.TB, machines int, limit string) (took micros.Duration, d *drainRun) {
 	const each = 4
 	budget, err := disruption.ParseBudget(limit)
 	if err != nil {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -29,10 +29,10 @@
 	id           string
 	session, seq uint64
 	token        uint64
-	nextReport   micros.Time
-	renewed      micros.Time
-	running      map[taskAttempt]micros.Time // until when
-	ended        map[taskAttempt]string      // why
+	nextReport   micros.Timestamp
+	renewed      micros.Timestamp
+	running      map[taskAttempt]micros.Timestamp // until when
+	ended        map[taskAttempt]string           // why
 	gone         bool
 }
 
@@ -44,7 +44,7 @@
 // cluster is one leader with its fleet, and the records that survive it.
 type cluster struct {
 	t         testing.TB
-	now       micros.Time
+	now       micros.Timestamp
 	revision  uint64
 	records   map[string]wire.Item
 	token     uint64
@@ -54,7 +54,7 @@
 	workers   []*worker
 	on        map[string]string // the machine that each running task is on
 	starts    map[string]int
-	taskRun   micros.Span
+	taskRun   micros.Duration
 	// disturbed is the account of disturbed work as the workers show it, nil: none is kept. decide is called in each step.
 	disturbed *disturbances
 	decide    func()
@@ -66,15 +66,15 @@
 	c := &cluster{t: t, now: 1_000_000, revision: 10, records: map[string]wire.Item{}, on: map[string]string{}, starts: map[string]int{}, taskRun: taskRun}
 	for i := range machines {
 		c.workers = append(c.workers, &worker{id: fmt.Sprintf("n-%06d", i), session: 1, renewed: c.now,
-			running: map[taskAttempt]micros.Time{}, ended: map[taskAttempt]string{}})
+			running: map[taskAttempt]micros.Timestamp{}, ended: map[taskAttempt]string{}})
 	}
 	return c
 }
 
 func (c *cluster) tuning() settings.Tuning {
 	return settings.Tuning{MinLocality: 0.5, Skip: 10 * micros.Second, History: 10, Slack: 5 * micros.Second, FirstLease: 100 * micros.Second,
-		Grace: 20 * micros.Second, PreemptAfter: micros.Second, KeepAfter: 45 * micros.Second, MaxMachines: machines, IdleReturn: 10 * micros.Minute,
-		BootPatience: 3, SilentReturn: 80 * micros.Second, HireAhead: 10 * micros.Second}
+		Grace: 20 * micros.Second, PreemptAfter: micros.Second, ReserveAfter: 45 * micros.Second, MaxMachines: machines, IdleTimeout: 10 * micros.Minute,
+		BootPatience: 3, SilenceTimeout: 80 * micros.Second, ScaleOutAhead: 10 * micros.Second}
 }
 
 // lead begins a term from the records; the workers come back at moments spread over a report's time.
@@ -86,36 +86,36 @@
 		switch {
 		case strings.HasPrefix(key, state.OpenPrefix):
 			open = append(open, item)
-		case strings.HasPrefix(key, state.ChunkPrefix):
+		case strings.HasPrefix(key, state.ProgressPrefix):
 			chunks = append(chunks, item)
 		}
 	}
-	m, err := manager.New(c.now, manager.Config{Token: c.token, Teams: []settings.Team{{Name: "red"}}, Lease: workerLease, Report: reportEvery,
-		Disruptions: c.disturbed != nil, Reservation: 2 * micros.Minute, Margin: micros.Second, Cancel: 56 * micros.Second, ListLag: 6 * micros.Second, Tuning: c.tuning(), Directs: 300,
-		State: settings.State{TxnOps: 32, ValueKB: 8}}, int64(c.now), open, chunks)
+	m, err := manager.New(c.now, manager.Config{FencingToken: c.token, Teams: []settings.Team{{Name: "red"}}, WorkerLease: workerLease, HeartbeatInterval: reportEvery,
+		TrackDisruptions: c.disturbed != nil, ReservationTTL: 2 * micros.Minute, LeaseMargin: micros.Second, CancelTimeout: 56 * micros.Second, ListLag: 6 * micros.Second, Tuning: c.tuning(), MaxCommandPushes: 300,
+		StoreLimits: settings.State{TxnOps: 32, ValueKB: 8}}, int64(c.now), open, chunks)
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	types := []wire.MachineType{machineType}
 	c.manager = m
 	c.manager.SetTypes(types)
-	c.manager.SetAssign(map[string]string{"red": member})
+	c.manager.SetTeamAssignments(map[string]string{"red": member})
 	c.scheduler = scheduler.New(member, c.tuning())
 	c.scheduler.SetTypes(types)
 	c.fleet = fleet.New(c.now, fleet.Config{Token: c.token, Lease: workerLease, Report: reportEvery, ListLag: 6 * micros.Second, Tuning: c.tuning()})
 	c.fleet.SetTypes(types)
 	for i, w := range c.workers {
-		w.nextReport = c.now.Add(reportEvery * micros.Span(i) / micros.Span(len(c.workers)))
+		w.nextReport = c.now.Add(reportEvery * micros.Duration(i) / micros.Duration(len(c.workers)))
 	}
 }
 
 func (c *cluster) submit(id string, tasks int) {
 	c.revision++
-	rec := state.OpenRecord{Chunk: 90, Accepted: int64(c.now), Job: wire.Job{ID: id, Class: "work", Team: "red", Kind: wire.KindArray, Urgency: "normal",
+	rec := state.OpenRecord{ShardSize: 90, AcceptedAt: int64(c.now), Job: wire.Job{ID: id, Class: "work", Team: "red", Kind: wire.KindArray, Urgency: "normal",
 		Tasks: tasks, CheckpointS: 5, SaveS: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, Spot: true, EstimateS: c.taskRun.Seconds()}}
 	c.put(state.StatusKey(id), state.StatusRecord{Status: wire.JobPending})
 	c.put(state.OpenKey(id), rec)
-	c.manager.JobChanged(c.now, c.now, int64(c.now), rec, c.revision)
+	c.manager.OpenRecordChanged(c.now, c.now, int64(c.now), rec, c.revision)
 }
 
 func (c *cluster) put(key string, value any) {
@@ -140,7 +140,7 @@
 				c.put(change.Key, change.Value)
 			}
 		}
-		c.manager.Written(c.now, w.ID, c.revision)
+		c.manager.WriteCommitted(c.now, w.ID, c.revision)
 	}
 }
 
@@ -157,29 +157,29 @@
 		}
 	}
 	c.manager.Tick(c.now)
-	c.manager.KeepRoom(c.now)
+	c.manager.ReserveForWaitingJobs(c.now)
 	c.manager.Preempt(c.now, func() bool { return false })
 	if c.decide != nil {
 		c.decide()
 	}
-	view := c.manager.View(c.now)
+	view := c.manager.Snapshot(c.now)
 	c.scheduler.View(view)
 	for _, r := range c.scheduler.Round(c.now, func() bool { return false }) {
 		c.manager.Grant(c.now, r)
 	}
 	c.write()
-	if acts := c.fleet.Handle(c.now, view); len(acts.Return) > 0 {
-		c.t.Fatalf("the fleet returns %v", acts.Return)
+	if acts := c.fleet.Decide(c.now, view); len(acts.ScaleIn) > 0 {
+		c.t.Fatalf("the fleet returns %v", acts.ScaleIn)
 	}
-	for _, d := range c.manager.Directs(c.now, true) {
+	for _, d := range c.manager.CommandPushes(c.now, true) {
 		w := c.workers[machineNumber(c.t, d.Machine)]
-		outcome := manager.DirectRefused
-		if d.Body.Token >= w.token && d.Body.Session == w.session {
-			w.token = d.Body.Token
+		outcome := manager.PushRefused
+		if d.Body.FencingToken >= w.token && d.Body.Incarnation == w.session {
+			w.token = d.Body.FencingToken
 			c.execute(w, d.Body.Commands)
-			outcome = manager.DirectExecuted
+			outcome = manager.PushExecuted
 		}
-		c.manager.DirectDone(c.now, d, outcome, c.describe(w))
+		c.manager.CommandPushDone(c.now, d, outcome, c.describe(w))
 	}
 }
 
@@ -195,7 +195,7 @@
 		if c.now >= until {
 			delete(w.running, a)
 			delete(c.on, a.task)
-			w.ended[a] = wire.WhyDone
+			w.ended[a] = wire.ExitDone
 			w.nextReport = min(w.nextReport, c.now)
 		}
 	}
@@ -204,28 +204,28 @@
 	}
 }
 
-func (c *cluster) describe(w *worker) *wire.Report {
+func (c *cluster) describe(w *worker) *wire.Heartbeat {
 	w.seq++
-	r := &wire.Report{Machine: w.id, Addr: "10.1.0.1:9000", Type: machineType.Name, Zone: "a", Spot: true, Session: w.session, Seq: w.seq, Token: w.token}
+	r := &wire.Heartbeat{Machine: w.id, Addr: "10.1.0.1:9000", Type: machineType.Name, Zone: "a", Spot: true, Incarnation: w.session, Seq: w.seq, FencingToken: w.token}
 	for a := range w.running {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: a.task, Attempt: a.attempt, State: wire.TaskRunning})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: a.task, Attempt: a.attempt, State: wire.TaskRunning})
 	}
 	for a, why := range w.ended {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: a.task, Attempt: a.attempt, State: wire.TaskExited, Why: why, Saved: why == wire.WhyStopped})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: a.task, Attempt: a.attempt, State: wire.TaskExited, ExitReason: why, Saved: why == wire.ExitStopped})
 	}
 	return r
 }
 
 func (c *cluster) report(w *worker) {
 	w.nextReport = c.now.Add(reportEvery)
-	answer, deposed := c.manager.Report(c.now, c.describe(w), "", true)
+	answer, deposed := c.manager.Heartbeat(c.now, c.describe(w), "", true)
 	if deposed {
 		c.t.Fatal("deposed")
 	}
-	if answer == nil || answer.Token < w.token {
+	if answer == nil || answer.FencingToken < w.token {
 		return
 	}
-	w.token, w.renewed = answer.Token, c.now
+	w.token, w.renewed = answer.FencingToken, c.now
 	c.execute(w, answer.Commands)
 }
 
@@ -244,14 +244,14 @@
 			w.running[a] = c.now.Add(c.taskRun)
 		case cmd.Op == wire.OpStop && runs:
 			c.stopped(w, a)
-		case cmd.Op == wire.OpForget:
+		case cmd.Op == wire.OpClear:
 			delete(w.ended, a)
 		}
 	}
 }
 
 // until lets time pass until a condition holds.
-func (c *cluster) until(most micros.Span, what string, holds func() bool) {
+func (c *cluster) until(most micros.Duration, what string, holds func() bool) {
 	c.t.Helper()
 	for end := c.now.Add(most); !holds(); c.step() {
 		if c.now > end {
--- a/internal/scale/spread_test.go
+++ b/internal/scale/spread_test.go
@@ -15,7 +15,7 @@
 	c        *cluster
 	planner  *rebalance.Planner
 	budget   int // tasks that may be disturbed at once
-	decided  micros.Time
+	decided  micros.Timestamp
 	moves    int
 	longest  int // moves of one round
 	movedTwo bool
@@ -29,8 +29,8 @@
 		return
 	}
 	s.decided = s.c.now
-	remaining := map[string]int{"red": s.budget - s.c.manager.TeamWork(s.c.now)["red"].Disturbed}
-	moves := s.planner.Plan(s.c.manager.RebalanceSnapshot(s.c.now, remaining), s.c.manager.Mover(s.c.now), func() bool { return false })
+	remaining := map[string]int{"red": s.budget - s.c.manager.TeamUsage(s.c.now)["red"].Disturbed}
+	moves := s.planner.Plan(s.c.manager.RebalanceSnapshot(s.c.now, remaining), s.c.manager.MoveExecutor(s.c.now), func() bool { return false })
 	for _, m := range moves {
 		s.movedTwo = s.movedTwo || s.moved[m.Task]
 		s.moved[m.Task] = true
@@ -49,7 +49,7 @@
 }
 
 // spreadHalf has half the machines full, and gives the time until the work is spread over all of them.
-func spreadHalf(t testing.TB, machines, budget int) (took micros.Span, s *spreadRun) {
+func spreadHalf(t testing.TB, machines, budget int) (took micros.Duration, s *spreadRun) {
 	const cpus = 8
 	c := newCluster(t, machines)
 	s = &spreadRun{disturbances: newDisturbances(), c: c, budget: budget, moved: map[disruption.Task]bool{}}
@@ -58,7 +58,7 @@
 	if c.greatest() != cpus {
 		t.Fatalf("the load is not packed: at most %d tasks on a machine", c.greatest())
 	}
-	c.manager.Listed(c.now, nil)
+	c.manager.MachinesListed(c.now, nil)
 	s.planner = rebalance.New(c.now.Add(-micros.Minute), rebalance.Config{Cap: 0.5, Margin: 3, LeastRelief: 0.25, TaskCooldown: micros.Minute,
 		MovesPerMinute: 100000, Smoothing: 10 * micros.Second, Start: 2 * reportEvery})
 	c.decide = s.round
--- a/internal/scenario/drains.go
+++ b/internal/scenario/drains.go
@@ -16,7 +16,7 @@
 // drain carries out an operator's command at a controller.
 func (w *world) drain(f []string, want string) error {
 	f, member := w.at(f)
-	client, closeIdle := operator.NewClient(w.operators.Dial, w.nodes[member].ip+":8081")
+	client, closeIdle := operator.NewDrainClient(w.operators.Dial, w.nodes[member].ip+":8081")
 	defer closeIdle()
 	named := connect.NewRequest(&operatorpb.NamedDrainRequest{Name: f[1]})
 	var err error
@@ -71,7 +71,7 @@
 
 // drainStatus asks for a drain.
 func (w *world) drainStatus(name string) (*operatorpb.DrainStatus, error) {
-	resp, err := askEach(w, operator.NewClient, func(ctx context.Context, client operatorpbconnect.DrainServiceClient) (*connect.Response[operatorpb.GetDrainsResponse], error) {
+	resp, err := askEach(w, operator.NewDrainClient, func(ctx context.Context, client operatorpbconnect.DrainServiceClient) (*connect.Response[operatorpb.GetDrainsResponse], error) {
 		return client.GetDrains(ctx, connect.NewRequest(&operatorpb.GetDrainsRequest{Name: name}))
 	})
 	if err != nil {
--- a/internal/scenario/spread.go
+++ b/internal/scenario/spread.go
@@ -16,7 +16,7 @@
 // spread carries out an operator's command about moves at a controller.
 func (w *world) spread(f []string, want string) error {
 	f, member := w.at(f)
-	client, closeIdle := operator.NewSpreadClient(w.operators.Dial, w.nodes[member].ip+":8081")
+	client, closeIdle := operator.NewRebalancingClient(w.operators.Dial, w.nodes[member].ip+":8081")
 	defer closeIdle()
 	req := connect.NewRequest(&operatorpb.ChangeSpreadRequest{})
 	var err error
@@ -35,7 +35,7 @@
 
 // spreadStatus asks for load and moves.
 func (w *world) spreadStatus() (*operatorpb.SpreadStatus, error) {
-	return askEach(w, operator.NewSpreadClient, func(ctx context.Context, client operatorpbconnect.SpreadServiceClient) (*connect.Response[operatorpb.SpreadStatus], error) {
+	return askEach(w, operator.NewRebalancingClient, func(ctx context.Context, client operatorpbconnect.SpreadServiceClient) (*connect.Response[operatorpb.SpreadStatus], error) {
 		return client.GetSpread(ctx, connect.NewRequest(&operatorpb.GetSpreadRequest{}))
 	})
 }
--- a/internal/scenario/steps.go
+++ b/internal/scenario/steps.go
@@ -30,7 +30,7 @@
 		return w.expect(http.MethodGet, f[1], "", f[2:], want)
 	case "withdraw": // ID [at MEMBER] => CODE or STATUS
 		w.referee.Asked(f[1])
-		return w.expect(http.MethodPost, f[1], "/"+wire.WordWithdraw, f[2:], want)
+		return w.expect(http.MethodPost, f[1], "/"+wire.VerbCancel, f[2:], want)
 	case "ready": // all controllers can take requests
 		for _, m := range w.members {
 			if err := w.until(10*time.Second, []string{"healthy", m, "yes"}); err != nil {
@@ -51,7 +51,7 @@
 	case "cancel": // ID: a user cancels until it is confirmed
 		w.referee.Asked(f[1])
 		return w.insist(func(member string) error {
-			return w.expect(http.MethodPost, f[1], "/"+wire.WordWithdraw, []string{"at", member}, wire.JobCancelled)
+			return w.expect(http.MethodPost, f[1], "/"+wire.VerbCancel, []string{"at", member}, wire.JobCancelled)
 		}, f[1])
 	case "looks": // SECONDS ID...
 		w.looks(seconds(number(f[1])), f[2:])
@@ -163,9 +163,9 @@
 		case "types":
 			j.Types = strings.Split(v, ",")
 		case "together":
-			j.OneZone = true
+			j.SameZone = true
 		case "scatter":
-			j.Spread = true
+			j.SpreadZones = true
 		case "ordinary":
 			j.Spot = false
 		case "fails":
@@ -272,7 +272,7 @@
 			wait := time.Duration(i%5) * time.Second
 			time.AfterFunc(wait, func() {
 				for try := 0; try < 60 && w.ctx.Err() == nil; try++ {
-					if code, _, _ := w.poll(http.MethodPost, w.members[(i+try)%len(w.members)], id, "/"+wire.WordWithdraw); code == http.StatusOK {
+					if code, _, _ := w.poll(http.MethodPost, w.members[(i+try)%len(w.members)], id, "/"+wire.VerbCancel); code == http.StatusOK {
 						return
 					}
 					time.Sleep(time.Second)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -11,10 +11,11 @@
 	"maps"
 	"slices"
 
-	"saffronbend/internal/manager"
+	"saffronbend/internal/lease"
 	"saffronbend/internal/micros"
+	"saffronbend/internal/resources"
 	"saffronbend/internal/settings"
-	"saffronbend/internal/space"
+	"saffronbend/internal/snapshot"
 	"saffronbend/wire"
 )
 
@@ -24,44 +25,44 @@
 	tuning  settings.Tuning
 	types   map[string]*wire.MachineType
 	rates   map[string]float64 // fetch rate by zone, GB/s
-	view    *manager.View
+	view    *snapshot.Snapshot
 	order   []*machine // by name
 	known   map[string]*machine
 	queue   []*queued
 	next    int
-	skipped map[string]micros.Time // since when a job is below the minimum level
-	runs    map[string]*history    // by job
-	after   uint64                 // views below this version do not show our grants
-	teams   map[string]string      // of the jobs in the view
-	waiting map[string]bool        // teams with work that waits in the view
+	skipped map[string]micros.Timestamp // since when a job is below the minimum level
+	runs    map[string]*history         // by job
+	after   uint64                      // views below this version do not show our grants
+	teams   map[string]string           // of the jobs in the view
+	waiting map[string]bool             // teams with work that waits in the view
 }
 
 // queued is the scheduler's own copy of what it needs of a job that waits.
 type queued struct {
-	*manager.JobView
+	*snapshot.Job
 	wants  int
 	inZone map[string]int
 	zone   string // where all its tasks are to be in this view, if they must be in one
 }
 
 type history struct {
-	byMachine map[string][]micros.Span
-	newest    []micros.Span
+	byMachine map[string][]micros.Duration
+	newest    []micros.Duration
 }
 
 // machine is the scheduler's own copy of a machine; the view is shared with others.
 type machine struct {
-	*manager.MachineView
+	*snapshot.Machine
 	typ      *wire.MachineType
-	left     space.Space     // in this view
-	claimed  map[uint64]bool // leases whose waiter's place we have taken in this view
-	fetching map[string]bool // images that our grants make it fetch
-	dirty    bool            // differs from the view
+	left     resources.Vector // in this view
+	claimed  map[uint64]bool  // leases whose waiter's place we have taken in this view
+	fetching map[string]bool  // images that our grants make it fetch
+	dirty    bool             // differs from the view
 }
 
 // New makes a scheduler for a controller.
 func New(member string, t settings.Tuning) *Scheduler {
-	return &Scheduler{member: member, tuning: t, known: map[string]*machine{}, skipped: map[string]micros.Time{}, runs: map[string]*history{}}
+	return &Scheduler{member: member, tuning: t, known: map[string]*machine{}, skipped: map[string]micros.Timestamp{}, runs: map[string]*history{}}
 }
 
 // SetTypes tells the scheduler what machines there are. The fetch rate of a zone is
@@ -83,12 +84,12 @@
 func (s *Scheduler) Granted(version uint64) { s.after = max(s.after, version) }
 
 // View takes a new view; a round of decisions on it follows with Round.
-func (s *Scheduler) View(v *manager.View) {
-	if s.view != nil && s.view.Token != v.Token {
+func (s *Scheduler) View(v *snapshot.Snapshot) {
+	if s.view != nil && s.view.FencingToken != v.FencingToken {
 		s.after = 0
 	}
-	for _, f := range v.Finished {
-		if v.Assign[f.Team] == s.member {
+	for _, f := range v.CompletedRuns {
+		if v.TeamAssignments[f.Team] == s.member {
 			s.learn(f)
 		}
 	}
@@ -106,8 +107,8 @@
 	open := make(map[string]bool, len(v.Jobs))
 	for _, j := range v.Jobs {
 		open[j.ID] = true
-		if n := v.Wants(j); v.Assign[j.Team] == s.member && n > 0 {
-			s.queue = append(s.queue, &queued{JobView: j, wants: n, inZone: maps.Clone(j.InZone)})
+		if n := v.PlaceableTasks(j); v.TeamAssignments[j.Team] == s.member && n > 0 {
+			s.queue = append(s.queue, &queued{Job: j, wants: n, inZone: maps.Clone(j.ActiveByZone)})
 		} else {
 			delete(s.skipped, j.ID)
 		}
@@ -126,7 +127,7 @@
 		ao, bo := s.overdue(a), s.overdue(b)
 		switch {
 		case ao && bo:
-			return cmp.Compare(a.Since, b.Since)
+			return cmp.Compare(a.WaitingSince, b.WaitingSince)
 		case ao:
 			return -1
 		case bo:
@@ -150,7 +151,7 @@
 
 // takeMachines renews the copies of the machines that the view shows otherwise than the
 // last one, and of those that decisions have changed.
-func (s *Scheduler) takeMachines(v *manager.View) {
+func (s *Scheduler) takeMachines(v *snapshot.Snapshot) {
 	order := make([]*machine, 0, len(v.Machines))
 	for _, mv := range v.Machines {
 		m := s.known[mv.ID]
@@ -158,8 +159,8 @@
 			m = &machine{}
 			s.known[mv.ID] = m
 		}
-		if m.MachineView != mv || m.dirty {
-			*m = machine{MachineView: mv, typ: s.types[mv.Type], left: mv.Space}
+		if m.Machine != mv || m.dirty {
+			*m = machine{Machine: mv, typ: s.types[mv.Type], left: mv.Vector}
 		}
 		order = append(order, m)
 	}
@@ -175,29 +176,31 @@
 // overdue tells whether a job has waited so long without one of its tasks being placed
 // that it goes before all others, whatever its priority: a flood of urgent work, or a
 // deadline that can't be kept any more, must not hold it up for ever.
-func (s *Scheduler) overdue(j *queued) bool { return s.view.Now.Sub(j.Since) > s.tuning.KeepAfter }
+func (s *Scheduler) overdue(j *queued) bool {
+	return s.view.Now.Sub(j.WaitingSince) > s.tuning.ReserveAfter
+}
 
 // laxity orders jobs within a priority: by the time that is left beyond their run.
 // Jobs that can't make it any more come after those that can, the oldest first.
-func (s *Scheduler) laxity(j *queued) micros.Span {
-	age := s.view.Now.Sub(j.Born)
-	if j.Due == 0 {
+func (s *Scheduler) laxity(j *queued) micros.Duration {
+	age := s.view.Now.Sub(j.AcceptedAt)
+	if j.Deadline == 0 {
 		return micros.Forever/2 - age
 	}
-	left := j.Due.Sub(s.view.Now) - s.expected(j.ID, "", j.Estimate)
+	left := j.Deadline.Sub(s.view.Now) - s.expected(j.ID, "", j.Estimate)
 	if left < 0 {
 		return micros.Forever/4 - age
 	}
 	return left
 }
 
-func (s *Scheduler) learn(f manager.Finished) {
+func (s *Scheduler) learn(f snapshot.CompletedRun) {
 	h := s.runs[f.Job]
 	if h == nil {
-		h = &history{byMachine: map[string][]micros.Span{}}
+		h = &history{byMachine: map[string][]micros.Duration{}}
 		s.runs[f.Job] = h
 	}
-	keep := func(list []micros.Span) []micros.Span {
+	keep := func(list []micros.Duration) []micros.Duration {
 		list = append(list, f.Run)
 		return list[max(0, len(list)-s.tuning.History):]
 	}
@@ -207,7 +210,7 @@
 
 // expected is the mean of the newest run times of the job's tasks on the machine,
 // or else on any; without any, the given one.
-func (s *Scheduler) expected(job, machine string, otherwise micros.Span) micros.Span {
+func (s *Scheduler) expected(job, machine string, otherwise micros.Duration) micros.Duration {
 	h := s.runs[job]
 	if h == nil {
 		return otherwise
@@ -216,14 +219,14 @@
 	if len(list) == 0 {
 		list = h.newest
 	}
-	sum := micros.Span(0)
+	sum := micros.Duration(0)
 	for _, r := range list {
 		sum += r
 	}
-	return sum / micros.Span(len(list))
+	return sum / micros.Duration(len(list))
 }
 
-func (s *Scheduler) fetchTime(j *queued, zone string) micros.Span {
+func (s *Scheduler) fetchTime(j *queued, zone string) micros.Duration {
 	r := s.rates[zone]
 	if r <= 0 {
 		return 0
@@ -232,7 +235,7 @@
 }
 
 // lease is the design's lease time: fetch, mean run time, slack.
-func (s *Scheduler) lease(j *queued, m *machine, cold bool) micros.Span {
+func (s *Scheduler) lease(j *queued, m *machine, cold bool) micros.Duration {
 	if s.runs[j.ID] == nil {
 		return s.tuning.FirstLease
 	}
@@ -245,8 +248,8 @@
 
 // Round makes the lease requests that the view allows, until spent says that the
 // round's time is over; the next call goes on from there.
-func (s *Scheduler) Round(now micros.Time, spent func() bool) []manager.Request {
-	var out []manager.Request
+func (s *Scheduler) Round(now micros.Timestamp, spent func() bool) []lease.Transaction {
+	var out []lease.Transaction
 	if !s.Current() {
 		return nil
 	}
@@ -255,7 +258,7 @@
 			return out
 		}
 		if asks := s.job(now, s.queue[s.next]); len(asks) > 0 {
-			out = append(out, manager.Request{Asks: asks, All: s.queue[s.next].Gang})
+			out = append(out, lease.Transaction{Requests: asks, AllOrNothing: s.queue[s.next].Gang})
 		}
 	}
 	return out
@@ -289,7 +292,7 @@
 // job decides on one job's waiting tasks: first free machines with the image; then, for
 // each task, the place after a lease on one that ends before a cold fetch would, or a
 // free machine that must fetch.
-func (s *Scheduler) job(now micros.Time, j *queued) []manager.Ask {
+func (s *Scheduler) job(now micros.Timestamp, j *queued) []lease.Request {
 	wants := min(j.wants, most)
 	if j.Gang {
 		if j.Active > 0 || j.wants < j.Waiting {
@@ -297,7 +300,7 @@
 		}
 		wants = j.wants
 	}
-	if j.OneZone && len(j.InZone) == 0 && s.settleZone(j) < wants && j.Gang {
+	if j.SameZone && len(j.ActiveByZone) == 0 && s.settleZone(j) < wants && j.Gang {
 		return nil // it fits nowhere as a whole
 	}
 	free := s.candidates(j)
@@ -363,8 +366,8 @@
 }
 
 // asks gives the lease requests for the choices that a job's round ends with.
-func (s *Scheduler) asks(j *queued, choices []choice) []manager.Ask {
-	var asks []manager.Ask
+func (s *Scheduler) asks(j *queued, choices []choice) []lease.Request {
+	var asks []lease.Request
 	for _, c := range choices {
 		c.m.dirty = true
 		if c.wait != 0 {
@@ -378,13 +381,13 @@
 			c.m.fetching[j.Image] = true
 		}
 		j.wants -= c.count
-		asks = append(asks, manager.Ask{Job: j.ID, Machine: c.m.ID, Count: c.count, Lease: s.lease(j, c.m, c.cold)})
+		asks = append(asks, lease.Request{Job: j.ID, Machine: c.m.ID, Count: c.count, Duration: s.lease(j, c.m, c.cold)})
 	}
 	return asks
 }
 
 // askToWait gives the request for the place of a lease's waiter, unless the job has it already.
-func (s *Scheduler) askToWait(j *queued, c choice) []manager.Ask {
+func (s *Scheduler) askToWait(j *queued, c choice) []lease.Request {
 	if c.m.claimed == nil {
 		c.m.claimed = map[uint64]bool{}
 	}
@@ -392,7 +395,7 @@
 	if c.held {
 		return nil
 	}
-	return []manager.Ask{{Job: j.ID, Machine: c.m.ID, Wait: c.wait}}
+	return []lease.Request{{Job: j.ID, Machine: c.m.ID, WaitFor: c.wait}}
 }
 
 // book enters a choice into the copies of this view, or takes it out again.
@@ -401,7 +404,7 @@
 		return
 	}
 	c.m.dirty = true
-	c.m.left = c.m.left.Plus(j.Space, -float64(sign*c.count))
+	c.m.left = c.m.left.Plus(j.Vector, -float64(sign*c.count))
 	if j.inZone != nil {
 		j.inZone[c.m.Zone] += sign * c.count
 	}
@@ -412,18 +415,18 @@
 	if !s.zoneAllows(j, m.Zone) {
 		return 0
 	}
-	if j.ZoneMax > 0 {
-		n = min(n, j.ZoneMax-j.inZone[m.Zone])
+	if j.MaxPerZone > 0 {
+		n = min(n, j.MaxPerZone-j.inZone[m.Zone])
 	}
-	return m.leftFor(j).Holds(j.Space, n)
+	return m.leftFor(j).MaxTasks(j.Vector, n)
 }
 
 // leftFor is the room on a machine for tasks of a job: what is free, and what is reserved for them.
-func (m *machine) leftFor(j *queued) space.Space {
+func (m *machine) leftFor(j *queued) resources.Vector {
 	left := m.left
 	for _, r := range m.Reserved {
 		if r.Job == j.ID {
-			left = left.Plus(r.Space, 1)
+			left = left.Plus(r.Vector, 1)
 		}
 	}
 	return left
@@ -433,7 +436,7 @@
 func (m *machine) reservedFor(j *queued) int {
 	for _, r := range m.Reserved {
 		if r.Job == j.ID {
-			return r.Space.Holds(j.Space, j.Waiting)
+			return r.Vector.MaxTasks(j.Vector, j.Waiting)
 		}
 	}
 	return 0
@@ -445,7 +448,7 @@
 	var out []choice
 	ranks := map[*machine]int{}
 	for _, m := range s.order {
-		if !m.Usable || !m.leftFor(j).Fits(j.Space) || !s.allows(j, m) {
+		if !m.Usable || !m.leftFor(j).Fits(j.Vector) || !s.allows(j, m) {
 			continue
 		}
 		warm := slices.Contains(m.Images, j.Image)
@@ -469,11 +472,11 @@
 // sortChoices puts the best choices first; ranks are the machines' by image.
 func (s *Scheduler) sortChoices(j *queued, out []choice, ranks map[*machine]int) {
 	slices.SortStableFunc(out, func(a, b choice) int {
-		if a.m.Keep != b.m.Keep {
+		if a.m.ReservedForJob != b.m.ReservedForJob {
 			// Room kept for this very job first: others can't use it.
-			if a.m.Keep == j.ID {
+			if a.m.ReservedForJob == j.ID {
 				return -1
-			} else if b.m.Keep == j.ID {
+			} else if b.m.ReservedForJob == j.ID {
 				return 1
 			}
 		}
@@ -483,8 +486,8 @@
 			}
 			return 1
 		}
-		if j.Gang && a.m.Doubt != b.m.Doubt {
-			if b.m.Doubt {
+		if j.Gang && a.m.Unreliable != b.m.Unreliable {
+			if b.m.Unreliable {
 				return -1
 			}
 			return 1
@@ -527,7 +530,7 @@
 		}
 		n := s.room(j, m, j.wants)
 		room[m.Zone] += n
-		if j.Gang && !m.Doubt && slices.Contains(m.Images, j.Image) {
+		if j.Gang && !m.Unreliable && slices.Contains(m.Images, j.Image) {
 			local[m.Zone] += n
 		}
 	}
@@ -548,7 +551,7 @@
 // come: no machine with the image has a lease that ends within what is left of it. For a
 // gang the wait for one place holds up all: it is worth it only where as many places as would
 // fetch come free before that fetch would end.
-func (s *Scheduler) skip(now micros.Time, j *queued, cold int) bool {
+func (s *Scheduler) skip(now micros.Timestamp, j *queued, cold int) bool {
 	since, ok := s.skipped[j.ID]
 	if !ok {
 		since = now
@@ -568,7 +571,7 @@
 		}
 		for _, g := range m.Leases {
 			for _, l := range g.Leases {
-				if ends := l.Ends.Sub(s.view.Now); ends <= left && ends > -s.tuning.Grace && fitsAfter(j, m, g) {
+				if ends := l.Expiry.Sub(s.view.Now); ends <= left && ends > -s.tuning.Grace && fitsAfter(j, m, g) {
 					if places++; !j.Gang || places >= cold {
 						return true
 					}
@@ -580,18 +583,18 @@
 }
 
 func (s *Scheduler) zoneAllows(j *queued, zone string) bool {
-	return !(j.ZoneMax > 0 && j.inZone[zone] >= j.ZoneMax || j.zone != "" && j.zone != zone || j.OneZone && len(j.InZone) > 0 && j.InZone[zone] == 0)
+	return !(j.MaxPerZone > 0 && j.inZone[zone] >= j.MaxPerZone || j.zone != "" && j.zone != zone || j.SameZone && len(j.ActiveByZone) > 0 && j.ActiveByZone[zone] == 0)
 }
 
 func (s *Scheduler) allows(j *queued, m *machine) bool {
-	if m.typ == nil || m.Keep != "" && m.Keep != j.ID || !s.zoneAllows(j, m.Zone) {
+	if m.typ == nil || m.ReservedForJob != "" && m.ReservedForJob != j.ID || !s.zoneAllows(j, m.Zone) {
 		return false
 	}
-	return j.Allows(m.typ, m.Zone, m.Spot) && !slices.Contains(j.Avoid, m.ID)
+	return j.Allows(m.typ, m.Zone, m.Spot) && !slices.Contains(j.AvoidMachines, m.ID)
 }
 
-func fitsAfter(j *queued, m *machine, l manager.LeaseGroup) bool {
-	return m.left.Plus(l.Space, 1).Fits(j.Space)
+func fitsAfter(j *queued, m *machine, l snapshot.JobLeases) bool {
+	return m.left.Plus(l.Vector, 1).Fits(j.Vector)
 }
 
 // waits gives the leases on machines with the image that end before a cold fetch on the
@@ -600,7 +603,7 @@
 	limit := s.fetchTime(j, cold.Zone)
 	type wait struct {
 		choice
-		ends micros.Time
+		ends micros.Timestamp
 	}
 	var found []wait
 	for _, m := range s.order {
@@ -609,10 +612,10 @@
 		}
 		for _, g := range m.Leases {
 			for _, l := range g.Leases {
-				ends := l.Ends.Sub(s.view.Now)
-				taken := l.Waiter != "" && l.Waiter != j.ID && s.view.Now < l.Until
+				ends := l.Expiry.Sub(s.view.Now)
+				taken := l.Waiter != "" && l.Waiter != j.ID && s.view.Now < l.WaiterUntil
 				if ends > 0 && ends < limit && !taken && !m.claimed[l.Attempt] && fitsAfter(j, m, g) {
-					found = append(found, wait{choice{m: m, wait: l.Attempt, held: l.Waiter == j.ID && s.view.Now < l.Until, local: true}, l.Ends})
+					found = append(found, wait{choice{m: m, wait: l.Attempt, held: l.Waiter == j.ID && s.view.Now < l.WaiterUntil, local: true}, l.Expiry})
 				}
 			}
 		}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -4,40 +4,40 @@
 	"fmt"
 	"testing"
 
-	"saffronbend/internal/manager"
 	"saffronbend/internal/micros"
 	"saffronbend/internal/rebalance"
+	"saffronbend/internal/resources"
 	"saffronbend/internal/settings"
-	"saffronbend/internal/space"
+	"saffronbend/internal/snapshot"
 	"saffronbend/wire"
 )
 
-const now micros.Time = 1_000_000_000
+const now micros.Timestamp = 1_000_000_000
 
 func newScheduler() *Scheduler {
 	s := New("c0", settings.Tuning{MinLocality: 0.5, Skip: 10 * micros.Second, History: 10, Slack: 5 * micros.Second,
-		FirstLease: 100 * micros.Second, Grace: 20 * micros.Second, KeepAfter: 45 * micros.Second})
+		FirstLease: 100 * micros.Second, Grace: 20 * micros.Second, ReserveAfter: 45 * micros.Second})
 	s.SetTypes([]wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 16, FetchGBPS: 0.1, Zones: []string{"a"}}})
 	return s
 }
 
-func machineView(id string, cpus float64, images ...string) *manager.MachineView {
-	return &manager.MachineView{ID: id, Type: "small", Zone: "a", Usable: true, Space: space.Space{CPUs: cpus, MemoryGB: 16}, Images: images}
+func machineView(id string, cpus float64, images ...string) *snapshot.Machine {
+	return &snapshot.Machine{ID: id, Type: "small", Zone: "a", Usable: true, Vector: resources.Vector{CPUs: cpus, MemoryGB: 16}, Images: images}
 }
 
-func jobView(id string, waiting int) *manager.JobView {
-	return &manager.JobView{ID: id, Team: "red", Space: space.Space{CPUs: 8, MemoryGB: 1}, Image: "img", ImageGB: 1, Waiting: waiting, Priority: 1,
-		Estimate: 10 * micros.Second, Born: now, Since: now}
+func jobView(id string, waiting int) *snapshot.Job {
+	return &snapshot.Job{ID: id, Team: "red", Vector: resources.Vector{CPUs: 8, MemoryGB: 1}, Image: "img", ImageGB: 1, Waiting: waiting, Priority: 1,
+		Estimate: 10 * micros.Second, AcceptedAt: now, WaitingSince: now}
 }
 
 // asked gives what a round on a view asks for, such as "run-1 n-1 x2" or "run-1 n-1 after 7".
-func asked(s *Scheduler, machines []*manager.MachineView, jobs ...*manager.JobView) []string {
-	s.View(&manager.View{Token: 1, Version: 1, Now: now, Assign: map[string]string{"red": "c0"}, Machines: machines, Jobs: jobs})
+func asked(s *Scheduler, machines []*snapshot.Machine, jobs ...*snapshot.Job) []string {
+	s.View(&snapshot.Snapshot{FencingToken: 1, Version: 1, Now: now, TeamAssignments: map[string]string{"red": "c0"}, Machines: machines, Jobs: jobs})
 	var out []string
 	for _, r := range s.Round(now, func() bool { return false }) {
-		for _, a := range r.Asks {
-			if a.Wait != 0 {
-				out = append(out, fmt.Sprintf("%s %s after %d", a.Job, a.Machine, a.Wait))
+		for _, a := range r.Requests {
+			if a.WaitFor != 0 {
+				out = append(out, fmt.Sprintf("%s %s after %d", a.Job, a.Machine, a.WaitFor))
 			} else {
 				out = append(out, fmt.Sprintf("%s %s x%d", a.Job, a.Machine, a.Count))
 			}
@@ -57,57 +57,57 @@
 // ends soon; without the reservation that lease is waited for. The drains of the scale tests took ten times as long.
 func TestReservedRoomIsTakenAtOnce(t *testing.T) {
 	busy := machineView("n-1", 0, "img")
-	busy.Leases = []manager.LeaseGroup{{Job: "run-9", Space: space.Space{CPUs: 8, MemoryGB: 1}, Leases: []manager.Lease{{Attempt: 7, Ends: now.Add(2 * micros.Second)}}}}
+	busy.Leases = []snapshot.JobLeases{{Job: "run-9", Vector: resources.Vector{CPUs: 8, MemoryGB: 1}, Leases: []snapshot.Lease{{Attempt: 7, Expiry: now.Add(2 * micros.Second)}}}}
 	reserved := machineView("n-2", 0)
-	reserved.Reserved = []manager.Reserved{{Job: "run-1", Space: space.Space{CPUs: 8, MemoryGB: 1}}}
-	want(t, asked(newScheduler(), []*manager.MachineView{busy, reserved}, jobView("run-1", 1)), "run-1 n-2 x1")
-	want(t, asked(newScheduler(), []*manager.MachineView{busy, reserved}, jobView("run-2", 1)))
-	want(t, asked(newScheduler(), []*manager.MachineView{busy, machineView("n-2", 8)}, jobView("run-1", 1)), "run-1 n-1 after 7")
+	reserved.Reserved = []snapshot.Reservation{{Job: "run-1", Vector: resources.Vector{CPUs: 8, MemoryGB: 1}}}
+	want(t, asked(newScheduler(), []*snapshot.Machine{busy, reserved}, jobView("run-1", 1)), "run-1 n-2 x1")
+	want(t, asked(newScheduler(), []*snapshot.Machine{busy, reserved}, jobView("run-2", 1)))
+	want(t, asked(newScheduler(), []*snapshot.Machine{busy, machineView("n-2", 8)}, jobView("run-1", 1)), "run-1 n-1 after 7")
 }
 
 // A job that is late already, and of low priority, goes first once it has waited long.
 func TestLongWaitingGoesFirst(t *testing.T) {
 	urgent, late := jobView("run-1", 1), jobView("run-2", 1)
 	urgent.Priority = 3
-	late.Due = now.Add(-micros.Minute)
-	late.Since = now.Add(-40 * micros.Second)
-	free := []*manager.MachineView{machineView("n-1", 8, "img")}
+	late.Deadline = now.Add(-micros.Minute)
+	late.WaitingSince = now.Add(-40 * micros.Second)
+	free := []*snapshot.Machine{machineView("n-1", 8, "img")}
 	want(t, asked(newScheduler(), free, urgent, late), "run-1 n-1 x1")
-	late.Since = now.Add(-50 * micros.Second)
+	late.WaitingSince = now.Add(-50 * micros.Second)
 	want(t, asked(newScheduler(), free, urgent, late), "run-2 n-1 x1")
 }
 
 // Room that is kept for a job is for that job alone.
 func TestKeptRoomIsForOneJob(t *testing.T) {
 	m := machineView("n-1", 8, "img")
-	m.Keep = "run-2"
-	want(t, asked(newScheduler(), []*manager.MachineView{m}, jobView("run-1", 1)))
-	want(t, asked(newScheduler(), []*manager.MachineView{m}, jobView("run-1", 1), jobView("run-2", 1)), "run-2 n-1 x1")
+	m.ReservedForJob = "run-2"
+	want(t, asked(newScheduler(), []*snapshot.Machine{m}, jobView("run-1", 1)))
+	want(t, asked(newScheduler(), []*snapshot.Machine{m}, jobView("run-1", 1), jobView("run-2", 1)), "run-2 n-1 x1")
 }
 
 // The design's order: a free machine with the image, then the place after a lease that ends
 // before a cold fetch would, then the fetch.
 func TestImageThenWaitThenFetch(t *testing.T) {
 	busy := machineView("n-2", 0, "img")
-	busy.Leases = []manager.LeaseGroup{{Job: "run-9", Space: space.Space{CPUs: 8, MemoryGB: 1}, Leases: []manager.Lease{{Attempt: 7, Ends: now.Add(5 * micros.Second)}}}}
-	ms := []*manager.MachineView{machineView("n-1", 8, "img"), busy, machineView("n-3", 8)}
+	busy.Leases = []snapshot.JobLeases{{Job: "run-9", Vector: resources.Vector{CPUs: 8, MemoryGB: 1}, Leases: []snapshot.Lease{{Attempt: 7, Expiry: now.Add(5 * micros.Second)}}}}
+	ms := []*snapshot.Machine{machineView("n-1", 8, "img"), busy, machineView("n-3", 8)}
 	want(t, asked(newScheduler(), ms, jobView("run-1", 3)), "run-1 n-1 x1", "run-1 n-2 after 7", "run-1 n-3 x1")
-	busy.Leases[0].Leases[0].Ends = now.Add(15 * micros.Second) // a fetch takes 10 s
+	busy.Leases[0].Leases[0].Expiry = now.Add(15 * micros.Second) // a fetch takes 10 s
 	want(t, asked(newScheduler(), ms, jobView("run-1", 2)), "run-1 n-1 x1", "run-1 n-3 x1")
 }
 
 // A job that has waited long takes free room instead of waiting for one lease after another.
 func TestLongWaitingTakesFreeRoom(t *testing.T) {
 	busy := machineView("n-2", 0, "img")
-	busy.Leases = []manager.LeaseGroup{{Job: "run-9", Space: space.Space{CPUs: 8, MemoryGB: 1}, Leases: []manager.Lease{{Attempt: 7, Ends: now.Add(5 * micros.Second)}}}}
+	busy.Leases = []snapshot.JobLeases{{Job: "run-9", Vector: resources.Vector{CPUs: 8, MemoryGB: 1}, Leases: []snapshot.Lease{{Attempt: 7, Expiry: now.Add(5 * micros.Second)}}}}
 	kept := machineView("n-3", 8)
-	kept.Keep = "run-1"
-	for waited, asks := range map[micros.Span]string{40 * micros.Second: "run-1 n-2 after 7", 50 * micros.Second: "run-1 n-3 x1"} {
+	kept.ReservedForJob = "run-1"
+	for waited, asks := range map[micros.Duration]string{40 * micros.Second: "run-1 n-2 after 7", 50 * micros.Second: "run-1 n-3 x1"} {
 		j := jobView("run-1", 1)
-		j.Since = now.Add(-waited)
+		j.WaitingSince = now.Add(-waited)
 		s := newScheduler()
 		s.tuning.MinLocality = 0
-		want(t, asked(s, []*manager.MachineView{busy, kept}, j), asks)
+		want(t, asked(s, []*snapshot.Machine{busy, kept}, j), asks)
 	}
 }
 
@@ -116,11 +116,11 @@
 func TestOneWaiterForALease(t *testing.T) {
 	for waiter, asks := range map[string][]string{"run-1": nil, "run-8": {"run-1 n-3 x1"}} {
 		busy := machineView("n-2", 0, "img")
-		busy.Leases = []manager.LeaseGroup{{Job: "run-9", Space: space.Space{CPUs: 8, MemoryGB: 1},
-			Leases: []manager.Lease{{Attempt: 7, Ends: now.Add(5 * micros.Second), Waiter: waiter, Until: now.Add(25 * micros.Second)}}}}
+		busy.Leases = []snapshot.JobLeases{{Job: "run-9", Vector: resources.Vector{CPUs: 8, MemoryGB: 1},
+			Leases: []snapshot.Lease{{Attempt: 7, Expiry: now.Add(5 * micros.Second), Waiter: waiter, WaiterUntil: now.Add(25 * micros.Second)}}}}
 		s := newScheduler()
 		s.tuning.MinLocality = 0
-		want(t, asked(s, []*manager.MachineView{busy, machineView("n-3", 8)}, jobView("run-1", 1)), asks...)
+		want(t, asked(s, []*snapshot.Machine{busy, machineView("n-3", 8)}, jobView("run-1", 1)), asks...)
 	}
 }
 
@@ -128,28 +128,28 @@
 // longer than the skip.
 func TestSkipIsBounded(t *testing.T) {
 	busy := machineView("n-2", 0, "img")
-	busy.Leases = []manager.LeaseGroup{{Job: "run-9", Space: space.Space{CPUs: 8, MemoryGB: 1},
-		Leases: []manager.Lease{{Attempt: 7, Ends: now.Add(8 * micros.Second), Waiter: "run-8", Until: now.Add(28 * micros.Second)}}}}
-	ms := []*manager.MachineView{busy, machineView("n-3", 8)}
+	busy.Leases = []snapshot.JobLeases{{Job: "run-9", Vector: resources.Vector{CPUs: 8, MemoryGB: 1},
+		Leases: []snapshot.Lease{{Attempt: 7, Expiry: now.Add(8 * micros.Second), Waiter: "run-8", WaiterUntil: now.Add(28 * micros.Second)}}}}
+	ms := []*snapshot.Machine{busy, machineView("n-3", 8)}
 	s := newScheduler()
 	want(t, asked(s, ms, jobView("run-1", 1)))
 	s.skipped["run-1"] = now.Add(-11 * micros.Second)
 	want(t, asked(s, ms, jobView("run-1", 1)), "run-1 n-3 x1")
-	busy.Leases[0].Leases[0].Ends = now.Add(15 * micros.Second)
+	busy.Leases[0].Leases[0].Expiry = now.Add(15 * micros.Second)
 	want(t, asked(newScheduler(), ms, jobView("run-1", 1)), "run-1 n-3 x1")
 }
 
 // A round that runs out of time goes on with the next job.
 func TestRoundGoesOn(t *testing.T) {
 	s := newScheduler()
-	jobs := []*manager.JobView{jobView("run-1", 1), jobView("run-2", 1), jobView("run-3", 1)}
-	s.View(&manager.View{Token: 1, Version: 1, Now: now, Assign: map[string]string{"red": "c0"}, Jobs: jobs,
-		Machines: []*manager.MachineView{machineView("n-1", 8, "img"), machineView("n-2", 8, "img"), machineView("n-3", 8, "img")}})
+	jobs := []*snapshot.Job{jobView("run-1", 1), jobView("run-2", 1), jobView("run-3", 1)}
+	s.View(&snapshot.Snapshot{FencingToken: 1, Version: 1, Now: now, TeamAssignments: map[string]string{"red": "c0"}, Jobs: jobs,
+		Machines: []*snapshot.Machine{machineView("n-1", 8, "img"), machineView("n-2", 8, "img"), machineView("n-3", 8, "img")}})
 	var got []string
 	for range 3 {
 		n := 0
 		for _, r := range s.Round(now, func() bool { n++; return n > 1 }) {
-			got = append(got, r.Asks[0].Job)
+			got = append(got, r.Requests[0].Job)
 		}
 	}
 	want(t, got, "run-1", "run-2", "run-3")
@@ -168,17 +168,17 @@
 	for _, c := range []struct {
 		name    string
 		enabled bool
-		jobs    []*manager.JobView
+		jobs    []*snapshot.Job
 		want    []string
 	}{
-		{"contended", true, []*manager.JobView{small, other}, []string{"run-1 n-1 x2", "run-1 n-2 x2", "run-1 n-1 x2"}},
-		{"alone", true, []*manager.JobView{small}, []string{"run-1 n-1 x4", "run-1 n-2 x2"}},
-		{"off", false, []*manager.JobView{small, other}, []string{"run-1 n-1 x4", "run-1 n-2 x2"}},
+		{"contended", true, []*snapshot.Job{small, other}, []string{"run-1 n-1 x2", "run-1 n-2 x2", "run-1 n-1 x2"}},
+		{"alone", true, []*snapshot.Job{small}, []string{"run-1 n-1 x4", "run-1 n-2 x2"}},
+		{"off", false, []*snapshot.Job{small, other}, []string{"run-1 n-1 x4", "run-1 n-2 x2"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newScheduler()
-			s.tuning.Spread = settings.Spread{Enabled: c.enabled, Policy: rebalance.Config{Cap: 0.25}}
-			want(t, asked(s, []*manager.MachineView{machineView("n-1", 4, "img"), machineView("n-2", 8, "img")}, c.jobs...), c.want...)
+			s.tuning.Rebalancing = settings.Rebalancing{Enabled: c.enabled, Policy: rebalance.Config{Cap: 0.25}}
+			want(t, asked(s, []*snapshot.Machine{machineView("n-1", 4, "img"), machineView("n-2", 8, "img")}, c.jobs...), c.want...)
 		})
 	}
 }
@@ -190,8 +190,8 @@
 	other := jobView("run-2", 1)
 	other.Team, other.CPUs = "blue", 64
 	s := newScheduler()
-	s.tuning.Spread = settings.Spread{Enabled: true, Policy: rebalance.Config{Cap: 0.25}}
-	want(t, asked(s, []*manager.MachineView{machineView("n-1", 4, "img"), machineView("n-2", 8)}, small, other), "run-1 n-1 x2", "run-1 n-1 x2")
+	s.tuning.Rebalancing = settings.Rebalancing{Enabled: true, Policy: rebalance.Config{Cap: 0.25}}
+	want(t, asked(s, []*snapshot.Machine{machineView("n-1", 4, "img"), machineView("n-2", 8)}, small, other), "run-1 n-1 x2", "run-1 n-1 x2")
 }
 
 // Successors go to the machines where room is reserved for them, each to as many as it is reserved for. Without the limit all of them
@@ -199,12 +199,12 @@
 func TestReservedRoomIsTakenByAsManyAsItIsFor(t *testing.T) {
 	small := jobView("run-1", 3)
 	small.CPUs = 1
-	reserved := func(id string, free, tasks float64) *manager.MachineView {
+	reserved := func(id string, free, tasks float64) *snapshot.Machine {
 		m := machineView(id, free, "img")
-		m.Reserved = []manager.Reserved{{Job: "run-1", Space: space.Space{CPUs: tasks, MemoryGB: tasks}}}
+		m.Reserved = []snapshot.Reservation{{Job: "run-1", Vector: resources.Vector{CPUs: tasks, MemoryGB: tasks}}}
 		return m
 	}
-	want(t, asked(newScheduler(), []*manager.MachineView{reserved("n-1", 6, 1), reserved("n-2", 7, 2)}, small), "run-1 n-1 x1", "run-1 n-2 x2")
+	want(t, asked(newScheduler(), []*snapshot.Machine{reserved("n-1", 6, 1), reserved("n-2", 7, 2)}, small), "run-1 n-1 x1", "run-1 n-2 x2")
 	small.Waiting = 5
-	want(t, asked(newScheduler(), []*manager.MachineView{reserved("n-1", 6, 1), reserved("n-2", 7, 2)}, small), "run-1 n-1 x1", "run-1 n-2 x2", "run-1 n-1 x2")
+	want(t, asked(newScheduler(), []*snapshot.Machine{reserved("n-1", 6, 1), reserved("n-2", 7, 2)}, small), "run-1 n-1 x1", "run-1 n-2 x2", "run-1 n-1 x2")
 }
--- a/internal/scheduler/spread.go
+++ b/internal/scheduler/spread.go
@@ -1,22 +1,22 @@
 package scheduler
 
 import (
-	"saffronbend/internal/manager"
-	"saffronbend/internal/space"
+	"saffronbend/internal/resources"
+	"saffronbend/internal/snapshot"
 )
 
 // This file keeps a team from filling a machine while other teams wait, where there are other candidates that are as good by
 // the ordinary path. It is an order among candidates and nothing more: no room stays empty, and nothing waits longer for it.
 
 // observeTeams notes which jobs belong to which team, and which teams wait.
-func (s *Scheduler) observeTeams(v *manager.View) {
-	if !s.tuning.Spread.Enabled {
+func (s *Scheduler) observeTeams(v *snapshot.Snapshot) {
+	if !s.tuning.Rebalancing.Enabled {
 		return
 	}
 	s.teams, s.waiting = make(map[string]string, len(v.Jobs)), map[string]bool{}
 	for _, j := range v.Jobs {
 		s.teams[j.ID] = j.Team
-		if v.Wants(j) > 0 {
+		if v.PlaceableTasks(j) > 0 {
 			s.waiting[j.Team] = true
 		}
 	}
@@ -53,7 +53,7 @@
 // divideAtCap gives a choice in two parts, up to the cap of the job's team and beyond it, while other teams wait. A gang and a
 // job that is overdue take room as they find it.
 func (s *Scheduler) divideAtCap(j *queued, c choice) []choice {
-	if !s.tuning.Spread.Enabled || j.Gang || s.overdue(j) || !s.contended(j) {
+	if !s.tuning.Rebalancing.Enabled || j.Gang || s.overdue(j) || !s.contended(j) {
 		return []choice{c}
 	}
 	beyond := c
@@ -69,19 +69,19 @@
 // withinCap is how many tasks of a job a machine takes before the share of the job's team exceeds the cap.
 func (s *Scheduler) withinCap(j *queued, m *machine) int {
 	// What has been decided on this view may be other teams': then the preference ends a little early.
-	held := m.Space.Plus(m.left, -1)
+	held := m.Vector.Plus(m.left, -1)
 	for _, g := range m.Leases {
 		if s.teams[g.Job] == j.Team {
 			for range g.Leases {
-				held = held.Plus(g.Space, 1)
+				held = held.Plus(g.Vector, 1)
 			}
 		}
 	}
-	whole := space.Whole(m.typ)
+	whole := resources.OfMachine(m.typ)
 	n := 0
 	for ; n < j.wants; n++ {
-		held = held.Plus(j.Space, 1)
-		if held.DominantShare(whole) > s.tuning.Spread.Policy.Cap {
+		held = held.Plus(j.Vector, 1)
+		if held.DominantShare(whole) > s.tuning.Rebalancing.Policy.Cap {
 			break
 		}
 	}
--- a/internal/settings/drains.go
+++ b/internal/settings/drains.go
@@ -18,7 +18,7 @@
 	Budgets map[string]disruption.Budget // of single teams
 	Step    int                          // machines emptied at the same time, unless a drain says otherwise
 	// Reservation is how long room is kept for the successor of an evicted attempt.
-	Reservation micros.Span
+	Reservation micros.Duration
 }
 
 // Defaults of the settings of drains.
@@ -54,7 +54,7 @@
 		d.Budgets[team] = budget(b.GetLimit(), "drains.budgets: "+team)
 	}
 	if o != nil {
-		d.Step = c.count(o.Step, defaultDrainStep, drain.MostStep, "drains.step")
+		d.Step = c.count(o.Step, defaultDrainStep, drain.MaxStep, "drains.step")
 		d.Reservation = micros.Seconds(c.number(o.ReservationS, defaultReservationS, 1, mostReservationS, "drains.reservation_s"))
 	}
 	return d, errors.Join(c.errs...)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -138,23 +138,23 @@
 
 // Tuning is what operators may set, with defaults filled in.
 type Tuning struct {
-	MinLocality  float64
-	Skip         micros.Span
-	History      int
-	Slack        micros.Span
-	FirstLease   micros.Span
-	Grace        micros.Span
-	RoundBudget  micros.Span
-	PreemptAfter micros.Span
-	MaxMachines  int
-	IdleReturn   micros.Span
-	BootPatience float64
-	SilentReturn micros.Span
-	HireAhead    micros.Span
-	KeepAfter    micros.Span
-	Reserve      float64
-	Drains       Drains
-	Spread       Spread
+	MinLocality    float64
+	Skip           micros.Duration
+	History        int
+	Slack          micros.Duration
+	FirstLease     micros.Duration
+	Grace          micros.Duration
+	RoundBudget    micros.Duration
+	PreemptAfter   micros.Duration
+	MaxMachines    int
+	IdleTimeout    micros.Duration
+	BootPatience   float64
+	SilenceTimeout micros.Duration
+	ScaleOutAhead  micros.Duration
+	ReserveAfter   micros.Duration
+	SpareShare     float64
+	Drains         Drains
+	Rebalancing    Rebalancing
 }
 
 // Load reads the settings and, where a path is given, the options.
@@ -303,33 +303,33 @@
 
 // NewsBlock is how long the leader's watch of the jobs waits for a change. What it knows of
 // cancellations is never much older than this and the same once more while the service serves.
-const NewsBlock = micros.Second
+const WatchTimeout = micros.Second
 
 // The leader's watch takes two blocks and a slow answer to bring news in the worst case; with less
 // than this, leases would run out while nothing is wrong.
-const leastStaleness = 3 * NewsBlock
+const leastStaleness = 3 * WatchTimeout
 
 // MaxStaleness is how old the news of cancellations may be when a worker's lease is renewed. A
 // job cancelled just after them is off the worker when that lease has run out, and within cancel_s
 // by the true time: both clocks may be slow, and a worker's timers fire in steps.
-func (s *Settings) MaxStaleness() micros.Span {
+func (s *Settings) MaxStaleness() micros.Duration {
 	const drift, steps = 1000, micros.Second
 	cancel := micros.Seconds(s.Deployment.Workers.CancelS)
 	return cancel - cancel/drift - s.Lease() - steps
 }
 
 // GangWait is how long a task waits for the others of its gang.
-func (s *Settings) GangWait() micros.Span {
+func (s *Settings) GangWait() micros.Duration {
 	return s.gangTime(s.Deployment.Workers.GangWaitS, 3)
 }
 
 // GangPeer is how soon the tasks of a gang notice that one of them is gone, and how long one
 // that has saved waits for the others.
-func (s *Settings) GangPeer() micros.Span {
+func (s *Settings) GangPeer() micros.Duration {
 	return s.gangTime(s.Deployment.Workers.GangPeerS, 0.5)
 }
 
-func (s *Settings) gangTime(given *float64, leases float64) micros.Span {
+func (s *Settings) gangTime(given *float64, leases float64) micros.Duration {
 	if given != nil {
 		return micros.Seconds(*given)
 	}
@@ -450,7 +450,7 @@
 }
 
 // span gives a time.
-func (c *optionChecker) span(p *float64, def float64, name string) micros.Span {
+func (c *optionChecker) span(p *float64, def float64, name string) micros.Duration {
 	return micros.Seconds(c.number(p, def, 0, mostOptionS, name))
 }
 
@@ -460,26 +460,26 @@
 	lease := s.Deployment.Workers.LeaseS
 	var c optionChecker
 	s.Tuning = Tuning{
-		MinLocality:  c.number(o.MinLocality, 0.5, 0, 1, "min_locality"),
-		Skip:         c.span(o.SkipS, 10, "skip_s"),
-		History:      c.count(o.History, 10, 1000, "history"),
-		Slack:        c.span(o.SlackS, 5, "slack_s"),
-		FirstLease:   c.span(o.FirstLeaseS, 100, "first_lease_s"),
-		Grace:        c.span(o.GraceS, 20, "grace_s"),
-		RoundBudget:  c.span(o.RoundBudgetS, 0.02, "round_budget_s"),
-		PreemptAfter: c.span(o.PreemptAfterS, 1, "preempt_after_s"),
-		MaxMachines:  c.count(o.MaxMachines, uint32(max(1, min(s.connectableMachines(), s.servableMachines()))), 100000, "max_machines"),
-		IdleReturn:   c.span(o.IdleReturnS, 30, "idle_return_s"),
-		BootPatience: c.number(o.BootPatience, 3, 1, 100, "boot_patience"),
-		SilentReturn: c.span(o.SilentReturnS, 3*lease, "silent_return_s"),
-		HireAhead:    c.span(o.HireAheadS, 10, "hire_ahead_s"),
-		Reserve:      c.number(o.Reserve, 1.5, 0, 10, "reserve"),
-		KeepAfter:    c.span(o.KeepAfterS, 45, "keep_after_s"),
+		MinLocality:    c.number(o.MinLocality, 0.5, 0, 1, "min_locality"),
+		Skip:           c.span(o.SkipS, 10, "skip_s"),
+		History:        c.count(o.History, 10, 1000, "history"),
+		Slack:          c.span(o.SlackS, 5, "slack_s"),
+		FirstLease:     c.span(o.FirstLeaseS, 100, "first_lease_s"),
+		Grace:          c.span(o.GraceS, 20, "grace_s"),
+		RoundBudget:    c.span(o.RoundBudgetS, 0.02, "round_budget_s"),
+		PreemptAfter:   c.span(o.PreemptAfterS, 1, "preempt_after_s"),
+		MaxMachines:    c.count(o.MaxMachines, uint32(max(1, min(s.connectableMachines(), s.servableMachines()))), 100000, "max_machines"),
+		IdleTimeout:    c.span(o.IdleReturnS, 30, "idle_return_s"),
+		BootPatience:   c.number(o.BootPatience, 3, 1, 100, "boot_patience"),
+		SilenceTimeout: c.span(o.SilentReturnS, 3*lease, "silent_return_s"),
+		ScaleOutAhead:  c.span(o.HireAheadS, 10, "hire_ahead_s"),
+		SpareShare:     c.number(o.Reserve, 1.5, 0, 10, "reserve"),
+		ReserveAfter:   c.span(o.KeepAfterS, 45, "keep_after_s"),
 	}
 	drains, err := s.drains(o.GetDrains())
 	s.Tuning.Drains = drains
 	spread, spreadErr := s.spread(o.GetSpread(), drains)
-	s.Tuning.Spread = spread
+	s.Tuning.Rebalancing = spread
 	return errors.Join(append(c.errs, err, spreadErr)...)
 }
 
@@ -489,7 +489,7 @@
 }
 
 // Lease is how long a worker lives without an answer.
-func (s *Settings) Lease() micros.Span { return micros.Seconds(s.Deployment.Workers.LeaseS) }
+func (s *Settings) Lease() micros.Duration { return micros.Seconds(s.Deployment.Workers.LeaseS) }
 
 // Urgent gives the classes that have an aim for how soon their tasks start.
 func (s *Settings) Urgent() map[string]bool {
--- a/internal/settings/spread.go
+++ b/internal/settings/spread.go
@@ -8,8 +8,8 @@
 	"saffronbend/internal/settings/optionspb"
 )
 
-// Spread are the operators' settings of moves of running tasks.
-type Spread struct {
+// Rebalancing are the operators' settings of moves of running tasks.
+type Rebalancing struct {
 	Enabled bool
 	Policy  rebalance.Config
 }
@@ -29,13 +29,13 @@
 )
 
 // spread fills in the defaults of the settings of moves and checks them.
-func (s *Settings) spread(o *optionspb.Spread, drains Drains) (Spread, error) {
+func (s *Settings) spread(o *optionspb.Spread, drains Drains) (Rebalancing, error) {
 	var c optionChecker
 	if o == nil {
 		o = &optionspb.Spread{}
 	}
 	report := s.Deployment.Workers.ReportS
-	spread := Spread{Enabled: o.GetEnabled(), Policy: rebalance.Config{
+	spread := Rebalancing{Enabled: o.GetEnabled(), Policy: rebalance.Config{
 		Cap:             c.number(o.Cap, defaultCap, 0, 1, "spread.cap"),
 		Margin:          c.number(o.Margin, defaultMargin, 1, mostMargin, "spread.margin"),
 		LeastRelief:     c.number(o.LeastRelief, defaultRelief, 0, 1, "spread.least_relief"),
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -200,7 +200,7 @@
 	case "POST /machines":
 		c.hire(w, r)
 	case "POST /machines/delete":
-		var n wire.Names
+		var n wire.MachineNames
 		if json.NewDecoder(r.Body).Decode(&n) != nil || len(n.Machines) > 100 {
 			reply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 			return
@@ -230,12 +230,12 @@
 }
 
 func (c *Cloud) hire(w http.ResponseWriter, r *http.Request) {
-	var h wire.Hire
-	if json.NewDecoder(r.Body).Decode(&h) != nil || h.Request == "" || h.Count < 1 || h.Count > 50 {
+	var h wire.ScaleOutRequest
+	if json.NewDecoder(r.Body).Decode(&h) != nil || h.RequestID == "" || h.Count < 1 || h.Count > 50 {
 		reply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
-	names, known := c.hires[h.Request]
+	names, known := c.hires[h.RequestID]
 	if !known {
 		left := c.places[placeKey(h.Type, h.Zone, h.Spot)]
 		n := min(h.Count, left)
@@ -253,12 +253,12 @@
 			names = append(names, c.rent(h.Type, h.Zone, h.Spot, boot))
 		}
 		c.places[placeKey(h.Type, h.Zone, h.Spot)] -= n
-		c.hires[h.Request] = names
+		c.hires[h.RequestID] = names
 		c.hired += n
 	}
 	if c.lose {
 		c.lose = false
 		panic(http.ErrAbortHandler)
 	}
-	reply(w, http.StatusOK, wire.Names{Machines: names})
+	reply(w, http.StatusOK, wire.MachineNames{Machines: names})
 }
--- a/internal/standin/gangs.go
+++ b/internal/standin/gangs.go
@@ -124,7 +124,7 @@
 	me.beat = now
 	if at.began.IsZero() {
 		if now.Sub(since) >= g.wait {
-			return gangFate{exits: wire.WhyAlone}
+			return gangFate{exits: wire.ExitGangTimeout}
 		}
 		return gangFate{}
 	}
@@ -138,17 +138,17 @@
 		}
 	}
 	switch {
-	case at.over == wire.WhyDone:
-		return gangFate{runs: true, exits: wire.WhyDone}
-	case at.over == wire.WhyStopped && me.told:
-		return gangFate{runs: true, exits: wire.WhyStopped, saved: true}
+	case at.over == wire.ExitDone:
+		return gangFate{runs: true, exits: wire.ExitDone}
+	case at.over == wire.ExitStopped && me.told:
+		return gangFate{runs: true, exits: wire.ExitStopped, saved: true}
 	case !at.lost.IsZero() && now.Sub(at.lost) >= g.peer/2:
-		return gangFate{runs: true, exits: wire.WhyMates}
+		return gangFate{runs: true, exits: wire.ExitGangPeerGone}
 	case !at.stopped.IsZero():
 		return g.saving(t, at, now)
 	case at.lost.IsZero() && now.Sub(at.began) >= run-at.base:
-		at.over = wire.WhyDone
-		return gangFate{runs: true, exits: wire.WhyDone}
+		at.over = wire.ExitDone
+		return gangFate{runs: true, exits: wire.ExitDone}
 	}
 	return gangFate{runs: true}
 }
@@ -161,13 +161,13 @@
 	}
 	save := time.Duration(t.desc.SaveS * float64(time.Second))
 	if all && at.lost.IsZero() && now.Sub(at.stopped) >= save {
-		at.over, at.finished = wire.WhyStopped, true
+		at.over, at.finished = wire.ExitStopped, true
 		g.saved[t.job] = at.base + at.stopped.Sub(at.began)
-		return gangFate{runs: true, exits: wire.WhyStopped, saved: true}
+		return gangFate{runs: true, exits: wire.ExitStopped, saved: true}
 	}
 	if now.Sub(at.stopped) >= g.peer {
 		g.lose(t, at, now.Add(-g.peer))
-		return gangFate{runs: true, exits: wire.WhyMates}
+		return gangFate{runs: true, exits: wire.ExitGangPeerGone}
 	}
 	return gangFate{runs: true}
 }
--- a/internal/standin/referee.go
+++ b/internal/standin/referee.go
@@ -219,7 +219,7 @@
 		}
 	}
 	t := r.types[w.typ]
-	if !j.job.Allows(t, w.zone, w.spot) || j.job.OneZone && zones < total || j.job.Spread && zones+1 > (j.job.Tasks+1)/2 {
+	if !j.job.Allows(t, w.zone, w.spot) || j.job.SameZone && zones < total || j.job.SpreadZones && zones+1 > (j.job.Tasks+1)/2 {
 		r.breach("wrong_place", "%s/%d on %s in %s", id, n, w.id, w.zone)
 	}
 	j.on[n] = w
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -304,7 +304,7 @@
 	defer s.mu.Unlock()
 	parts := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
 	if len(parts) == 1 {
-		var ask wire.LeaseAsk
+		var ask wire.LeaseRequest
 		if json.NewDecoder(r.Body).Decode(&ask) != nil || ask.TTLMillis < 100 {
 			reply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 			return
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -129,7 +129,7 @@
 // Launched has the machine hold a task that a controller has launched under a token.
 func (w *Worker) Launched(task string, attempt, token uint64) {
 	w.inbox <- func() {
-		w.obey(wire.Direct{Token: token, Session: w.session, Commands: []wire.Command{{Op: wire.OpStart, Task: task, Attempt: attempt}}})
+		w.obey(wire.CommandPush{FencingToken: token, Incarnation: w.session, Commands: []wire.Command{{Op: wire.OpStart, Task: task, Attempt: attempt}}})
 	}
 }
 
@@ -280,7 +280,7 @@
 }
 
 func (w *Worker) exit(t *workerTask, why string, saved bool) {
-	w.leave(t, why == wire.WhyDone)
+	w.leave(t, why == wire.ExitDone)
 	t.state, t.why, t.saved = wire.TaskExited, why, saved
 	w.changed = true
 }
@@ -301,7 +301,7 @@
 		w.changed = true
 		w.cfg.Referee.started(w, t.job, t.index)
 		if fails || w.sick {
-			w.exit(t, wire.WhyError, false)
+			w.exit(t, wire.ExitError, false)
 			return
 		}
 		if t.gang() {
@@ -310,11 +310,11 @@
 		}
 	case wire.TaskRunning:
 		if !now.Before(t.until) {
-			w.exit(t, wire.WhyDone, false)
+			w.exit(t, wire.ExitDone, false)
 		}
 	case wire.TaskSaving:
 		if !now.Before(t.until) {
-			w.exit(t, wire.WhyStopped, true)
+			w.exit(t, wire.ExitStopped, true)
 		}
 	}
 }
@@ -354,14 +354,14 @@
 
 func (w *Worker) describe() []byte {
 	w.seq++
-	r := wire.Report{Machine: w.id, Addr: w.ip + ":9000", Type: w.typ, Zone: w.zone, Spot: w.spot, Session: w.session,
-		Seq: w.seq, Token: w.token, Tasks: []wire.TaskReport{}}
+	r := wire.Heartbeat{Machine: w.id, Addr: w.ip + ":9000", Type: w.typ, Zone: w.zone, Spot: w.spot, Incarnation: w.session,
+		Seq: w.seq, FencingToken: w.token, Tasks: []wire.TaskStatus{}}
 	if !w.notice.IsZero() {
 		s := time.Until(w.notice).Seconds()
-		r.NoticeS = &s
+		r.ReclaimInS = &s
 	}
 	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.why, Saved: t.saved})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, ExitReason: t.why, Saved: t.saved})
 	}
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -372,7 +372,7 @@
 
 // mailed sends a late copy of a report; nobody waits for its answer.
 func (w *Worker) mailed(addr string, body []byte) {
-	if resp, err := w.mail.Post("http://"+addr+wire.PathReport, "application/json", bytes.NewReader(body)); err == nil {
+	if resp, err := w.mail.Post("http://"+addr+wire.PathHeartbeat, "application/json", bytes.NewReader(body)); err == nil {
 		_ = resp.Body.Close()
 	}
 }
@@ -403,7 +403,7 @@
 			l.conn, l.in, l.addr = conn, bufio.NewReader(conn), addr
 		}
 		_ = l.conn.SetDeadline(end)
-		req, err := http.NewRequest(http.MethodPost, "http://"+addr+wire.PathReport, bytes.NewReader(body))
+		req, err := http.NewRequest(http.MethodPost, "http://"+addr+wire.PathHeartbeat, bytes.NewReader(body))
 		if err != nil {
 			panic(err)
 		}
@@ -436,11 +436,11 @@
 	now := time.Now()
 	switch code {
 	case http.StatusOK:
-		var a wire.ReportAnswer
-		if session != w.session || json.Unmarshal(body, &a) != nil || a.Token < w.token || now.Sub(sent) > 4*time.Second {
+		var a wire.HeartbeatResponse
+		if session != w.session || json.Unmarshal(body, &a) != nil || a.FencingToken < w.token || now.Sub(sent) > 4*time.Second {
 			return
 		}
-		w.heed(now, a.Token)
+		w.heed(now, a.FencingToken)
 		w.renewed = sent
 		w.execute(a.Commands)
 		return
@@ -448,7 +448,7 @@
 		var red wire.Redirect
 		if json.Unmarshal(body, &red) == nil {
 			for i, n := range w.cfg.Nodes {
-				if n.Member == red.ReportTo && i != w.node {
+				if n.Member == red.Leader && i != w.node {
 					w.node = i
 					w.nextReport = now.Add(100 * time.Millisecond)
 					return
@@ -479,8 +479,8 @@
 		reply(rw, http.StatusNotFound, wire.Error{Error: "no such path"})
 		return
 	}
-	var d wire.Direct
-	if json.NewDecoder(r.Body).Decode(&d) != nil || d.Token == 0 || d.Session == 0 {
+	var d wire.CommandPush
+	if json.NewDecoder(r.Body).Decode(&d) != nil || d.FencingToken == 0 || d.Incarnation == 0 {
 		reply(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
@@ -514,11 +514,11 @@
 }
 
 // obey carries a direct order out, if token and session allow it.
-func (w *Worker) obey(d wire.Direct) bool {
-	if d.Token < w.token || d.Session != w.session {
+func (w *Worker) obey(d wire.CommandPush) bool {
+	if d.FencingToken < w.token || d.Incarnation != w.session {
 		return false
 	}
-	w.heed(time.Now(), d.Token)
+	w.heed(time.Now(), d.FencingToken)
 	w.execute(d.Commands)
 	for _, t := range w.tasks {
 		w.advance(time.Now(), t)
@@ -534,7 +534,7 @@
 			w.launch(c)
 		case c.Op == wire.OpStop && i >= 0 && w.tasks[i].state != wire.TaskExited:
 			w.stop(w.tasks[i], c)
-		case c.Op == wire.OpForget && i >= 0 && w.tasks[i].state == wire.TaskExited:
+		case c.Op == wire.OpClear && i >= 0 && w.tasks[i].state == wire.TaskExited:
 			w.tasks = slices.Delete(w.tasks, i, i+1)
 		}
 	}
@@ -547,7 +547,7 @@
 	w.tasks = append(w.tasks, t)
 	desc, _, _, known := w.cfg.Referee.describe(id)
 	if !known {
-		w.exit(t, wire.WhyUnknown, false)
+		w.exit(t, wire.ExitUnknown, false)
 		return
 	}
 	t.desc = desc
@@ -557,14 +557,14 @@
 			continue
 		}
 		if o.name == t.name {
-			w.exit(t, wire.WhyBusy, false)
+			w.exit(t, wire.ExitBusy, false)
 			return
 		}
 		cpus, mem = cpus+o.desc.CPUs, mem+o.desc.MemoryGB
 	}
 	spec := w.cfg.Types[w.typ]
 	if cpus+desc.CPUs > spec.CPUs+1e-9 || mem+desc.MemoryGB > spec.MemoryGB+1e-9 {
-		w.exit(t, wire.WhyNoRoom, false)
+		w.exit(t, wire.ExitNoRoom, false)
 		return
 	}
 	if _, ok := w.images[desc.Image]; !ok {
@@ -590,6 +590,6 @@
 		return
 	}
 	if t.state != wire.TaskSaving || grace == 0 {
-		w.exit(t, wire.WhyStopped, false)
+		w.exit(t, wire.ExitStopped, false)
 	}
 }
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -21,8 +21,8 @@
 	chunkPrefix  = "tasks/"
 	// RenewerPrefix lists who renews, or has renewed, worker leases in the leader's stead.
 	RenewerPrefix = "care/"
-	// ChunkPrefix lists all progress records.
-	ChunkPrefix = chunkPrefix
+	// ProgressPrefix lists all progress records.
+	ProgressPrefix = chunkPrefix
 )
 
 // StatusKey names a job's status record.
@@ -31,8 +31,8 @@
 // OpenKey names a job's open record.
 func OpenKey(id string) string { return OpenPrefix + id }
 
-// ChunkKey names the progress record of a chunk of a job's tasks.
-func ChunkKey(id string, chunk int) string { return chunkPrefix + id + "/" + strconv.Itoa(chunk) }
+// ProgressKey names the progress record of a chunk of a job's tasks.
+func ProgressKey(id string, chunk int) string { return chunkPrefix + id + "/" + strconv.Itoa(chunk) }
 
 // RenewerKey names the record that a controller renews worker leases in the leader's stead:
 // one that ends with its permit, and one that stays and tells when it began last.
@@ -45,11 +45,11 @@
 
 const renewerNow = RenewerPrefix + "now/"
 
-// RenewerIsOn tells whether a record says that a controller renews now.
-func RenewerIsOn(key string) bool { return strings.HasPrefix(key, renewerNow) }
+// IsActiveRenewerKey tells whether a record says that a controller renews now.
+func IsActiveRenewerKey(key string) bool { return strings.HasPrefix(key, renewerNow) }
 
-// SplitChunkKey takes the name of a progress record apart.
-func SplitChunkKey(key string) (id string, chunk int, ok bool) {
+// ParseProgressKey takes the name of a progress record apart.
+func ParseProgressKey(key string) (id string, chunk int, ok bool) {
 	rest, found := strings.CutPrefix(key, chunkPrefix)
 	if !found {
 		return "", 0, false
@@ -79,8 +79,8 @@
 // LeaderRecord says who leads.
 type LeaderRecord struct {
 	Member string `json:"member"`
-	// Run tells apart the processes that have borne the member's name.
-	Run uint64 `json:"run"`
+	// Incarnation tells apart the processes that have borne the member's name.
+	Incarnation uint64 `json:"run"`
 }
 
 // StatusRecord is what users are told of a job.
@@ -90,37 +90,37 @@
 
 // OpenRecord describes a job that is not over yet, or whose tasks may still exist.
 type OpenRecord struct {
-	Job      wire.Job `json:"job"`
-	Accepted int64    `json:"accepted"` // time of day, microseconds
-	Chunk    int      `json:"chunk"`    // tasks in a progress record
-	Over     string   `json:"over,omitempty"`
+	Job        wire.Job `json:"job"`
+	AcceptedAt int64    `json:"accepted"` // time of day, microseconds
+	ShardSize  int      `json:"chunk"`    // tasks in a progress record
+	FinalState string   `json:"over,omitempty"`
 }
 
-// Closed is the record of a job that is over: what must be known until its last task is
+// Finalized is the record of a job that is over: what must be known until its last task is
 // gone, and no more. The description may have been kept under a higher limit than there is
 // now, and must not have to be written at that size again.
-func (r OpenRecord) Closed(status string) OpenRecord {
+func (r OpenRecord) Finalized(status string) OpenRecord {
 	j := r.Job
 	r.Job = wire.Job{ID: j.ID, Team: j.Team, Kind: j.Kind, Urgency: j.Urgency, Tasks: j.Tasks,
-		CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, OneZone: j.OneZone, Spread: j.Spread}
-	r.Over = status
+		CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, SameZone: j.SameZone, SpreadZones: j.SpreadZones}
+	r.FinalState = status
 	return r
 }
 
-// ChunkRecord is the progress of a chunk of tasks.
-type ChunkRecord struct {
+// ProgressRecord is the progress of a chunk of tasks.
+type ProgressRecord struct {
 	Done   string      `json:"d,omitempty"` // bitmap in hexadecimal
 	Active []Placement `json:"a,omitempty"`
-	// Write names the write, so that its unknown outcome can be read back.
-	Write string `json:"w"`
+	// IdempotencyMark names the write, so that its unknown outcome can be read back.
+	IdempotencyMark string `json:"w"`
 }
 
 // Placement is an attempt that may exist.
 type Placement struct {
-	Task    int    `json:"t"`
-	Machine string `json:"m"`
-	Attempt uint64 `json:"n"`
-	Session uint64 `json:"s"`
+	Task        int    `json:"t"`
+	Machine     string `json:"m"`
+	Attempt     uint64 `json:"n"`
+	Incarnation uint64 `json:"s"`
 }
 
 // Size is how many bytes the placement takes in its record.
@@ -129,18 +129,18 @@
 	return len(data) + len(","), err
 }
 
-// ChunkOverhead is how many bytes a progress record of so many tasks takes, at the most,
+// ProgressOverhead is how many bytes a progress record of so many tasks takes, at the most,
 // beside its placements.
-func ChunkOverhead(tasks int) int {
+func ProgressOverhead(tasks int) int {
 	const frame, mark = len(`{"d":"","a":[],"w":""}`), 2*13 + len(".") // two numbers to the base of 36
 	return frame + mark + 2*((tasks+7)/8)
 }
 
-// ChunkSize gives how many of a job's tasks share a progress record, so that their placements
+// ProgressShardSize gives how many of a job's tasks share a progress record, so that their placements
 // surely fit into a value. Those of a gang exist all at once or not at all: it could never
 // start if the limit fell below what they need. So their records fit the lowest limit there
 // may be.
-func ChunkSize(kind string, valueKB float64) int {
+func ProgressShardSize(kind string, valueKB float64) int {
 	const bytesPerTask = 80
 	if kind == wire.KindGang {
 		valueKB = LeastValueKB
@@ -192,10 +192,10 @@
 )
 
 // SpreadKey names the record of whether moves of running tasks are paused. Without it they are not.
-const SpreadKey = "spread"
+const RebalancingKey = "spread"
 
-// SpreadRecord says whether moves are paused.
-type SpreadRecord struct {
+// RebalancingRecord says whether moves are paused.
+type RebalancingRecord struct {
 	Paused bool `json:"paused"`
 }
 
@@ -213,8 +213,8 @@
 	return DisruptionPrefix + id + "/" + strconv.Itoa(chunk)
 }
 
-// SplitDisruptionKey takes the name of a disruption record apart.
-func SplitDisruptionKey(key string) (id string, chunk int, ok bool) {
+// ParseDisruptionKey takes the name of a disruption record apart.
+func ParseDisruptionKey(key string) (id string, chunk int, ok bool) {
 	rest, found := strings.CutPrefix(key, DisruptionPrefix)
 	if !found {
 		return "", 0, false
@@ -222,8 +222,8 @@
 	return wire.SplitTask(rest)
 }
 
-// SplitDrainMachinesKey takes the name of a page of a list of machines apart.
-func SplitDrainMachinesKey(key string) (list string, page int, ok bool) {
+// ParseDrainMachinesKey takes the name of a page of a list of machines apart.
+func ParseDrainMachinesKey(key string) (list string, page int, ok bool) {
 	rest, found := strings.CutPrefix(key, DrainMachinesPrefix)
 	i := strings.LastIndexByte(rest, '/')
 	if !found || i < 0 {
@@ -254,8 +254,8 @@
 // DisruptionRecord holds the disturbed tasks of a chunk.
 type DisruptionRecord struct {
 	Open []OpenDisturbance `json:"o"`
-	// Write names the write, as in a progress record.
-	Write string `json:"w"`
+	// IdempotencyMark names the write, as in a progress record.
+	IdempotencyMark string `json:"w"`
 }
 
 // OpenDisturbance is a task that is disturbed. It takes no more bytes than a placement.
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -21,10 +21,10 @@
 // Errors that callers tell apart. Anything else from Txn or the permit calls has an
 // unknown outcome: the request may have been carried out, or may yet be.
 var (
-	ErrUnavailable = errors.New("the state service does not serve this controller now")
-	ErrNoLease     = errors.New("no such permit")
-	ErrCompacted   = errors.New("the revision is too old to watch from")
-	ErrRefused     = errors.New("the state service refused the request")
+	ErrUnavailable  = errors.New("the state service does not serve this controller now")
+	ErrLeaseExpired = errors.New("no such permit")
+	ErrCompacted    = errors.New("the revision is too old to watch from")
+	ErrRefused      = errors.New("the state service refused the request")
 )
 
 // errTooMany is the kind of ErrUnavailable that asks for a slower pace.
@@ -172,14 +172,14 @@
 	}
 }
 
-// Txn runs a transaction that somebody waits for, and returns its revision. A *Conflict means
+// CompareAndSwap runs a transaction that somebody waits for, and returns its revision. A *Conflict means
 // that nothing was changed; ErrUnavailable and ErrRefused likewise.
-func (c *Client) Txn(ctx context.Context, t wire.Txn) (uint64, error) {
+func (c *Client) CompareAndSwap(ctx context.Context, t wire.Txn) (uint64, error) {
 	return c.txn(ctx, c.urgent, t)
 }
 
-// Progress runs a transaction that can wait for those.
-func (c *Client) Progress(ctx context.Context, t wire.Txn) (uint64, error) {
+// CompareAndSwapDeferrable runs a transaction that can wait for those.
+func (c *Client) CompareAndSwapDeferrable(ctx context.Context, t wire.Txn) (uint64, error) {
 	revision, err := c.txn(ctx, c.writes, t)
 	switch {
 	case err == nil:
@@ -211,7 +211,7 @@
 	case code == http.StatusBadRequest:
 		for _, ch := range t.Then {
 			if ch.Lease != 0 {
-				return 0, ErrNoLease
+				return 0, ErrLeaseExpired
 			}
 		}
 		return 0, ErrRefused
@@ -221,10 +221,10 @@
 	return r.Revision, nil
 }
 
-// Grant obtains a permit.
-func (c *Client) Grant(ctx context.Context, life time.Duration) (uint64, error) {
+// GrantLease obtains a permit.
+func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
 	var l wire.Lease
-	code, err := c.do(ctx, time.Second, http.MethodPost, "/grants", wire.LeaseAsk{TTLMillis: life.Milliseconds()}, &l)
+	code, err := c.do(ctx, time.Second, http.MethodPost, "/grants", wire.LeaseRequest{TTLMillis: life.Milliseconds()}, &l)
 	if err != nil {
 		return 0, err
 	}
@@ -234,14 +234,14 @@
 	return l.ID, nil
 }
 
-// Renew renews a permit.
-func (c *Client) Renew(ctx context.Context, id uint64) error {
+// RenewLease renews a permit.
+func (c *Client) RenewLease(ctx context.Context, id uint64) error {
 	code, err := c.do(ctx, time.Second, http.MethodPost, "/grants/"+strconv.FormatUint(id, 10)+"/renew", nil, nil)
 	switch {
 	case err != nil:
 		return err
 	case code == http.StatusNotFound:
-		return ErrNoLease
+		return ErrLeaseExpired
 	case code != http.StatusOK:
 		return fmt.Errorf("%w: status %d", ErrRefused, code)
 	}
--- a/internal/upgrade/frozen_test.go
+++ b/internal/upgrade/frozen_test.go
@@ -57,13 +57,13 @@
 		Granted []int `json:"granted"`
 	}
 	oldRelay struct {
-		Member string       `json:"member"`
-		Token  uint64       `json:"token"`
-		Report *wire.Report `json:"report"`
+		Member string          `json:"member"`
+		Token  uint64          `json:"token"`
+		Report *wire.Heartbeat `json:"report"`
 	}
 	oldRelayAnswer struct {
-		Answer  *wire.ReportAnswer `json:"answer,omitempty"`
-		Reached bool               `json:"reached,omitempty"`
+		Answer  *wire.HeartbeatResponse `json:"answer,omitempty"`
+		Reached bool                    `json:"reached,omitempty"`
 	}
 	oldAnnouncement struct {
 		Member string `json:"member"`
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -13,10 +13,12 @@
 	"strings"
 	"testing"
 
+	"saffronbend/internal/lease"
 	"saffronbend/internal/manager"
 	"saffronbend/internal/micros"
 	"saffronbend/internal/peer"
 	"saffronbend/internal/settings"
+	"saffronbend/internal/snapshot"
 	"saffronbend/internal/state"
 	"saffronbend/wire"
 )
@@ -51,15 +53,15 @@
 	"care":         {func() any { return new(state.LeaderRecord) }, func() any { return new(oldLeader) }},
 	"status":       {func() any { return new(state.StatusRecord) }, func() any { return new(oldStatus) }},
 	"open":         {func() any { return new(state.OpenRecord) }, func() any { return new(oldOpen) }},
-	"chunk":        {func() any { return new(state.ChunkRecord) }, func() any { return new(oldChunk) }},
+	"chunk":        {func() any { return new(state.ProgressRecord) }, func() any { return new(oldChunk) }},
 	"types":        {func() any { return new([]wire.MachineType) }, func() any { return new([]wire.MachineType) }},
-	"update":       {func() any { return new(manager.Update) }, func() any { return new(oldUpdate) }},
-	"asks":         {func() any { return new(peer.Asks) }, func() any { return new(oldAsks) }},
-	"answers":      {func() any { return new(peer.Answers) }, func() any { return new(oldAnswers) }},
-	"relay":        {func() any { return new(peer.Relay) }, func() any { return new(oldRelay) }},
-	"relay_answer": {func() any { return new(peer.RelayAnswer) }, func() any { return new(oldRelayAnswer) }},
+	"update":       {func() any { return new(snapshot.Update) }, func() any { return new(oldUpdate) }},
+	"asks":         {func() any { return new(peer.LeaseRequests) }, func() any { return new(oldAsks) }},
+	"answers":      {func() any { return new(peer.LeaseResponses) }, func() any { return new(oldAnswers) }},
+	"relay":        {func() any { return new(peer.RelayedHeartbeat) }, func() any { return new(oldRelay) }},
+	"relay_answer": {func() any { return new(peer.RelayResponse) }, func() any { return new(oldRelayAnswer) }},
 	"announcement": {func() any { return new(peer.Announcement) }, func() any { return new(oldAnnouncement) }},
-	"hire":         {func() any { return new(wire.Hire) }, func() any { return new(wire.Hire) }},
+	"hire":         {func() any { return new(wire.ScaleOutRequest) }, func() any { return new(wire.ScaleOutRequest) }},
 }
 
 // strictly decodes, knowing every field.
@@ -126,16 +128,16 @@
 			var id string
 			n := 0
 			if e.Kind == "chunk" {
-				id, n, _ = state.SplitChunkKey(e.Key)
+				id, n, _ = state.ParseProgressKey(e.Key)
 			} else {
 				id = e.Key[len(e.Key)-len("run-000001"):]
 			}
-			want := map[string]string{"status": state.StatusKey(id), "open": state.OpenKey(id), "chunk": state.ChunkKey(id, n)}[e.Kind]
+			want := map[string]string{"status": state.StatusKey(id), "open": state.OpenKey(id), "chunk": state.ProgressKey(id, n)}[e.Kind]
 			if e.Key != want {
 				t.Errorf("%s has the key %s, ours is %s", e.Kind, e.Key, want)
 			}
 		case "care":
-			if e.Key != state.RenewerKey("c2", state.RenewerIsOn(e.Key)) {
+			if e.Key != state.RenewerKey("c2", state.IsActiveRenewerKey(e.Key)) {
 				t.Errorf("care has the key %s", e.Key)
 			}
 		case "leader", "types":
@@ -149,9 +151,9 @@
 const token = 52
 
 func newManager(t *testing.T, limits settings.State, open, chunks []wire.Item) *manager.Manager {
-	m, err := manager.New(1000, manager.Config{Token: token, Teams: []settings.Team{{Name: "red", CPUsMax: 40}, {Name: "blue", CPUs: 4}},
-		Lease: 10 * micros.Second, Report: 2 * micros.Second, Margin: micros.Second, Cancel: 30 * micros.Second, ListLag: 3 * micros.Second,
-		Tuning: settings.Tuning{FirstLease: 100 * micros.Second}, Directs: 20, State: limits}, 1764600000000000, open, chunks)
+	m, err := manager.New(1000, manager.Config{FencingToken: token, Teams: []settings.Team{{Name: "red", CPUsMax: 40}, {Name: "blue", CPUs: 4}},
+		WorkerLease: 10 * micros.Second, HeartbeatInterval: 2 * micros.Second, LeaseMargin: micros.Second, CancelTimeout: 30 * micros.Second, ListLag: 3 * micros.Second,
+		Tuning: settings.Tuning{FirstLease: 100 * micros.Second}, MaxCommandPushes: 20, StoreLimits: limits}, 1764600000000000, open, chunks)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -166,30 +168,30 @@
 	put := func(kind, key string, v any) { out = append(out, example{kind, key, encode(t, v)}) }
 	m := newManager(t, settings.State{TxnOps: 4, ValueKB: 2}, nil, nil)
 	gang := wire.Job{ID: "run-000002", Class: "sync", Team: "red", Kind: wire.KindGang, Urgency: "normal", Tasks: 12, CPUs: 1, MemoryGB: 1,
-		Image: "y", ImageGB: 1, OneZone: true, EstimateS: 30, CheckpointS: 20, SaveS: 3}
-	rec := state.OpenRecord{Job: gang, Accepted: 1764600000000000, Chunk: state.ChunkSize(gang.Kind, 2)}
+		Image: "y", ImageGB: 1, SameZone: true, EstimateS: 30, CheckpointS: 20, SaveS: 3}
+	rec := state.OpenRecord{Job: gang, AcceptedAt: 1764600000000000, ShardSize: state.ProgressShardSize(gang.Kind, 2)}
 	put("open", state.OpenKey(gang.ID), rec)
-	put("open", state.OpenKey(gang.ID), rec.Closed(wire.JobCancelled))
-	m.JobChanged(1000, 1000, 1764600000000000, rec, 60)
+	put("open", state.OpenKey(gang.ID), rec.Finalized(wire.JobCancelled))
+	m.OpenRecordChanged(1000, 1000, 1764600000000000, rec, 60)
 	seq := uint64(0)
-	report := func(id string, tasks ...wire.TaskReport) {
+	report := func(id string, tasks ...wire.TaskStatus) {
 		seq++
-		r := &wire.Report{Machine: id, Addr: "10.1.0.2:9000", Type: "small", Zone: "a", Session: 1, Seq: seq, Token: token, Tasks: tasks}
-		m.Report(1000, r, "", true)
-		put("relay", "", peer.Relay{Member: "c2", Token: token, Report: r})
+		r := &wire.Heartbeat{Machine: id, Addr: "10.1.0.2:9000", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, FencingToken: token, Tasks: tasks}
+		m.Heartbeat(1000, r, "", true)
+		put("relay", "", peer.RelayedHeartbeat{Member: "c2", FencingToken: token, Heartbeat: r})
 	}
 	report("n-000001")
 	report("n-000002")
-	asks := peer.Asks{Member: "c2", Token: token, Requests: []manager.Request{{All: true, Asks: []manager.Ask{
-		{Job: gang.ID, Machine: "n-000001", Count: 8, Lease: 30 * micros.Second}, {Job: gang.ID, Machine: "n-000002", Count: 4, Lease: 30 * micros.Second}}}}}
+	asks := peer.LeaseRequests{Member: "c2", FencingToken: token, Requests: []lease.Transaction{{AllOrNothing: true, Requests: []lease.Request{
+		{Job: gang.ID, Machine: "n-000001", Count: 8, Duration: 30 * micros.Second}, {Job: gang.ID, Machine: "n-000002", Count: 4, Duration: 30 * micros.Second}}}}}
 	put("asks", "", asks)
-	answers := peer.Answers{Version: 2, Results: []manager.Result{m.Grant(1000, asks.Requests[0])}}
+	answers := peer.LeaseResponses{SnapshotVersion: 2, Results: []lease.Result{m.Grant(1000, asks.Requests[0])}}
 	if answers.Results[0].Granted[1] != 4 {
 		t.Fatalf("the gang was granted %v", answers.Results[0].Granted)
 	}
 	put("answers", "", answers)
-	m.View(1000)
-	put("update", "", m.Update(1000, 0))
+	m.Snapshot(1000)
+	put("update", "", m.SnapshotUpdate(1000, 0))
 	w := m.NextWrite(1000)
 	for _, c := range w.Changes {
 		put("chunk", c.Key, c.Value)
@@ -244,17 +246,17 @@
 func TestTakesOverFromProduction(t *testing.T) {
 	m := newManager(t, settings.State{TxnOps: 4, ValueKB: 1}, items(t, "open"), items(t, "chunk"))
 	grant := func(job, machine string, n int) int {
-		return m.Grant(1000, manager.Request{Asks: []manager.Ask{{Job: job, Machine: machine, Count: n}}}).Granted[0]
+		return m.Grant(1000, lease.Transaction{Requests: []lease.Request{{Job: job, Machine: machine, Count: n}}}).Granted[0]
 	}
 	seq := uint64(100)
-	report := func(id string, tasks ...wire.TaskReport) []wire.Command {
+	report := func(id string, tasks ...wire.TaskStatus) []wire.Command {
 		seq++
-		a, _ := m.Report(1000, &wire.Report{Machine: id, Addr: "10.1.0.2:9000", Type: "small", Zone: id[len(id)-1:], Session: 1, Seq: seq, Token: token, Tasks: tasks}, "", true)
+		a, _ := m.Heartbeat(1000, &wire.Heartbeat{Machine: id, Addr: "10.1.0.2:9000", Type: "small", Zone: id[len(id)-1:], Incarnation: 1, Seq: seq, FencingToken: token, Tasks: tasks}, "", true)
 		return a.Commands
 	}
 	report("n-000009a")
-	v := m.View(1000)
-	jobs := map[string]*manager.JobView{}
+	v := m.Snapshot(1000)
+	jobs := map[string]*snapshot.Job{}
 	for _, j := range v.Jobs {
 		jobs[j.ID] = j
 	}
@@ -270,9 +272,9 @@
 	if got := grant("run-000001", "n-000009a", 1); got != 0 {
 		t.Error("placed while it is not known in which zone its other tasks are")
 	}
-	var running []wire.TaskReport
+	var running []wire.TaskStatus
 	for i := range 4 {
-		running = append(running, wire.TaskReport{Task: wire.TaskName("run-000001", i+1), Attempt: 41<<20 | uint64(i+2), State: wire.TaskRunning})
+		running = append(running, wire.TaskStatus{Task: wire.TaskName("run-000001", i+1), Attempt: 41<<20 | uint64(i+2), State: wire.TaskRunning})
 	}
 	report("n-000001a", running...)
 	if got := grant("run-000001", "n-000009a", 4); got != 4 {
@@ -284,15 +286,15 @@
 		t.Errorf("orders %v", cmds)
 	}
 	attempt := uint64(41<<20 | 6)
-	whole := manager.Request{All: true, Asks: []manager.Ask{{Job: "run-000002", Machine: "n-000002b", Count: 2}, {Job: "run-000002", Machine: "n-000003a", Count: 1}}}
+	whole := lease.Transaction{AllOrNothing: true, Requests: []lease.Request{{Job: "run-000002", Machine: "n-000002b", Count: 2}, {Job: "run-000002", Machine: "n-000003a", Count: 1}}}
 	if g := m.Grant(1000, whole).Granted[0]; g != 0 {
 		t.Error("the gang is granted while a task of it may run")
 	}
-	cmds := report("n-000003a", wire.TaskReport{Task: "run-000002/2", Attempt: attempt, State: wire.TaskWaiting})
+	cmds := report("n-000003a", wire.TaskStatus{Task: "run-000002/2", Attempt: attempt, State: wire.TaskWaiting})
 	if fmt.Sprint(len(cmds)) != "1" || cmds[0].Op != wire.OpStop {
 		t.Errorf("orders %v", cmds)
 	}
-	report("n-000003a", wire.TaskReport{Task: "run-000002/2", Attempt: attempt, State: wire.TaskExited, Why: wire.WhyStopped})
+	report("n-000003a", wire.TaskStatus{Task: "run-000002/2", Attempt: attempt, State: wire.TaskExited, ExitReason: wire.ExitStopped})
 	if g := m.Grant(1000, whole).Granted; g[0]+g[1] != 3 {
 		t.Errorf("granted %v of the gang", g)
 	}
@@ -302,13 +304,13 @@
 func TestServesProductionsAsks(t *testing.T) {
 	m := newManager(t, settings.State{TxnOps: 8, ValueKB: 4}, items(t, "open"), nil)
 	for i, id := range []string{"n-000001a", "n-000002b", "n-000003a"} {
-		m.Report(1000, &wire.Report{Machine: id, Addr: "10.1.0.2:9000", Type: "small", Zone: id[len(id)-1:], Session: 1, Seq: uint64(i + 1), Token: token}, "", true)
+		m.Heartbeat(1000, &wire.Heartbeat{Machine: id, Addr: "10.1.0.2:9000", Type: "small", Zone: id[len(id)-1:], Incarnation: 1, Seq: uint64(i + 1), FencingToken: token}, "", true)
 	}
 	for _, e := range production(t) {
 		if e.Kind != "asks" {
 			continue
 		}
-		var a peer.Asks
+		var a peer.LeaseRequests
 		if err := json.Unmarshal(e.Value, &a); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -18,33 +18,33 @@
 	"saffronbend/wire"
 )
 
-// Reporter takes reports. A nil answer means that the controller is not entitled to
+// HeartbeatHandler takes reports. A nil answer means that the controller is not entitled to
 // give one; leader then names who is, if that is known.
-type Reporter interface {
-	Report(ctx context.Context, r *wire.Report) (answer *wire.ReportAnswer, leader string)
+type HeartbeatHandler interface {
+	Heartbeat(ctx context.Context, r *wire.Heartbeat) (answer *wire.HeartbeatResponse, leader string)
 }
 
 // Register adds the workers' interface to a router.
-func Register(r *httprouter.Router, reporter Reporter) {
-	r.POST(wire.PathReport, func(w http.ResponseWriter, req *http.Request, _ httprouter.Params) {
+func Register(r *httprouter.Router, reporter HeartbeatHandler) {
+	r.POST(wire.PathHeartbeat, func(w http.ResponseWriter, req *http.Request, _ httprouter.Params) {
 		ingress.LowPriority(req.Context())
 		body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, 1<<20))
-		var report *wire.Report
+		var report *wire.Heartbeat
 		if err == nil {
-			report, err = wire.DecodeReport(body)
+			report, err = wire.DecodeHeartbeat(body)
 		}
 		if err != nil {
 			http.Error(w, `{"error":"malformed report"}`, http.StatusBadRequest)
 			return
 		}
-		answer, leader := reporter.Report(req.Context(), report)
+		answer, leader := reporter.Heartbeat(req.Context(), report)
 		w.Header().Set("Content-Type", "application/json")
 		switch {
 		case answer != nil:
 			_ = json.NewEncoder(w).Encode(answer)
 		case leader != "":
 			w.WriteHeader(http.StatusMisdirectedRequest)
-			_ = json.NewEncoder(w).Encode(wire.Redirect{ReportTo: leader})
+			_ = json.NewEncoder(w).Encode(wire.Redirect{Leader: leader})
 		default:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			_ = json.NewEncoder(w).Encode(wire.Error{Error: "no leader"})
@@ -65,9 +65,9 @@
 // one that was given up does not come about later.
 var ErrNotSent = errors.New("no connection to the worker")
 
-// Do sends orders. An error other than ErrNotSent means that their outcome is unknown: they may take effect
+// PushCommands sends orders. An error other than ErrNotSent means that their outcome is unknown: they may take effect
 // at any time while token and session are the worker's.
-func (c *Client) Do(ctx context.Context, addr string, d wire.Direct) (executed bool, r *wire.Report, err error) {
+func (c *Client) PushCommands(ctx context.Context, addr string, d wire.CommandPush) (executed bool, r *wire.Heartbeat, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	status, body, err := call.JSON(ctx, c.http, http.MethodPost, "http://"+addr+wire.PathCommands, d)
@@ -81,7 +81,7 @@
 	if status != http.StatusOK && status != http.StatusConflict {
 		return false, nil, fmt.Errorf("worker: status %d", status)
 	}
-	if r, err = wire.DecodeReport(body); err != nil {
+	if r, err = wire.DecodeHeartbeat(body); err != nil {
 		return false, nil, fmt.Errorf("worker: answer: %w", err)
 	}
 	return status == http.StatusOK, r, nil
--- a/lease_renewer.go
+++ b/lease_renewer.go
@@ -25,9 +25,9 @@
 	token uint64
 
 	mu       sync.Mutex
-	until    micros.Time     // answers may be given before this
-	over     map[string]bool // jobs that are over
-	resolved resolved        // that these are known
+	until    micros.Timestamp // answers may be given before this
+	over     map[string]bool  // jobs that are over
+	resolved resolved         // that these are known
 	// placed are the recorded attempts of these jobs by machine: a launch of one may yet arrive there, for as
 	// long as the session lasts that we keep alive.
 	placed map[string][]placed
@@ -38,7 +38,7 @@
 type placed struct {
 	job, task        string
 	attempt, session uint64
-	until            micros.Time
+	until            micros.Timestamp
 }
 
 const (
@@ -66,7 +66,7 @@
 				stop, err = c.learn(ctx)
 			}
 		} else {
-			err = c.n.state.Renew(ctx, permit)
+			err = c.n.state.RenewLease(ctx, permit)
 		}
 		if err != nil {
 			permit = 0
@@ -82,7 +82,7 @@
 }
 
 // renewed says until when answers may be given, and gives until when they could be before.
-func (c *leaseRenewer) renewed(until micros.Time) (before micros.Time) {
+func (c *leaseRenewer) renewed(until micros.Timestamp) (before micros.Timestamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	before, c.until = c.until, until
@@ -91,15 +91,15 @@
 
 // begin makes the record that the leader looks for.
 func (c *leaseRenewer) begin(ctx context.Context) (uint64, error) {
-	permit, err := c.n.state.Grant(ctx, renewalLife.Duration())
+	permit, err := c.n.state.GrantLease(ctx, renewalLife.Std())
 	if err != nil {
 		return 0, err
 	}
-	value, err := json.Marshal(state.LeaderRecord{Member: c.n.set.Member, Run: c.n.run})
+	value, err := json.Marshal(state.LeaderRecord{Member: c.n.set.Member, Incarnation: c.n.run})
 	if err != nil {
 		return 0, err
 	}
-	_, err = c.n.state.Txn(ctx, wire.Txn{If: []wire.Cond{{Key: state.LeaderKey, Version: c.token}}, Then: []wire.Change{
+	_, err = c.n.state.CompareAndSwap(ctx, wire.Txn{If: []wire.Condition{{Key: state.LeaderKey, Version: c.token}}, Then: []wire.Change{
 		{Put: state.RenewerKey(c.n.set.Member, true), Value: value, Lease: permit},
 		{Put: state.RenewerKey(c.n.set.Member, false), Value: value}}})
 	if err != nil {
@@ -129,7 +129,7 @@
 // since is the earliest moment at which a job that is found to be over can have been cancelled; known: it is none that
 // the leader itself has known of. At first there is only the leader's last view that was built on fresh news: what that
 // showed was not cancelled before.
-func (c *leaseRenewer) since(id string) (at micros.Time, known bool) {
+func (c *leaseRenewer) since(id string) (at micros.Timestamp, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.resolved.at != 0 {
@@ -138,7 +138,7 @@
 	if p := c.n.progress.Load(); p != nil {
 		_, known = (*p)[id]
 	}
-	return micros.Time(c.n.viewed.Load()).Add(-permitLife), known
+	return micros.Timestamp(c.n.viewed.Load()).Add(-permitLife), known
 }
 
 // applyNews takes news of the open records. They count as known once the attempts of the jobs that are over are, too.
@@ -159,7 +159,7 @@
 		over = append(over, id)
 		since, known := c.since(id)
 		for known {
-			chunks, _, err := c.n.state.List(ctx, state.ChunkPrefix+id+"/")
+			chunks, _, err := c.n.state.List(ctx, state.ProgressPrefix+id+"/")
 			if err == nil {
 				for _, chunk := range chunks {
 					c.find(found, id, chunk, since)
@@ -189,35 +189,35 @@
 }
 
 // find gives by machine the attempts in a progress record of a job that was cancelled at the given time at the earliest.
-func (c *leaseRenewer) find(found map[string][]placed, id string, chunk wire.Item, since micros.Time) {
-	var rec state.ChunkRecord
+func (c *leaseRenewer) find(found map[string][]placed, id string, chunk wire.Item, since micros.Timestamp) {
+	var rec state.ProgressRecord
 	if err := json.Unmarshal(chunk.Value, &rec); err != nil {
 		c.n.log.Error("a progress record can't be read", "key", chunk.Key, "err", err)
 	}
-	until := since.Add(manager.LaunchToStop(micros.Seconds(c.n.set.Deployment.Workers.CancelS)))
+	until := since.Add(manager.LaunchBeforeStopAfter(micros.Seconds(c.n.set.Deployment.Workers.CancelS)))
 	for _, p := range rec.Active {
-		found[p.Machine] = append(found[p.Machine], placed{id, wire.TaskName(id, p.Task), p.Attempt, p.Session, until})
+		found[p.Machine] = append(found[p.Machine], placed{id, wire.TaskName(id, p.Task), p.Attempt, p.Incarnation, until})
 	}
 }
 
 // answer renews a worker's lease, if it may.
-func (c *leaseRenewer) answer(r *wire.Report) *wire.ReportAnswer {
+func (c *leaseRenewer) answer(r *wire.Heartbeat) *wire.HeartbeatResponse {
 	now := c.n.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now >= c.until || !c.resolved.within(now, c.n.set.MaxStaleness()) || r.Token > c.token {
+	if now >= c.until || !c.resolved.within(now, c.n.set.MaxStaleness()) || r.FencingToken > c.token {
 		return nil
 	}
-	a := &wire.ReportAnswer{Token: c.token, Commands: []wire.Command{}}
+	a := &wire.HeartbeatResponse{FencingToken: c.token, Commands: []wire.Command{}}
 	for _, t := range r.Tasks {
 		if id, _, ok := wire.SplitTask(t.Task); ok && c.over[id] && t.State != wire.TaskExited {
 			a.Commands = append(a.Commands, wire.StopCommand(t.Task, t.Attempt, 0))
 		}
 	}
 	for _, p := range c.placed[r.Machine] {
-		knows := func(t wire.TaskReport) bool { return t.Task == p.task && t.Attempt == p.attempt }
+		knows := func(t wire.TaskStatus) bool { return t.Task == p.task && t.Attempt == p.attempt }
 		switch {
-		case p.session != r.Session || slices.ContainsFunc(r.Tasks, knows):
+		case p.session != r.Incarnation || slices.ContainsFunc(r.Tasks, knows):
 		case now < p.until:
 			a.Commands = append(a.Commands, wire.Command{Op: wire.OpStart, Task: p.task, Attempt: p.attempt}, wire.StopCommand(p.task, p.attempt, 0))
 		default:
--- a/node.go
+++ b/node.go
@@ -26,11 +26,11 @@
 	"saffronbend/internal/cloud"
 	"saffronbend/internal/election"
 	"saffronbend/internal/ingress"
-	"saffronbend/internal/manager"
 	"saffronbend/internal/micros"
 	"saffronbend/internal/operator"
 	"saffronbend/internal/peer"
 	"saffronbend/internal/settings"
+	"saffronbend/internal/snapshot"
 	"saffronbend/internal/state"
 	"saffronbend/internal/worker"
 	"saffronbend/wire"
@@ -138,7 +138,7 @@
 // operatorRoutes are the operators' services, which are served beside that for the other controllers.
 func (n *Node) operatorRoutes() []peer.Route {
 	drainPath, drains := operator.DrainHandler(n, n.net.Dial)
-	spreadPath, spread := operator.SpreadHandler(n, n.net.Dial)
+	spreadPath, spread := operator.RebalancingHandler(n, n.net.Dial)
 	return []peer.Route{{Prefix: drainPath, Handler: drains}, {Prefix: spreadPath, Handler: spread}}
 }
 
@@ -235,17 +235,17 @@
 		return false
 	}
 	now := n.clock.Now()
-	refused := now.Sub(micros.Time(n.stateOK.Load())) > 6*micros.Second
-	leaderServed := now.Sub(micros.Time(n.viewed.Load())) < 2*micros.Second
+	refused := now.Sub(micros.Timestamp(n.stateOK.Load())) > 6*micros.Second
+	leaderServed := now.Sub(micros.Timestamp(n.viewed.Load())) < 2*micros.Second
 	return !refused || !leaderServed || n.role.Load().term != nil
 }
 
-// Report serves a worker's report.
-func (n *Node) Report(ctx context.Context, r *wire.Report) (*wire.ReportAnswer, string) {
+// Heartbeat serves a worker's report.
+func (n *Node) Heartbeat(ctx context.Context, r *wire.Heartbeat) (*wire.HeartbeatResponse, string) {
 	ro := n.role.Load()
 	switch {
 	case ro.term != nil:
-		return ro.term.report(ctx, r, "").Answer, ""
+		return ro.term.report(ctx, r, "").Response, ""
 	case ro.following != nil:
 		if a := ro.following.report(ctx, r); a != nil {
 			return a, ""
@@ -254,52 +254,54 @@
 	return nil, ro.leader
 }
 
-// Relayed serves a report that another controller passes on.
-func (n *Node) Relayed(ctx context.Context, r peer.Relay) (*peer.RelayAnswer, error) {
+// HeartbeatRelayed serves a report that another controller passes on.
+func (n *Node) HeartbeatRelayed(ctx context.Context, r peer.RelayedHeartbeat) (*peer.RelayResponse, error) {
 	t := n.role.Load().term
-	if t == nil || t.token != r.Token || r.Report == nil {
+	if t == nil || t.token != r.FencingToken || r.Heartbeat == nil {
 		return nil, peer.ErrNotLeader
 	}
-	ans := t.report(ctx, r.Report, r.Member)
+	ans := t.report(ctx, r.Heartbeat, r.Member)
 	return &ans, nil
 }
 
 // Subscribe gives what changes in the views of a term.
-func (n *Node) Subscribe(ctx context.Context, member string, token uint64) func(since uint64) *manager.Update {
+func (n *Node) Subscribe(ctx context.Context, member string, token uint64) func(since uint64) *snapshot.Update {
 	if t := n.role.Load().term; t != nil && t.token == token {
 		return t.subscribe(ctx, member)
 	}
 	return nil
 }
 
-// Ask serves another controller's lease requests.
-func (n *Node) Ask(ctx context.Context, a peer.Asks) (*peer.Answers, error) {
-	if t := n.role.Load().term; t != nil && t.token == a.Token {
+// RequestLeases serves another controller's lease requests.
+func (n *Node) RequestLeases(ctx context.Context, a peer.LeaseRequests) (*peer.LeaseResponses, error) {
+	if t := n.role.Load().term; t != nil && t.token == a.FencingToken {
 		return t.ask(ctx, a)
 	}
 	return nil, peer.ErrNotLeader
 }
 
-// Announced takes another controller's word that it leads.
-func (n *Node) Announced(ctx context.Context, a peer.Announcement) {
-	n.elector.post(ctx, func(now micros.Time) []election.Effect { return n.elector.e.Announced(now, a.Member, a.Token) })
+// LeaderAnnounced takes another controller's word that it leads.
+func (n *Node) LeaderAnnounced(ctx context.Context, a peer.Announcement) {
+	n.elector.post(ctx, func(now micros.Timestamp) []election.Effect {
+		return n.elector.e.LeaderAnnounced(now, a.Member, a.FencingToken)
+	})
 }
 
 // show takes a view for display and for the health check.
-func (n *Node) show(v *manager.View) {
+func (n *Node) show(v *snapshot.Snapshot) {
 	p := make(map[string]counts, len(v.Jobs))
 	for _, j := range v.Jobs {
 		p[j.ID] = counts{j.Done, j.Running}
 	}
 	n.progress.Store(&p)
-	if v.StateOK {
+	if v.StoreAvailable {
 		n.viewed.Store(int64(n.clock.Now()))
 	}
 }
 
 // sleep waits, and tells whether it was not cut short.
-func sleep(ctx context.Context, s micros.Span) bool {
-	t := time.NewTimer(s.Duration())
+func sleep(ctx context.Context, s micros.Duration) bool {
+	t := time.NewTimer(s.Std())
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
--- a/pace.go
+++ b/pace.go
@@ -4,8 +4,8 @@
 
 // pace tells from how late a regular tick is handled whether the processor keeps up with the work.
 type pace struct {
-	every  micros.Span
-	last   micros.Time // when the last tick was handled
+	every  micros.Duration
+	last   micros.Timestamp // when the last tick was handled
 	behind bool
 }
 
@@ -13,7 +13,7 @@
 const tooLate = 50 * micros.Millisecond
 
 // tick notes that a tick is handled now.
-func (p *pace) tick(now micros.Time) {
+func (p *pace) tick(now micros.Timestamp) {
 	p.behind = p.last != 0 && now.Sub(p.last) > p.every+tooLate
 	p.last = now
 }
--- a/pace_test.go
+++ b/pace_test.go
@@ -9,7 +9,7 @@
 func TestPace(t *testing.T) {
 	p := pace{every: 500 * micros.Millisecond}
 	steps := []struct {
-		after  micros.Span
+		after  micros.Duration
 		behind bool
 	}{
 		{10 * micros.Second, false}, // the first tick
@@ -19,7 +19,7 @@
 		{100 * micros.Millisecond, false}, // the next comes early after a late one
 		{2 * micros.Second, true},
 	}
-	now := micros.Time(0)
+	now := micros.Timestamp(0)
 	for i, s := range steps {
 		now = now.Add(s.after)
 		p.tick(now)
--- a/records.go
+++ b/records.go
@@ -16,12 +16,12 @@
 
 // write carries out one transaction under the leader's key, until its outcome is
 // known. Writes follow one another, so at most one has an unknown outcome.
-func (t *term) write(ctx context.Context, w *manager.Write) {
+func (t *term) write(ctx context.Context, w *manager.WriteBatch) {
 	n := t.n
-	txn := wire.Txn{If: []wire.Cond{{Key: state.LeaderKey, Version: t.token}}}
+	txn := wire.Txn{If: []wire.Condition{{Key: state.LeaderKey, Version: t.token}}}
 	// A record that changes is conditioned on its version in any case.
-	for _, c := range slices.Concat(w.Changes, w.Open) {
-		cond := wire.Cond{Key: c.Key, Version: c.Version}
+	for _, c := range slices.Concat(w.Changes, w.OpenRecordConditions) {
+		cond := wire.Condition{Key: c.Key, Version: c.Version}
 		if !slices.Contains(txn.If, cond) {
 			txn.If = append(txn.If, cond)
 		}
@@ -42,12 +42,12 @@
 		largest = max(largest, len(value))
 	}
 	for wait := 20 * micros.Millisecond; ; wait = min(2*wait, 500*micros.Millisecond) {
-		revision, err := n.state.Progress(ctx, txn)
+		revision, err := n.state.CompareAndSwapDeferrable(ctx, txn)
 		var conflict *state.Conflict
 		switch {
 		case err == nil:
 			n.served()
-			t.post(ctx, func(now micros.Time) { t.mgr.Written(now, w.ID, revision) })
+			t.post(ctx, func(now micros.Timestamp) { t.mgr.WriteCommitted(now, w.ID, revision) })
 			return
 		case errors.As(err, &conflict):
 			if slices.Contains(conflict.Failed, state.LeaderKey) {
@@ -63,7 +63,7 @@
 			for i, c := range w.Changes {
 				keys[i] = c.Key
 			}
-			t.post(ctx, func(now micros.Time) {
+			t.post(ctx, func(now micros.Timestamp) {
 				if !t.mgr.WriteRefused(now, w, largest) {
 					n.log.Error("the state service refuses a write that can't be made smaller", "keys", keys, "bytes", largest, "err", err)
 				}
@@ -79,7 +79,7 @@
 
 // resolve finds out why a write's conditions failed though we lead: an earlier try of
 // it came through, or a user has cancelled a job that it was to complete or to launch tasks of.
-func (t *term) resolve(ctx context.Context, w *manager.Write) bool {
+func (t *term) resolve(ctx context.Context, w *manager.WriteBatch) bool {
 	n := t.n
 	for _, c := range w.Changes {
 		it, err := n.state.Get(ctx, c.Key)
@@ -94,9 +94,9 @@
 			continue
 		}
 		var done state.StatusRecord
-		var chunk state.ChunkRecord
+		var chunk state.ProgressRecord
 		switch {
-		case c.Mark != "" && it != nil && json.Unmarshal(it.Value, &chunk) == nil && chunk.Write == c.Mark,
+		case c.IdempotencyMark != "" && it != nil && json.Unmarshal(it.Value, &chunk) == nil && chunk.IdempotencyMark == c.IdempotencyMark,
 			c.Value == nil && it == nil,
 			c.Value == any(state.StatusRecord{Status: wire.JobDone}) && it != nil &&
 				json.Unmarshal(it.Value, &done) == nil && done.Status == wire.JobDone:
@@ -104,9 +104,9 @@
 				// A deletion leaves no version behind; any later one will do.
 				version = c.Version + 1
 			}
-			t.post(ctx, func(now micros.Time) { t.mgr.Written(now, w.ID, version) })
+			t.post(ctx, func(now micros.Timestamp) { t.mgr.WriteCommitted(now, w.ID, version) })
 			return true
-		case c.Mark == "" && it != nil:
+		case c.IdempotencyMark == "" && it != nil:
 			return t.conflict(ctx, w)
 		}
 		t.depose("a record of ours has been changed by another")
@@ -117,9 +117,9 @@
 
 // conflict ends a write that changed nothing because a user has cancelled a job of it. The watch may lag:
 // what is stored of the jobs is read here, so that the write is not made again as it was.
-func (t *term) conflict(ctx context.Context, w *manager.Write) bool {
+func (t *term) conflict(ctx context.Context, w *manager.WriteBatch) bool {
 	var news openNews
-	for _, c := range w.Open {
+	for _, c := range w.OpenRecordConditions {
 		it, err := t.n.state.Get(ctx, c.Key)
 		if err != nil {
 			return false
@@ -129,7 +129,7 @@
 		}
 	}
 	t.applyNews(ctx, news)
-	t.post(ctx, func(now micros.Time) { t.mgr.WriteConflict(now, w.ID) })
+	t.post(ctx, func(now micros.Timestamp) { t.mgr.WriteConflicted(now, w.ID) })
 	return true
 }
 
@@ -148,14 +148,14 @@
 		}
 		changes = append(changes, c)
 	}
-	t.post(ctx, func(now micros.Time) {
+	t.post(ctx, func(now micros.Timestamp) {
 		for _, c := range changes {
-			t.mgr.JobChanged(now, t.resolved.at, t.n.clock.Wall(), c.rec, c.version)
+			t.mgr.OpenRecordChanged(now, t.resolved.at, t.n.clock.Wall(), c.rec, c.version)
 		}
 		for _, id := range u.removed {
-			t.mgr.JobRemoved(id)
+			t.mgr.OpenRecordRemoved(id)
 		}
-		t.mgr.RemovedBefore(u.whole)
+		t.mgr.ForgetRemovedBefore(u.whole)
 		t.resolved.advance(u.asked)
 	})
 }
@@ -168,7 +168,7 @@
 		t.n.log.Debug("the lease renewers' records can't be read", "err", err)
 		return
 	}
-	t.post(ctx, func(now micros.Time) { t.mgr.Renewers(now, sent, items) })
+	t.post(ctx, func(now micros.Timestamp) { t.mgr.LeaseRenewersRead(now, sent, items) })
 }
 
 func (t *term) storeTypes(ctx context.Context, types []wire.MachineType) bool {
@@ -176,7 +176,7 @@
 	if err != nil || float64(len(value)) > t.n.set.Deployment.State.Within().ValueKB*1024 {
 		return true // too many to store: the cloud has to be asked
 	}
-	_, err = t.n.state.Txn(ctx, wire.Txn{If: []wire.Cond{{Key: state.LeaderKey, Version: t.token}},
+	_, err = t.n.state.CompareAndSwap(ctx, wire.Txn{If: []wire.Condition{{Key: state.LeaderKey, Version: t.token}},
 		Then: []wire.Change{{Put: state.TypesKey, Value: value}}})
 	return err == nil
 }
