--- a/renting.go
+++ b/renting.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"saffronbend/internal/cloud"
-	"saffronbend/internal/manager"
 	"saffronbend/internal/micros"
+	"saffronbend/internal/snapshot"
 	"saffronbend/wire"
 )
 
@@ -15,7 +15,7 @@
 
 // listPause is how long to wait between two lists of so many machines, so that their pages take at most a quarter of the
 // requests that the cloud allows: rentals and deletions go through the same limit.
-func listPause(machines int, rps float64) micros.Span {
+func listPause(machines int, rps float64) micros.Duration {
 	const part = 4
 	pages := 1 + machines/wire.MachinePage
 	return max(micros.Second, micros.Seconds(part*float64(pages)/rps))
@@ -28,7 +28,7 @@
 		list, err := t.n.cloud.List(ctx)
 		if err == nil {
 			machines = len(list)
-			t.post(ctx, func(now micros.Time) { t.mgr.Listed(now, list) })
+			t.post(ctx, func(now micros.Timestamp) { t.mgr.MachinesListed(now, list) })
 		} else {
 			t.n.log.Debug("the cloud's list can't be read", "err", err)
 		}
@@ -52,7 +52,7 @@
 		types, err := n.cloud.Types(ctx)
 		if err == nil && len(types) > 0 {
 			n.types.Store(&types)
-			t.post(ctx, func(micros.Time) {
+			t.post(ctx, func(micros.Timestamp) {
 				t.mgr.SetTypes(types)
 				t.fleet.SetTypes(types)
 			})
@@ -71,30 +71,30 @@
 }
 
 // manage has the fleet decide, and carries out what it wants.
-func (t *term) manage(ctx context.Context, now micros.Time, v *manager.View) {
+func (t *term) manage(ctx context.Context, now micros.Timestamp, v *snapshot.Snapshot) {
 	n := t.n
-	acts := t.fleet.Handle(now, v)
-	for _, note := range acts.Notes {
-		n.log.Info("returning a machine", "machine", note.Machine, "why", note.Why)
+	acts := t.fleet.Decide(now, v)
+	for _, note := range acts.ScaleInReasons {
+		n.log.Info("returning a machine", "machine", note.Machine, "why", note.Reason)
 	}
-	for _, h := range acts.Hires {
+	for _, h := range acts.ScaleOut {
 		n.log.Info("renting machines", "type", h.Type, "zone", h.Zone, "spot", h.Spot, "count", h.Count)
 		n.start(func() { t.hire(ctx, h) })
 	}
-	t.returnMachines(ctx, acts.Return)
+	t.returnMachines(ctx, acts.ScaleIn)
 	t.drains.planner.SetShortage(string(acts.Shortage))
 }
 
 // hire repeats a request until its outcome is known; a request is never reused for
 // anything else.
-func (t *term) hire(ctx context.Context, h wire.Hire) {
+func (t *term) hire(ctx context.Context, h wire.ScaleOutRequest) {
 	for {
-		names, err := t.n.cloud.Hire(ctx, h)
+		names, err := t.n.cloud.ScaleOut(ctx, h)
 		if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
 			t.n.log.Debug("hire answered", "type", h.Type, "zone", h.Zone, "spot", h.Spot, "wanted", h.Count, "got", len(names))
-			t.post(ctx, func(now micros.Time) {
-				t.mgr.Hired(now, h, names)
-				t.fleet.Hired(now, h, len(names))
+			t.post(ctx, func(now micros.Timestamp) {
+				t.mgr.MachinesScaledOut(now, h, names)
+				t.fleet.ScaledOut(now, h, len(names))
 			})
 			return
 		}
@@ -107,8 +107,8 @@
 // remove repeats a deletion until it has been carried out.
 func (t *term) remove(ctx context.Context, ids []string) {
 	for {
-		if err := t.n.cloud.Delete(ctx, ids); err == nil {
-			t.post(ctx, func(now micros.Time) { t.mgr.Deleted(now, ids) })
+		if err := t.n.cloud.ScaleIn(ctx, ids); err == nil {
+			t.post(ctx, func(now micros.Timestamp) { t.mgr.MachinesDeleted(now, ids) })
 			return
 		}
 		if !sleep(ctx, micros.Second) {
@@ -121,7 +121,7 @@
 func (t *term) returnMachines(ctx context.Context, machines []string) {
 	const perRequest = 100
 	for ids := range slices.Chunk(machines, perRequest) {
-		t.mgr.Deleting(ids)
+		t.mgr.DeletionRequested(ids)
 		t.n.start(func() { t.remove(ctx, ids) })
 	}
 }
--- a/resolved.go
+++ b/resolved.go
@@ -14,16 +14,18 @@
 // confirmed before it are known here. It comes from the lists and watches of the open records
 // themselves, by when they were asked for, and from nothing else: that a permit could be renewed says
 // nothing about a watch that waits, lags or is being read again.
-type resolved struct{ at micros.Time }
+type resolved struct{ at micros.Timestamp }
 
-func (r *resolved) advance(asked micros.Time) { r.at = max(r.at, asked) }
+func (r *resolved) advance(asked micros.Timestamp) { r.at = max(r.at, asked) }
 
 // within tells whether there are news, and no older than a span.
-func (r *resolved) within(now micros.Time, s micros.Span) bool { return r.at != 0 && now.Sub(r.at) < s }
+func (r *resolved) within(now micros.Timestamp, s micros.Duration) bool {
+	return r.at != 0 && now.Sub(r.at) < s
+}
 
 // openNews is what has become of the open records by the time at which that was asked for.
 type openNews struct {
-	asked   micros.Time
+	asked   micros.Timestamp
 	whole   uint64 // records are all that there were at this revision, 0: what has changed
 	records []wire.Item
 	removed []string // jobs
@@ -33,7 +35,7 @@
 func (n *Node) watchOpen(ctx context.Context, from uint64, applyNews func(openNews)) {
 	for ctx.Err() == nil {
 		u := openNews{asked: n.clock.Now()}
-		r, err := n.state.Watch(ctx, state.OpenPrefix, from, settings.NewsBlock.Duration())
+		r, err := n.state.Watch(ctx, state.OpenPrefix, from, settings.WatchTimeout.Std())
 		switch {
 		case err == nil:
 			n.served()
--- a/spread.go
+++ b/spread.go
@@ -20,52 +20,52 @@
 type spreader struct {
 	t       *term
 	planner *rebalance.Planner
-	decided micros.Time // owned by the term's goroutine
+	decided micros.Timestamp // owned by the term's goroutine
 	lock    recordLock
 	version uint64 // of the record
 }
 
 // spreadRecord is what the state service holds of moves: its record and that record's version, 0 without one.
 type spreadRecord struct {
-	state.SpreadRecord
+	state.RebalancingRecord
 	version uint64
 }
 
 // readSpread reads the record of whether moves are paused.
 func (n *Node) readSpread(ctx context.Context) (r spreadRecord, err error) {
-	item, err := n.state.Get(ctx, state.SpreadKey)
+	item, err := n.state.Get(ctx, state.RebalancingKey)
 	if err != nil || item == nil {
 		return r, err
 	}
-	if err := state.DecodeRecord(*item, &r.SpreadRecord); err != nil {
+	if err := state.DecodeRecord(*item, &r.RebalancingRecord); err != nil {
 		return r, err
 	}
 	r.version = item.Version
 	return r, nil
 }
 
-func newSpreader(t *term, now micros.Time, r spreadRecord) *spreader {
-	s := &spreader{t: t, planner: rebalance.New(now, t.n.set.Tuning.Spread.Policy), lock: newRecordLock(), version: r.version}
+func newSpreader(t *term, now micros.Timestamp, r spreadRecord) *spreader {
+	s := &spreader{t: t, planner: rebalance.New(now, t.n.set.Tuning.Rebalancing.Policy), lock: newRecordLock(), version: r.version}
 	s.planner.Pause(r.Paused)
 	return s
 }
 
 // round decides on moves, in the term's goroutine. Of all that a term does, it is the first to give way.
-func (s *spreader) round(now micros.Time, mayPromise bool) {
+func (s *spreader) round(now micros.Timestamp, mayPromise bool) {
 	t := s.t
 	switch {
 	case !mayPromise:
-		s.planner.Hold("the state service does not serve this leader")
+		s.planner.Suspend("the state service does not serve this leader")
 		return
 	case t.pace.behind:
-		s.planner.Hold("the controller does not keep up with its work")
+		s.planner.Suspend("the controller does not keep up with its work")
 		return
 	case now.Sub(s.decided) < spreadEvery:
 		return
 	}
 	s.decided = now
-	remaining := t.drains.planner.Remaining(t.mgr.TeamWork(now))
-	moves := s.planner.Plan(t.mgr.RebalanceSnapshot(now, remaining), t.mgr.Mover(now), spent(t.n.set.Tuning.RoundBudget))
+	remaining := t.drains.planner.Remaining(t.mgr.TeamUsage(now))
+	moves := s.planner.Plan(t.mgr.RebalanceSnapshot(now, remaining), t.mgr.MoveExecutor(now), spent(t.n.set.Tuning.RoundBudget))
 	for _, m := range moves {
 		t.n.log.Info("a task is moved", "task", m.Task.String(), "team", m.Team, "from", m.From, "to", m.To,
 			"relief", m.Relief, "gain_s", m.Gain.Seconds(), "price_s", m.Price.Seconds())
@@ -75,8 +75,8 @@
 // pause makes durable whether moves are paused, and has the planner know.
 func (s *spreader) pause(ctx context.Context, paused bool) error {
 	return s.lock.holding(ctx, func() error {
-		rec := state.SpreadRecord{Paused: paused}
-		revision, err := s.t.putRecord(ctx, state.SpreadKey, s.version, rec, s.settle)
+		rec := state.RebalancingRecord{Paused: paused}
+		revision, err := s.t.putRecord(ctx, state.RebalancingKey, s.version, rec, s.settle)
 		if err != nil {
 			return err
 		}
@@ -87,7 +87,7 @@
 // apply has the planner know what is durable.
 func (s *spreader) apply(ctx context.Context, r spreadRecord) error {
 	s.version = r.version
-	err := s.t.tell(ctx, func(micros.Time) error {
+	err := s.t.tell(ctx, func(micros.Timestamp) error {
 		s.planner.Pause(r.Paused)
 		return nil
 	})
@@ -112,13 +112,13 @@
 }
 
 func (s *spreader) status(ctx context.Context, machines int) (rebalance.Status, error) {
-	return ask(ctx, s.t, func(now micros.Time) (rebalance.Status, error) { return s.planner.Status(now, machines), nil })
+	return ask(ctx, s.t, func(now micros.Timestamp) (rebalance.Status, error) { return s.planner.Status(now, machines), nil })
 }
 
 // withSpread calls f with the present term's moves, if this controller leads.
 func (n *Node) withSpread(ctx context.Context, f func(ctx context.Context, s *spreader) error) error {
-	if !n.set.Tuning.Spread.Enabled {
-		return operator.ErrSpreadOff
+	if !n.set.Tuning.Rebalancing.Enabled {
+		return operator.ErrRebalancingDisabled
 	}
 	return n.command(ctx, func(ctx context.Context, t *term) error { return f(ctx, t.spread) })
 }
@@ -147,4 +147,4 @@
 	return st, err
 }
 
-var _ operator.Spread = (*Node)(nil)
+var _ operator.Rebalancing = (*Node)(nil)
--- a/term.go
+++ b/term.go
@@ -9,9 +9,11 @@
 
 	"saffronbend/internal/fleet"
 	"saffronbend/internal/ingress"
+	"saffronbend/internal/lease"
 	"saffronbend/internal/manager"
 	"saffronbend/internal/micros"
 	"saffronbend/internal/peer"
+	"saffronbend/internal/snapshot"
 	"saffronbend/internal/state"
 	"saffronbend/internal/worker"
 	"saffronbend/wire"
@@ -23,7 +25,7 @@
 	n       *Node
 	token   uint64
 	depose  func(why string)
-	inbox   chan func(now micros.Time)
+	inbox   chan func(now micros.Timestamp)
 	ready   chan struct{} // closed once the records are loaded
 	done    chan struct{} // closed when the term is over
 	promise atomic.Int64  // until when the permit lets something new be promised
@@ -36,9 +38,9 @@
 	resolved resolved
 	fleet    *fleet.Fleet
 	subs     map[*subscriber]bool
-	alive    map[string]micros.Time // when each other controller asked last
-	shown    micros.Time
-	managed  micros.Time // when the fleet decided last
+	alive    map[string]micros.Timestamp // when each other controller asked last
+	shown    micros.Timestamp
+	managed  micros.Timestamp // when the fleet decided last
 	pace     pace
 	assign   map[string]string
 }
@@ -50,8 +52,8 @@
 }
 
 func newTerm(n *Node, token uint64, depose func(string)) *term {
-	return &term{n: n, token: token, depose: depose, inbox: make(chan func(micros.Time), 256), ready: make(chan struct{}),
-		done: make(chan struct{}), pace: pace{every: tickEvery}, subs: map[*subscriber]bool{}, alive: map[string]micros.Time{}}
+	return &term{n: n, token: token, depose: depose, inbox: make(chan func(micros.Timestamp), 256), ready: make(chan struct{}),
+		done: make(chan struct{}), pace: pace{every: tickEvery}, subs: map[*subscriber]bool{}, alive: map[string]micros.Timestamp{}}
 }
 
 const (
@@ -74,7 +76,7 @@
 	n.start(func() { t.watchCloud(ctx) })
 	n.start(func() { t.readRenewers(ctx) })
 	n.start(func() { t.watchPrices(ctx) })
-	tick := time.NewTicker(tickEvery.Duration())
+	tick := time.NewTicker(tickEvery.Std())
 	defer tick.Stop()
 	show := time.NewTimer(0)
 	defer show.Stop()
@@ -97,11 +99,11 @@
 		case <-show.C:
 		}
 		now := n.clock.Now()
-		if t.mgr.Changed() {
+		if t.mgr.SnapshotStale() {
 			if now.Sub(t.shown) >= showEvery {
 				t.show(ctx, now)
 			} else {
-				show.Reset((showEvery - now.Sub(t.shown)).Duration())
+				show.Reset((showEvery - now.Sub(t.shown)).Std())
 			}
 		}
 		t.flush(ctx, now)
@@ -117,21 +119,21 @@
 		open, revision, err := n.state.List(ctx, state.OpenPrefix)
 		var chunks []wire.Item
 		if err == nil {
-			chunks, _, err = n.state.List(ctx, state.ChunkPrefix)
+			chunks, _, err = n.state.List(ctx, state.ProgressPrefix)
 		}
 		var drains drainRecords
 		if err == nil && n.set.Tuning.Drains.Enabled {
 			drains, err = n.readDrains(ctx)
 		}
 		var moves spreadRecord
-		if err == nil && n.set.Tuning.Spread.Enabled {
+		if err == nil && n.set.Tuning.Rebalancing.Enabled {
 			moves, err = n.readSpread(ctx)
 		}
 		if err == nil {
 			now := n.clock.Now()
-			t.mgr, err = manager.New(now, manager.Config{Token: t.token, Teams: d.Teams, Lease: n.set.Lease(),
-				Report: micros.Seconds(d.Workers.ReportS), Margin: micros.Second, Cancel: micros.Seconds(d.Workers.CancelS), GangWait: n.set.GangWait(), GangPeer: n.set.GangPeer(), ListLag: micros.Seconds(d.Cloud.ListLagS),
-				Tuning: n.set.Tuning, Disruptions: n.set.Tuning.Drains.Enabled, Reservation: n.set.Tuning.Drains.Reservation, Directs: max(4, d.Limits.MaxConnections/16), State: d.State.Within()},
+			t.mgr, err = manager.New(now, manager.Config{FencingToken: t.token, Teams: d.Teams, WorkerLease: n.set.Lease(),
+				HeartbeatInterval: micros.Seconds(d.Workers.ReportS), LeaseMargin: micros.Second, CancelTimeout: micros.Seconds(d.Workers.CancelS), GangWaitTimeout: n.set.GangWait(), GangPeerTimeout: n.set.GangPeer(), ListLag: micros.Seconds(d.Cloud.ListLagS),
+				Tuning: n.set.Tuning, TrackDisruptions: n.set.Tuning.Drains.Enabled, ReservationTTL: n.set.Tuning.Drains.Reservation, MaxCommandPushes: max(4, d.Limits.MaxConnections/16), StoreLimits: d.State.Within()},
 				n.clock.Wall(), open, chunks)
 			if err == nil {
 				err = t.restoreDrains(now, drains)
@@ -141,7 +143,7 @@
 				t.depose("the records can't be used")
 				return 0, false
 			}
-			if n.set.Tuning.Spread.Enabled {
+			if n.set.Tuning.Rebalancing.Enabled {
 				t.spread = newSpreader(t, now, moves)
 			}
 			t.fleet = fleet.New(now, fleet.Config{Token: t.token, Lease: n.set.Lease(), Report: micros.Seconds(d.Workers.ReportS),
@@ -162,7 +164,7 @@
 }
 
 // post hands something to the term's goroutine.
-func (t *term) post(ctx context.Context, f func(now micros.Time)) bool {
+func (t *term) post(ctx context.Context, f func(now micros.Timestamp)) bool {
 	select {
 	case t.inbox <- f:
 		return true
@@ -173,9 +175,9 @@
 }
 
 // call has something done by the term's goroutine and waits for it.
-func (t *term) call(ctx context.Context, f func(now micros.Time)) bool {
+func (t *term) call(ctx context.Context, f func(now micros.Timestamp)) bool {
 	did := make(chan struct{})
-	if !t.post(ctx, func(now micros.Time) { f(now); close(did) }) {
+	if !t.post(ctx, func(now micros.Timestamp) { f(now); close(did) }) {
 		return false
 	}
 	select {
@@ -206,35 +208,37 @@
 
 // mayPromise tells whether something new may be promised: while the permit lasts, and on fresh news
 // only. After an outage the permit is renewed at once, while the news may still be on their way.
-func (t *term) mayPromise(now micros.Time) bool {
+func (t *term) mayPromise(now micros.Timestamp) bool {
 	return int64(now) < t.promise.Load() && t.resolved.within(now, min(permitLife, t.n.set.MaxStaleness()))
 }
 
 // mayRenew tells whether a worker's lease may be renewed: the news must be fresh enough for a job
 // cancelled since to be off the worker in time.
-func (t *term) mayRenew(now micros.Time) bool { return t.resolved.within(now, t.n.set.MaxStaleness()) }
+func (t *term) mayRenew(now micros.Timestamp) bool {
+	return t.resolved.within(now, t.n.set.MaxStaleness())
+}
 
 // report serves a worker's report; via names the controller that passes it on, if one does.
-func (t *term) report(ctx context.Context, r *wire.Report, via string) (ans peer.RelayAnswer) {
+func (t *term) report(ctx context.Context, r *wire.Heartbeat, via string) (ans peer.RelayResponse) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	if !t.awaitRecords(ctx) {
 		return ans
 	}
-	answers := make(chan peer.RelayAnswer, 1)
-	t.post(ctx, func(now micros.Time) {
-		var ans peer.RelayAnswer
+	answers := make(chan peer.RelayResponse, 1)
+	t.post(ctx, func(now micros.Timestamp) {
+		var ans peer.RelayResponse
 		switch {
-		case via != "" && t.mgr.SendBack(now, r.Machine):
-			ans.Reached = true
+		case via != "" && t.mgr.MayReturnToLeader(now, r.Machine):
+			ans.CommandsDelivered = true
 		case t.mayRenew(now):
 			// A leader that can't reach the state service goes on renewing leases for a
 			// bounded time, but launches nothing.
-			a, deposed := t.mgr.Report(now, r, via, t.mayPromise(now))
+			a, deposed := t.mgr.Heartbeat(now, r, via, t.mayPromise(now))
 			if deposed {
 				t.n.start(func() { t.depose("a worker has seen a higher token") })
 			}
-			ans.Answer = a
+			ans.Response = a
 		}
 		answers <- ans
 	})
@@ -248,13 +252,13 @@
 
 // subscribe enters a follower. What it gets waits for a view newer than the one of the
 // given version and gives what has changed; nil when the term is over.
-func (t *term) subscribe(ctx context.Context, member string) func(since uint64) *manager.Update {
+func (t *term) subscribe(ctx context.Context, member string) func(since uint64) *snapshot.Update {
 	s := &subscriber{member: member, news: make(chan struct{}, 1)}
 	s.news <- struct{}{}
 	if !t.awaitRecords(ctx) {
 		return nil
 	}
-	ok := t.call(ctx, func(now micros.Time) {
+	ok := t.call(ctx, func(now micros.Timestamp) {
 		t.subs[s] = true
 		t.alive[member] = now
 		t.n.log.Info("a controller follows", "follower", member)
@@ -264,7 +268,7 @@
 		return nil
 	}
 	context.AfterFunc(ctx, func() {
-		t.post(context.Background(), func(now micros.Time) {
+		t.post(context.Background(), func(now micros.Timestamp) {
 			if !t.subs[s] {
 				return
 			}
@@ -273,7 +277,7 @@
 			t.reassign(now)
 		})
 	})
-	return func(since uint64) *manager.Update {
+	return func(since uint64) *snapshot.Update {
 		select {
 		case <-s.news:
 		case <-ctx.Done():
@@ -282,8 +286,8 @@
 			return nil
 		}
 		// A call that was given up may still be carried out, and then writes u.
-		var u *manager.Update
-		if !t.call(ctx, func(now micros.Time) { u = t.mgr.Update(now, since) }) {
+		var u *snapshot.Update
+		if !t.call(ctx, func(now micros.Timestamp) { u = t.mgr.SnapshotUpdate(now, since) }) {
 			return nil
 		}
 		return u
@@ -291,7 +295,7 @@
 }
 
 // reassign spreads the teams over the controllers that follow and show signs of life.
-func (t *term) reassign(now micros.Time) {
+func (t *term) reassign(now micros.Timestamp) {
 	members := []string{t.n.set.Member}
 	for s := range t.subs {
 		if now.Sub(t.alive[s.member]) < 1500*micros.Millisecond && !slices.Contains(members, s.member) {
@@ -303,24 +307,24 @@
 	for _, tm := range t.n.set.Deployment.Teams {
 		teams = append(teams, tm.Name)
 	}
-	t.assign = manager.Assign(t.assign, teams, members)
-	t.mgr.SetAssign(t.assign)
+	t.assign = manager.AssignTeams(t.assign, teams, members)
+	t.mgr.SetTeamAssignments(t.assign)
 }
 
-func (t *term) ask(ctx context.Context, a peer.Asks) (*peer.Answers, error) {
-	var ans *peer.Answers
-	ok := t.call(ctx, func(now micros.Time) {
+func (t *term) ask(ctx context.Context, a peer.LeaseRequests) (*peer.LeaseResponses, error) {
+	var ans *peer.LeaseResponses
+	ok := t.call(ctx, func(now micros.Timestamp) {
 		t.alive[a.Member] = now
-		ans = &peer.Answers{}
+		ans = &peer.LeaseResponses{}
 		for _, r := range a.Requests {
-			res := manager.Result{Granted: make([]int, len(r.Asks))}
+			res := lease.Result{Granted: make([]int, len(r.Requests))}
 			if t.mayPromise(now) {
 				res = t.mgr.Grant(now, r)
 				t.logGrants(a.Member, r, res)
 			}
 			ans.Results = append(ans.Results, res)
 		}
-		ans.Version = t.mgr.NextVersion()
+		ans.SnapshotVersion = t.mgr.NextSnapshotVersion()
 	})
 	if !ok || ans == nil {
 		return nil, peer.ErrNotLeader
@@ -328,24 +332,24 @@
 	return ans, nil
 }
 
-func (t *term) logGrants(member string, r manager.Request, res manager.Result) {
-	for i, ask := range r.Asks {
+func (t *term) logGrants(member string, r lease.Transaction, res lease.Result) {
+	for i, ask := range r.Requests {
 		t.n.log.Debug("lease request", "by", member, "job", ask.Job, "machine", ask.Machine, "asked", ask.Count,
-			"waits_for", ask.Wait, "granted", res.Granted[i])
+			"waits_for", ask.WaitFor, "granted", res.Granted[i])
 	}
 }
 
-func (t *term) tick(ctx context.Context, now micros.Time) {
+func (t *term) tick(ctx context.Context, now micros.Timestamp) {
 	n := t.n
 	t.pace.tick(now)
 	t.mgr.Tick(now)
-	if t.mgr.RenewersWanted() {
+	if t.mgr.NeedsLeaseRenewers() {
 		n.start(func() { t.readRenewers(ctx) })
 	}
 	t.reassign(now)
-	t.mgr.SetStateOK(t.mayPromise(now))
+	t.mgr.SetStoreAvailable(t.mayPromise(now))
 	if t.mayPromise(now) {
-		t.mgr.KeepRoom(now)
+		t.mgr.ReserveForWaitingJobs(now)
 		t.mgr.Preempt(now, spent(n.set.Tuning.RoundBudget))
 		if n.set.Tuning.Drains.Enabled {
 			t.drains.round(ctx, now)
@@ -354,7 +358,7 @@
 	if t.spread != nil {
 		t.spread.round(now, t.mayPromise(now))
 	}
-	if t.mgr.Exhausted() {
+	if t.mgr.AttemptNumbersExhausted() {
 		n.start(func() { t.depose("the term has no attempt numbers left") })
 	}
 	if types := n.Types(); types != nil && len(t.mgr.Types()) == 0 {
@@ -364,9 +368,9 @@
 }
 
 // show builds a view and hands it to everybody, the fleet included.
-func (t *term) show(ctx context.Context, now micros.Time) {
+func (t *term) show(ctx context.Context, now micros.Timestamp) {
 	t.shown = now
-	v := t.mgr.View(now)
+	v := t.mgr.Snapshot(now)
 	t.n.show(v)
 	for s := range t.subs {
 		select {
@@ -375,37 +379,37 @@
 		}
 	}
 	quiet := 2*micros.Seconds(t.n.set.Deployment.Workers.ReportS) + micros.Second
-	t.silent.Store(slices.ContainsFunc(v.Machines, func(m *manager.MachineView) bool {
-		return m.State != wire.MachineStarting && !m.Deleting && now.Sub(m.Heard) > quiet
+	t.silent.Store(slices.ContainsFunc(v.Machines, func(m *snapshot.Machine) bool {
+		return m.State != wire.MachineStarting && !m.Deleting && now.Sub(m.LastHeartbeat) > quiet
 	}))
 	if t.mayPromise(now) && now.Sub(t.managed) >= manageEvery {
 		t.managed = now
 		t.manage(ctx, now, v)
 	}
-	t.n.placer.offer(v, func(ctx context.Context, r []manager.Request) (*peer.Answers, error) {
-		return t.ask(ctx, peer.Asks{Member: t.n.set.Member, Token: t.token, Requests: r})
+	t.n.placer.offer(v, func(ctx context.Context, r []lease.Transaction) (*peer.LeaseResponses, error) {
+		return t.ask(ctx, peer.LeaseRequests{Member: t.n.set.Member, FencingToken: t.token, Requests: r})
 	})
 }
 
 // flush carries out what the manager wants done by now.
-func (t *term) flush(ctx context.Context, now micros.Time) {
+func (t *term) flush(ctx context.Context, now micros.Timestamp) {
 	n := t.n
-	for _, note := range t.mgr.Notes() {
-		n.log.Info(note.Text, note.Args...)
+	for _, note := range t.mgr.Events() {
+		n.log.Info(note.Message, note.Attrs...)
 	}
 	if w := t.mgr.NextWrite(now); w != nil {
 		n.start(func() { t.write(ctx, w) })
 	}
 	// A direct launch takes several times the work of a report, whose answer can carry the launch too.
 	launchDirectly := t.mayPromise(now) && !t.pace.behind
-	for _, d := range t.mgr.Directs(now, launchDirectly) {
+	for _, d := range t.mgr.CommandPushes(now, launchDirectly) {
 		n.start(func() {
-			executed, r, err := n.workers.Do(ctx, d.Addr, d.Body)
+			executed, r, err := n.workers.PushCommands(ctx, d.Addr, d.Body)
 			if err != nil {
 				n.log.Debug("direct order without an answer", "machine", d.Machine, "err", err)
 			}
-			t.post(ctx, func(now micros.Time) {
-				if t.mgr.DirectDone(now, d, outcomeOf(executed, err), r) {
+			t.post(ctx, func(now micros.Timestamp) {
+				if t.mgr.CommandPushDone(now, d, outcomeOf(executed, err), r) {
 					n.start(func() { t.depose("a worker has seen a higher token") })
 				}
 			})
@@ -414,14 +418,14 @@
 }
 
 // outcomeOf tells what is known of a direct order.
-func outcomeOf(executed bool, err error) manager.DirectOutcome {
+func outcomeOf(executed bool, err error) manager.PushOutcome {
 	switch {
 	case executed:
-		return manager.DirectExecuted
+		return manager.PushExecuted
 	case errors.Is(err, worker.ErrNotSent):
-		return manager.DirectNotSent
+		return manager.PushNotSent
 	case err != nil:
-		return manager.DirectUnknown
+		return manager.PushOutcomeUnknown
 	}
-	return manager.DirectRefused
+	return manager.PushRefused
 }
--- a/wire/report.go
+++ b/wire/report.go
@@ -9,10 +9,10 @@
 
 var errNoMachine = errors.New("the report names no machine")
 
-// DecodeReport reads a worker's report. Reports are by far the most frequent messages and list every task of a
+// DecodeHeartbeat reads a worker's report. Reports are by far the most frequent messages and list every task of a
 // machine, so they are decoded by a library that is several times faster than encoding/json.
-func DecodeReport(body []byte) (*Report, error) {
-	r := new(Report)
+func DecodeHeartbeat(body []byte) (*Heartbeat, error) {
+	r := new(Heartbeat)
 	if err := json.Unmarshal(body, r); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
--- a/wire/report_test.go
+++ b/wire/report_test.go
@@ -31,9 +31,9 @@
 		`{"box":"n-1","loaners":1}`, `{"box":"n-1","recall_s":"soon"}`, "{\"box\":\"a\nb\"}", `{"box":"n-1","pieces":[{"piece":"x"]}`,
 	}
 	for _, body := range bodies {
-		var want Report
+		var want Heartbeat
 		wantErr := json.Unmarshal([]byte(body), &want)
-		got, err := DecodeReport([]byte(body))
+		got, err := DecodeHeartbeat([]byte(body))
 		if (err == nil) != (wantErr == nil && want.Machine != "") {
 			t.Errorf("%s: error %v, the standard library's %v", body, err, wantErr)
 		}
@@ -46,7 +46,7 @@
 // A report without a machine is of nobody.
 func TestDecodeReportWithoutMachine(t *testing.T) {
 	for _, body := range []string{`{}`, `null`, `{"box":""}`} {
-		if _, err := DecodeReport([]byte(body)); err == nil {
+		if _, err := DecodeHeartbeat([]byte(body)); err == nil {
 			t.Errorf("%s: no error", body)
 		}
 	}
@@ -55,7 +55,7 @@
 // What is decoded must not point into the request's buffer, which is used again.
 func TestDecodeReportCopies(t *testing.T) {
 	body := reportBody(1)
-	r, err := DecodeReport(body)
+	r, err := DecodeHeartbeat(body)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 	const tasks, most = 32, 2*32 + 12
 	body := reportBody(tasks)
 	got := testing.AllocsPerRun(100, func() {
-		if _, err := DecodeReport(body); err != nil {
+		if _, err := DecodeHeartbeat(body); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -85,7 +85,7 @@
 		b.Run(fmt.Sprint(tasks), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := DecodeReport(body); err != nil {
+				if _, err := DecodeHeartbeat(body); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -10,11 +10,11 @@
 
 // Paths of the service's own interface.
 const (
-	PathJobs     = "/v1/jobs"
-	PathHealth   = "/healthz"
-	PathReport   = "/hello"
-	PathCommands = "/do"
-	WordWithdraw = "withdraw"
+	PathJobs      = "/v1/jobs"
+	PathHealth    = "/healthz"
+	PathHeartbeat = "/hello"
+	PathCommands  = "/do"
+	VerbCancel    = "withdraw"
 )
 
 // Job states as users see them.
@@ -36,21 +36,21 @@
 
 // Reasons why a task exited.
 const (
-	WhyDone    = "done"
-	WhyStopped = "halted"
-	WhyError   = "error"
-	WhyNoRoom  = "no_room"
-	WhyBusy    = "in_use"
-	WhyUnknown = "unknown"
-	WhyMates   = "mates_gone" // task of a gang: another is gone
-	WhyAlone   = "alone"      // task of a gang: it was not complete in time
+	ExitDone         = "done"
+	ExitStopped      = "halted"
+	ExitError        = "error"
+	ExitNoRoom       = "no_room"
+	ExitBusy         = "in_use"
+	ExitUnknown      = "unknown"
+	ExitGangPeerGone = "mates_gone" // task of a gang: another is gone
+	ExitGangTimeout  = "alone"      // task of a gang: it was not complete in time
 )
 
 // Commands to workers.
 const (
-	OpStart  = "launch"
-	OpStop   = "stop"
-	OpForget = "clear"
+	OpStart = "launch"
+	OpStop  = "stop"
+	OpClear = "clear"
 )
 
 // Machine states as the cloud lists them.
@@ -89,8 +89,8 @@
 	ImageGB     float64  `json:"size_gb"`
 	Types       []string `json:"builds"`
 	Zone        *string  `json:"yard"`
-	OneZone     bool     `json:"together"`
-	Spread      bool     `json:"scatter"`
+	SameZone    bool     `json:"together"`
+	SpreadZones bool     `json:"scatter"`
 	Spot        bool     `json:"loaners"`
 	EstimateS   float64  `json:"guess_s"`
 	CheckpointS float64  `json:"snapshot_s"`
@@ -114,27 +114,27 @@
 	Error string `json:"error"`
 }
 
-// Report is what a worker says of itself.
-type Report struct {
-	Machine string       `json:"box"`
-	Addr    string       `json:"address"`
-	Type    string       `json:"build"`
-	Zone    string       `json:"yard"`
-	Spot    bool         `json:"loaners"`
-	Session uint64       `json:"shift"`
-	Seq     uint64       `json:"tick"`
-	Token   uint64       `json:"baton"`
-	NoticeS *float64     `json:"recall_s"`
-	Tasks   []TaskReport `json:"pieces"`
+// Heartbeat is what a worker says of itself.
+type Heartbeat struct {
+	Machine      string       `json:"box"`
+	Addr         string       `json:"address"`
+	Type         string       `json:"build"`
+	Zone         string       `json:"yard"`
+	Spot         bool         `json:"loaners"`
+	Incarnation  uint64       `json:"shift"`
+	Seq          uint64       `json:"tick"`
+	FencingToken uint64       `json:"baton"`
+	ReclaimInS   *float64     `json:"recall_s"`
+	Tasks        []TaskStatus `json:"pieces"`
 }
 
-// TaskReport is a task as its worker sees it.
-type TaskReport struct {
-	Task    string `json:"piece"`
-	Attempt uint64 `json:"try"`
-	State   string `json:"status"`
-	Why     string `json:"cause,omitempty"`
-	Saved   bool   `json:"saved,omitempty"`
+// TaskStatus is a task as its worker sees it.
+type TaskStatus struct {
+	Task       string `json:"piece"`
+	Attempt    uint64 `json:"try"`
+	State      string `json:"status"`
+	ExitReason string `json:"cause,omitempty"`
+	Saved      bool   `json:"saved,omitempty"`
 }
 
 // Command is an order to a worker.
@@ -150,22 +150,22 @@
 	return Command{Op: OpStop, Task: task, Attempt: attempt, GraceS: &graceS}
 }
 
-// ReportAnswer answers a report.
-type ReportAnswer struct {
-	Token    uint64    `json:"baton"`
-	Commands []Command `json:"orders"`
+// HeartbeatResponse answers a report.
+type HeartbeatResponse struct {
+	FencingToken uint64    `json:"baton"`
+	Commands     []Command `json:"orders"`
 }
 
 // Redirect sends a worker to another controller.
 type Redirect struct {
-	ReportTo string `json:"foreman,omitempty"`
+	Leader string `json:"foreman,omitempty"`
 }
 
-// Direct is a request to a worker's own address.
-type Direct struct {
-	Token    uint64    `json:"baton"`
-	Session  uint64    `json:"shift"`
-	Commands []Command `json:"orders"`
+// CommandPush is a request to a worker's own address.
+type CommandPush struct {
+	FencingToken uint64    `json:"baton"`
+	Incarnation  uint64    `json:"shift"`
+	Commands     []Command `json:"orders"`
 }
 
 // MachineType is a kind of machine that the cloud rents.
@@ -187,17 +187,17 @@
 	Types []MachineType `json:"builds"`
 }
 
-// Hire asks the cloud for machines.
-type Hire struct {
-	Request string `json:"hire"`
-	Type    string `json:"build"`
-	Zone    string `json:"yard"`
-	Spot    bool   `json:"loaners"`
-	Count   int    `json:"number"`
+// ScaleOutRequest asks the cloud for machines.
+type ScaleOutRequest struct {
+	RequestID string `json:"hire"`
+	Type      string `json:"build"`
+	Zone      string `json:"yard"`
+	Spot      bool   `json:"loaners"`
+	Count     int    `json:"number"`
 }
 
-// Names lists machines: the answer to a hire and the request of a deletion.
-type Names struct {
+// MachineNames lists machines: the answer to a hire and the request of a deletion.
+type MachineNames struct {
 	Machines []string `json:"boxes"`
 }
 
@@ -236,8 +236,8 @@
 	Revision uint64 `json:"ledger"`
 }
 
-// Cond demands that a key has a version; 0: that it does not exist.
-type Cond struct {
+// Condition demands that a key has a version; 0: that it does not exist.
+type Condition struct {
 	Key     string `json:"k"`
 	Version uint64 `json:"stamp"`
 }
@@ -252,8 +252,8 @@
 
 // Txn is a conditional transaction.
 type Txn struct {
-	If   []Cond   `json:"when"`
-	Then []Change `json:"then,omitempty"`
+	If   []Condition `json:"when"`
+	Then []Change    `json:"then,omitempty"`
 }
 
 // TxnResult answers a transaction.
@@ -262,8 +262,8 @@
 	Failed   []string `json:"failed,omitempty"`
 }
 
-// LeaseAsk asks for a permit.
-type LeaseAsk struct {
+// LeaseRequest asks for a permit.
+type LeaseRequest struct {
 	TTLMillis int64 `json:"life_ms"`
 }
 
