--- a/cmd/saffronbend/drain.go
+++ b/cmd/saffronbend/drain.go
@@ -67,7 +67,7 @@
 
 func (s drainStartCmd) Run(c *cli) error {
 	if s.Deadline < 0 || s.OlderThan < 0 {
-		return drain.ErrDeadline
+		return drain.ErrNegativeDuration
 	}
 	req := &operatorpb.StartDrainRequest{Name: s.Name, Machines: s.Machine, Zone: s.Zone, Type: s.Type, OlderThanS: s.OlderThan.Seconds(), Step: s.Step,
 		DeadlineS: s.Deadline.Seconds(), EvictAtDeadline: s.OnDeadline == "evict", Budgets: s.Budget}
--- a/drains.go
+++ b/drains.go
@@ -38,7 +38,7 @@
 	}
 	o := set.Tuning.Drains
 	return &drainer{t: t, lock: newRecordLock(), ending: map[string]bool{},
-		planner: drain.New(drain.Config{Teams: teams, Default: o.Default, Budgets: o.Budgets, Step: o.Step})}
+		planner: drain.New(drain.Config{Teams: teams, DefaultBudget: o.Default, TeamBudgets: o.Budgets, StepSize: o.Step})}
 }
 
 // readDrains reads the records of drains and of disturbed work.
@@ -76,7 +76,7 @@
 	}
 	for _, name := range d.planner.Names() {
 		if !seen[name] {
-			d.planner.Forget(name)
+			d.planner.RemoveRecord(name)
 		}
 	}
 	return nil
@@ -110,15 +110,15 @@
 		return
 	}
 	s := t.mgr.DrainSnapshot(now)
-	s.Wall = t.n.clock.Wall()
-	evict := func(task disruption.Task) drain.Refusal { return t.mgr.Evict(now, task) }
+	s.WallClock = t.n.clock.Wall()
+	evict := func(task disruption.Task) drain.EvictionOutcome { return t.mgr.Evict(now, task) }
 	acts := d.planner.Plan(s, evict, spent(t.n.set.Tuning.RoundBudget))
 	t.mgr.SetReplacements(acts.NeedReplacement)
 	for _, id := range acts.ScaleIn {
 		t.n.log.Info("returning a machine", "machine", id, "why", "drained")
 	}
 	t.returnMachines(ctx, acts.ScaleIn)
-	for _, name := range d.planner.Finished() {
+	for _, name := range d.planner.FinishedDrains() {
 		d.end(ctx, name)
 	}
 }
@@ -141,7 +141,7 @@
 // start makes a drain durable.
 func (d *drainer) start(ctx context.Context, r drain.Request) (st drain.Status, err error) {
 	err = d.lock.holding(ctx, func() error {
-		plan, err := ask(ctx, d.t, func(now micros.Timestamp) (drain.Plan, error) {
+		plan, err := ask(ctx, d.t, func(now micros.Timestamp) (drain.PreparedDrain, error) {
 			return d.planner.Prepare(r, d.t.n.clock.Wall(), d.t.mgr.KnownMachines(now))
 		})
 		if err != nil || plan.Exists {
@@ -166,8 +166,8 @@
 // change makes durable that a drain is in another state.
 func (d *drainer) change(ctx context.Context, name string, to drain.State) (st drain.Status, err error) {
 	err = d.lock.holding(ctx, func() error {
-		c, err := ask(ctx, d.t, func(micros.Timestamp) (drain.Change, error) { return d.planner.Change(name, to) })
-		if err != nil || c.None {
+		c, err := ask(ctx, d.t, func(micros.Timestamp) (drain.StateChange, error) { return d.planner.ChangeState(name, to) })
+		if err != nil || c.Unchanged {
 			return err
 		}
 		if err := d.write(ctx, c.Record, nil, c.Version); err != nil {
@@ -192,7 +192,7 @@
 	for page := range rec.Pages {
 		changes = append(changes, wire.Change{Delete: state.DrainMachinesKey(rec.List, page)})
 	}
-	expendable, err := ask(ctx, d.t, func(micros.Timestamp) ([]string, error) { return d.planner.Expendable(), nil })
+	expendable, err := ask(ctx, d.t, func(micros.Timestamp) ([]string, error) { return d.planner.PrunableDrains(), nil })
 	if err != nil {
 		return // the term is over
 	}
@@ -205,7 +205,7 @@
 	}
 	_ = d.t.tell(ctx, func(micros.Timestamp) error {
 		for _, name := range expendable {
-			d.planner.Forget(name)
+			d.planner.RemoveRecord(name)
 		}
 		return nil
 	})
@@ -277,7 +277,7 @@
 
 // cordon has the Resource Manager know what the planner cordons and vacates.
 func (d *drainer) cordon(now micros.Timestamp) {
-	d.t.mgr.SetCordons(now, d.planner.Cordons(), d.planner.Vacated())
+	d.t.mgr.SetCordons(now, d.planner.Cordons(), d.planner.VacatedPools())
 }
 
 // deleteOrphans deletes the pages of lists that belong to no drain which is not over.
--- a/internal/disruption/disruption.go
+++ b/internal/disruption/disruption.go
@@ -39,7 +39,7 @@
 )
 
 // Disturbance is a task whose running attempt was stopped or lost, and whose successor does not run yet.
-type Disturbance struct {
+type Disruption struct {
 	Task    Task
 	Team    string
 	Attempt uint64 // that was stopped or lost
@@ -49,19 +49,19 @@
 
 // Ledger holds the open disturbances. A nil ledger keeps no account.
 type Ledger struct {
-	open   map[Task]Disturbance
+	open   map[Task]Disruption
 	byTeam map[string]int
 	byJob  map[string]map[int]bool
 }
 
 // NewLedger makes a ledger without disturbances.
 func NewLedger() *Ledger {
-	return &Ledger{open: map[Task]Disturbance{}, byTeam: map[string]int{}, byJob: map[string]map[int]bool{}}
+	return &Ledger{open: map[Task]Disruption{}, byTeam: map[string]int{}, byJob: map[string]map[int]bool{}}
 }
 
 // Begin enters a disturbance, unless the task is disturbed already: whatever happens to a task before it runs again is
 // part of the same disturbance.
-func (l *Ledger) Begin(d Disturbance) bool {
+func (l *Ledger) Begin(d Disruption) bool {
 	if l == nil {
 		return false
 	}
@@ -78,9 +78,9 @@
 }
 
 // End takes out the disturbance of a task, if it is disturbed.
-func (l *Ledger) End(t Task) (Disturbance, bool) {
+func (l *Ledger) End(t Task) (Disruption, bool) {
 	if l == nil {
-		return Disturbance{}, false
+		return Disruption{}, false
 	}
 	d, ok := l.open[t]
 	if !ok {
@@ -100,22 +100,22 @@
 	if l == nil {
 		return
 	}
-	for _, i := range l.OfJob(job) {
+	for _, i := range l.TasksOfJob(job) {
 		l.End(Task{job, i})
 	}
 }
 
 // Get gives the disturbance of a task.
-func (l *Ledger) Get(t Task) (Disturbance, bool) {
+func (l *Ledger) Get(t Task) (Disruption, bool) {
 	if l == nil {
-		return Disturbance{}, false
+		return Disruption{}, false
 	}
 	d, ok := l.open[t]
 	return d, ok
 }
 
 // OfJob gives the disturbed tasks of a job in ascending order.
-func (l *Ledger) OfJob(job string) []int {
+func (l *Ledger) TasksOfJob(job string) []int {
 	if l == nil {
 		return nil
 	}
@@ -128,7 +128,7 @@
 }
 
 // Open gives the number of a team's disturbed tasks.
-func (l *Ledger) Open(team string) int {
+func (l *Ledger) CountForTeam(team string) int {
 	if l == nil {
 		return 0
 	}
@@ -136,15 +136,15 @@
 }
 
 // All gives the open disturbances, the oldest first.
-func (l *Ledger) All() []Disturbance {
+func (l *Ledger) All() []Disruption {
 	if l == nil {
 		return nil
 	}
-	out := make([]Disturbance, 0, len(l.open))
+	out := make([]Disruption, 0, len(l.open))
 	for _, d := range l.open {
 		out = append(out, d)
 	}
-	slices.SortFunc(out, func(a, b Disturbance) int {
+	slices.SortFunc(out, func(a, b Disruption) int {
 		return cmp.Or(cmp.Compare(a.Since, b.Since), cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Index, b.Task.Index))
 	})
 	return out
@@ -158,20 +158,20 @@
 }
 
 // ErrBudget says that a text is no budget.
-var ErrBudget = errors.New(`a budget is a number of tasks such as "3" or a share of the running ones such as "10%"`)
+var ErrInvalidBudget = errors.New(`a budget is a number of tasks such as "3" or a share of the running ones such as "10%"`)
 
 // ParseBudget reads a budget.
 func ParseBudget(text string) (Budget, error) {
 	if percent, ok := strings.CutSuffix(text, "%"); ok {
 		p, err := strconv.ParseFloat(percent, 64)
 		if err != nil || !(p >= 0 && p <= 100) {
-			return Budget{}, fmt.Errorf("%q: %w", text, ErrBudget)
+			return Budget{}, fmt.Errorf("%q: %w", text, ErrInvalidBudget)
 		}
 		return Budget{share: p / 100, text: text}, nil
 	}
 	n, err := strconv.ParseUint(text, 10, 31)
 	if err != nil {
-		return Budget{}, fmt.Errorf("%q: %w", text, ErrBudget)
+		return Budget{}, fmt.Errorf("%q: %w", text, ErrInvalidBudget)
 	}
 	return Budget{count: int(n), text: text}, nil
 }
--- a/internal/disruption/disruption_test.go
+++ b/internal/disruption/disruption_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 	for _, text := range []string{"", "-1", "-1%", "101%", "many", "1.5", "%", "3 %", "NaN%", "99999999999"} {
-		if _, err := ParseBudget(text); !errors.Is(err, ErrBudget) {
+		if _, err := ParseBudget(text); !errors.Is(err, ErrInvalidBudget) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
@@ -41,7 +41,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1, 2:
 				next := rapid.Uint64Range(1, 9).Draw(t, "attempt")
-				if l.Begin(Disturbance{Task: task, Team: teams[task.Job], Attempt: next, Cause: Lost}) == open {
+				if l.Begin(Disruption{Task: task, Team: teams[task.Job], Attempt: next, Cause: Lost}) == open {
 					t.Fatalf("begin of %v though open is %v", task, open)
 				}
 				if !open {
@@ -67,8 +67,8 @@
 					t.Fatalf("%v: %v, %v", other, d, ok)
 				}
 			}
-			if l.Open("red") != byTeam["red"] || l.Open("blue") != byTeam["blue"] || len(l.All()) != len(want) {
-				t.Fatalf("red %d blue %d of %v", l.Open("red"), l.Open("blue"), want)
+			if l.CountForTeam("red") != byTeam["red"] || l.CountForTeam("blue") != byTeam["blue"] || len(l.All()) != len(want) {
+				t.Fatalf("red %d blue %d of %v", l.CountForTeam("red"), l.CountForTeam("blue"), want)
 			}
 			ofJob := 0
 			for other := range want {
@@ -76,7 +76,7 @@
 					ofJob++
 				}
 			}
-			if got := l.OfJob(task.Job); len(got) != ofJob || !slices.IsSorted(got) {
+			if got := l.TasksOfJob(task.Job); len(got) != ofJob || !slices.IsSorted(got) {
 				t.Fatalf("%v of %s, want %d tasks", got, task.Job, ofJob)
 			}
 		}
@@ -87,7 +87,7 @@
 func TestNoLedger(t *testing.T) {
 	var l *Ledger
 	l.EndJob("run-1")
-	if _, ok := l.End(Task{"run-1", 0}); ok || l.Begin(Disturbance{Team: "red"}) || l.Open("red") != 0 || len(l.All())+len(l.OfJob("run-1")) != 0 {
+	if _, ok := l.End(Task{"run-1", 0}); ok || l.Begin(Disruption{Team: "red"}) || l.CountForTeam("red") != 0 || len(l.All())+len(l.TasksOfJob("run-1")) != 0 {
 		t.Error("a ledger that is not there has entries")
 	}
 }
--- a/internal/drain/choose_test.go
+++ b/internal/drain/choose_test.go
@@ -23,7 +23,7 @@
 		out[i].Heartbeating = true
 		for k := range r.IntN(tasks + 1) {
 			out[i].Attempts = append(out[i].Attempts, Attempt{Task: disruption.Task{Job: "run-1", Index: i*tasks + k}, Team: fmt.Sprint("team", r.IntN(teams)),
-				Size: 1, Checkpoints: true, ExpectedEnd: micros.Timestamp(micros.Minute)})
+				DisruptedTasks: 1, Checkpoints: true, ExpectedEnd: micros.Timestamp(micros.Minute)})
 		}
 	}
 	return out, remaining
@@ -124,21 +124,21 @@
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
 			ms, _ := randomMachines(rand.New(rand.NewPCG(1, 2)), machines, 8, 16, 1)
 			teams := make([]string, 8)
-			s := Snapshot{Now: 1, Machines: map[string]Machine{}, Teams: map[string]Team{}, Complete: true}
+			s := Snapshot{Now: 1, Machines: map[string]Machine{}, Teams: map[string]TeamUsage{}, MachinesListed: true}
 			for t := range teams {
 				teams[t] = fmt.Sprint("team", t)
-				s.Teams[teams[t]] = Team{Running: machines}
+				s.Teams[teams[t]] = TeamUsage{Running: machines}
 			}
 			var known []KnownMachine
 			for _, m := range ms {
 				s.Machines[m.ID] = m
 				known = append(known, KnownMachine{ID: m.ID, Zone: "a"})
 			}
-			p := New(Config{Teams: teams, Default: budget(b, "20"), Step: 20})
+			p := New(Config{Teams: teams, DefaultBudget: budget(b, "20"), StepSize: 20})
 			begin(b, p, Request{Name: "x", Zone: "a"}, known)
 			b.ReportAllocs()
 			for b.Loop() {
-				p.Plan(s, func(disruption.Task) Refusal { return Evicted }, func() bool { return false })
+				p.Plan(s, func(disruption.Task) EvictionOutcome { return Evicted }, func() bool { return false })
 			}
 		})
 	}
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -34,16 +34,16 @@
 
 // Errors of commands. Their texts are told to the operators.
 var (
-	ErrUnknown   = errors.New("no such drain")
-	ErrNameInUse = errors.New("the name is in use for another drain")
-	ErrEnded     = errors.New("the drain is over")
-	ErrEmpty     = errors.New("no machine matches")
-	ErrMachine   = errors.New("no such machine")
-	ErrTeam      = errors.New("no such team")
-	ErrName      = errors.New("a drain's name has 1 to 64 letters, digits, dots and hyphens, and begins with a letter or digit")
-	ErrSelection = errors.New("a drain needs machines, a zone, a type or an age")
-	ErrTooMany   = errors.New("there are too many drains")
-	ErrDeadline  = errors.New("a deadline and an age are at least 0 s")
+	ErrUnknownDrain     = errors.New("no such drain")
+	ErrNameInUse        = errors.New("the name is in use for another drain")
+	ErrDrainEnded       = errors.New("the drain is over")
+	ErrNoMatch          = errors.New("no machine matches")
+	ErrUnknownMachine   = errors.New("no such machine")
+	ErrUnknownTeam      = errors.New("no such team")
+	ErrInvalidName      = errors.New("a drain's name has 1 to 64 letters, digits, dots and hyphens, and begins with a letter or digit")
+	ErrNoSelection      = errors.New("a drain needs machines, a zone, a type or an age")
+	ErrTooManyDrains    = errors.New("there are too many drains")
+	ErrNegativeDuration = errors.New("a deadline and an age are at least 0 s")
 )
 
 // MostStep bounds the machines that are emptied at the same time.
@@ -83,7 +83,7 @@
 }
 
 // Plan is a drain that is to be made durable.
-type Plan struct {
+type PreparedDrain struct {
 	Record   state.DrainRecord
 	Machines []string
 	// Exists says that the drain is there already: nothing has to be written.
@@ -92,10 +92,10 @@
 
 // Config is what the planner must know beforehand.
 type Config struct {
-	Teams   []string
-	Default disruption.Budget            // of a team for which nothing else is said
-	Budgets map[string]disruption.Budget // of single teams
-	Step    int
+	Teams         []string
+	DefaultBudget disruption.Budget            // of a team for which nothing else is said
+	TeamBudgets   map[string]disruption.Budget // of single teams
+	StepSize      int
 }
 
 // drainState is a drain and what has become of it.
@@ -106,7 +106,7 @@
 	budgets  map[string]disruption.Budget
 	emptying map[string]bool // machines of the present step
 	gone     map[string]bool
-	blocked  []Blocked
+	blocked  []BlockedEviction
 	tasks    int
 	overdue  bool
 }
@@ -115,7 +115,7 @@
 type Planner struct {
 	cfg     Config
 	drains  map[string]*drainState
-	use     map[string]Team
+	use     map[string]TeamUsage
 	cordons map[string]bool
 	// shortage says why there is no room elsewhere.
 	shortage string
@@ -123,28 +123,28 @@
 
 // New makes a planner without drains.
 func New(cfg Config) *Planner {
-	return &Planner{cfg: cfg, drains: map[string]*drainState{}, use: map[string]Team{}, cordons: map[string]bool{}}
+	return &Planner{cfg: cfg, drains: map[string]*drainState{}, use: map[string]TeamUsage{}, cordons: map[string]bool{}}
 }
 
 // Prepare checks a request and gives the drain to be made durable.
-func (p *Planner) Prepare(r Request, wall int64, known []KnownMachine) (Plan, error) {
+func (p *Planner) Prepare(r Request, wall int64, known []KnownMachine) (PreparedDrain, error) {
 	if !nameFormat.MatchString(r.Name) {
-		return Plan{}, ErrName
+		return PreparedDrain{}, ErrInvalidName
 	}
 	if d := p.drains[r.Name]; d != nil {
 		if d.record.Request != r.fingerprint() {
-			return Plan{}, ErrNameInUse
+			return PreparedDrain{}, ErrNameInUse
 		}
-		return Plan{Record: d.record, Exists: true}, nil
+		return PreparedDrain{Record: d.record, Exists: true}, nil
 	}
 	if err := p.check(r); err != nil {
-		return Plan{}, err
+		return PreparedDrain{}, err
 	}
 	machines, err := selectMachines(r, known)
 	if err != nil {
-		return Plan{}, err
+		return PreparedDrain{}, err
 	}
-	rec := state.DrainRecord{Name: r.Name, State: string(Running), Request: r.fingerprint(), Step: cmp.Or(r.Step, p.cfg.Step), Started: wall,
+	rec := state.DrainRecord{Name: r.Name, State: string(Running), Request: r.fingerprint(), Step: cmp.Or(r.Step, p.cfg.StepSize), Started: wall,
 		EvictAtDeadline: r.EvictAtDeadline, Budgets: r.Budgets, Machines: len(machines)}
 	if len(r.Machines) == 0 && r.OlderThan == 0 {
 		rec.Zone, rec.Type = r.Zone, r.Type
@@ -152,30 +152,30 @@
 	if r.Deadline > 0 {
 		rec.Deadline = wall + int64(r.Deadline)
 	}
-	return Plan{Record: rec, Machines: machines}, nil
+	return PreparedDrain{Record: rec, Machines: machines}, nil
 }
 
 func (p *Planner) check(r Request) error {
 	if r.Deadline < 0 || r.OlderThan < 0 {
-		return ErrDeadline
+		return ErrNegativeDuration
 	}
 	for _, team := range slices.Sorted(maps.Keys(r.Budgets)) {
 		if !slices.Contains(p.cfg.Teams, team) {
-			return fmt.Errorf("%w: %q", ErrTeam, team)
+			return fmt.Errorf("%w: %q", ErrUnknownTeam, team)
 		}
 		if _, err := disruption.ParseBudget(r.Budgets[team]); err != nil {
 			return err
 		}
 	}
 	if active := len(p.byStart()); active >= mostDrains {
-		return fmt.Errorf("%w: %d are not over", ErrTooMany, active)
+		return fmt.Errorf("%w: %d are not over", ErrTooManyDrains, active)
 	}
 	return nil
 }
 
 func selectMachines(r Request, known []KnownMachine) ([]string, error) {
 	if len(r.Machines) == 0 && r.Zone == "" && r.Type == "" && r.OlderThan == 0 {
-		return nil, ErrSelection
+		return nil, ErrNoSelection
 	}
 	named := map[string]bool{}
 	for _, id := range r.Machines {
@@ -190,36 +190,36 @@
 		}
 	}
 	if len(named) > 0 {
-		return nil, fmt.Errorf("%w: %s", ErrMachine, slices.Sorted(maps.Keys(named))[0])
+		return nil, fmt.Errorf("%w: %s", ErrUnknownMachine, slices.Sorted(maps.Keys(named))[0])
 	}
 	if len(out) == 0 {
-		return nil, ErrEmpty
+		return nil, ErrNoMatch
 	}
 	slices.Sort(out)
 	return out, nil
 }
 
 // Change is a drain's record in another state, with the version on which the write is conditioned.
-type Change struct {
+type StateChange struct {
 	Record  state.DrainRecord
 	Version uint64
 	// None says that it is in that state already: nothing has to be written.
-	None bool
+	Unchanged bool
 }
 
 // Change gives what makes durable that a drain is in another state.
-func (p *Planner) Change(name string, to State) (Change, error) {
+func (p *Planner) ChangeState(name string, to State) (StateChange, error) {
 	d := p.drains[name]
 	if d == nil {
-		return Change{}, ErrUnknown
+		return StateChange{}, ErrUnknownDrain
 	}
-	c := Change{Record: d.record, Version: d.version}
+	c := StateChange{Record: d.record, Version: d.version}
 	if State(d.record.State) == to {
-		c.None = true
+		c.Unchanged = true
 		return c, nil
 	}
 	if !State(d.record.State).Active() {
-		return Change{}, fmt.Errorf("%w: it is %s", ErrEnded, d.record.State)
+		return StateChange{}, fmt.Errorf("%w: it is %s", ErrDrainEnded, d.record.State)
 	}
 	c.Record.State = string(to)
 	return c, nil
@@ -253,7 +253,7 @@
 }
 
 // Forget drops a drain whose record is deleted.
-func (p *Planner) Forget(name string) { delete(p.drains, name) }
+func (p *Planner) RemoveRecord(name string) { delete(p.drains, name) }
 
 func (p *Planner) renewCordons() {
 	p.cordons = map[string]bool{}
@@ -268,18 +268,18 @@
 func (p *Planner) Cordons() map[string]bool { return p.cordons }
 
 // Vacating is a zone, a type or a type in a zone that a drain vacates as a whole.
-type Vacating struct{ Zone, Type string }
+type VacatedPool struct{ Zone, Type string }
 
 // Includes tells whether machines of a type in a zone are vacated.
-func (v Vacating) Includes(typ, zone string) bool {
+func (v VacatedPool) Includes(typ, zone string) bool {
 	return (v.Zone == "" || v.Zone == zone) && (v.Type == "" || v.Type == typ)
 }
 
 // Vacated gives what the drains that are not over vacate as a whole.
-func (p *Planner) Vacated() []Vacating {
-	var out []Vacating
+func (p *Planner) VacatedPools() []VacatedPool {
+	var out []VacatedPool
 	for _, d := range p.byStart() {
-		if v := (Vacating{d.record.Zone, d.record.Type}); v != (Vacating{}) {
+		if v := (VacatedPool{d.record.Zone, d.record.Type}); v != (VacatedPool{}) {
 			out = append(out, v)
 		}
 	}
@@ -293,7 +293,7 @@
 func (p *Planner) Active() bool { return len(p.cordons) > 0 }
 
 // Finished gives the drains whose machines are all gone and whose records do not say so yet.
-func (p *Planner) Finished() []string {
+func (p *Planner) FinishedDrains() []string {
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(p.drains)) {
 		if d := p.drains[name]; State(d.record.State) == Running && len(d.machines) > 0 && len(d.gone) == len(d.machines) {
@@ -304,7 +304,7 @@
 }
 
 // Expendable gives the oldest of the drains that are over, beyond those that are still shown.
-func (p *Planner) Expendable() []string {
+func (p *Planner) PrunableDrains() []string {
 	var over []*drainState
 	for _, d := range p.drains {
 		if !State(d.record.State).Active() {
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -13,12 +13,12 @@
 // Snapshot is what the planner decides on: the cordoned machines that there are, and how much of the teams' work is
 // disturbed.
 type Snapshot struct {
-	Now      micros.Timestamp
-	Wall     int64 // time of day, microseconds
-	Machines map[string]Machine
-	Teams    map[string]Team
+	Now       micros.Timestamp
+	WallClock int64 // time of day, microseconds
+	Machines  map[string]Machine
+	Teams     map[string]TeamUsage
 	// Complete says that the cloud has listed its machines in this term: one that is not known is gone.
-	Complete bool
+	MachinesListed bool
 }
 
 // Machine is a cordoned machine.
@@ -32,30 +32,30 @@
 
 // Attempt is an attempt that may exist on a machine.
 type Attempt struct {
-	Task        disruption.Task
-	Team        string
-	Size        int // tasks that are disturbed when it is evicted: those of its gang
-	Gang        bool
-	Ending      bool // is being stopped, or its job is over
-	Checkpoints bool // nothing is lost when it is stopped
-	ExpectedEnd micros.Timestamp
+	Task           disruption.Task
+	Team           string
+	DisruptedTasks int // tasks that are disturbed when it is evicted: those of its gang
+	Gang           bool
+	Stopping       bool // is being stopped, or its job is over
+	Checkpoints    bool // nothing is lost when it is stopped
+	ExpectedEnd    micros.Timestamp
 }
 
 // Team is a team's work: tasks that run or would run if they were not disturbed, and those that are or may be.
-type Team struct{ Running, Disturbed int }
+type TeamUsage struct{ Running, Disrupted int }
 
 // Refusal says why a task was not evicted.
-type Refusal string
+type EvictionOutcome string
 
 // Outcomes of an eviction.
 const (
-	Evicted  Refusal = ""
-	NotThere Refusal = "it has ended"
-	NoRoom   Refusal = "no room for it elsewhere"
+	Evicted      EvictionOutcome = ""
+	AttemptEnded EvictionOutcome = "it has ended"
+	NoCapacity   EvictionOutcome = "no room for it elsewhere"
 )
 
 // Evictor carries an eviction out, if there is room for the task elsewhere.
-type Evictor func(t disruption.Task) Refusal
+type Evictor func(t disruption.Task) EvictionOutcome
 
 // Actions are what the planner wants done.
 type Actions struct {
@@ -68,7 +68,7 @@
 }
 
 // Blocked says why an eviction waits.
-type Blocked struct {
+type BlockedEviction struct {
 	Machine, Team, Task, Reason string
 }
 
@@ -118,14 +118,14 @@
 
 func (r *round) drain(d *drainState) {
 	d.blocked, d.tasks = nil, 0
-	d.overdue = d.record.Deadline != 0 && r.s.Wall >= d.record.Deadline
+	d.overdue = d.record.Deadline != 0 && r.s.WallClock >= d.record.Deadline
 	var left []Machine
 	for _, id := range d.machines {
 		m, there := r.s.Machines[id]
 		switch {
 		case !there:
 			delete(d.emptying, id)
-			if r.s.Complete {
+			if r.s.MachinesListed {
 				d.gone[id] = true
 			}
 			continue
@@ -182,7 +182,7 @@
 }
 
 // Remaining gives how many more tasks of each team may be disturbed now, with the given work of the teams.
-func (p *Planner) Remaining(teams map[string]Team) map[string]int {
+func (p *Planner) RemainingBudgets(teams map[string]TeamUsage) map[string]int {
 	p.use = maps.Clone(teams)
 	return p.remaining()
 }
@@ -191,16 +191,16 @@
 func (p *Planner) remaining() map[string]int {
 	out := map[string]int{}
 	for team := range p.use {
-		out[team] = max(0, p.allowed(team)-p.use[team].Disturbed)
+		out[team] = max(0, p.allowed(team)-p.use[team].Disrupted)
 	}
 	return out
 }
 
 // allowed gives how many of a team's tasks may be disturbed at once: the least that any drain which is not over says.
 func (p *Planner) allowed(team string) int {
-	budget, ok := p.cfg.Budgets[team]
+	budget, ok := p.cfg.TeamBudgets[team]
 	if !ok {
-		budget = p.cfg.Default
+		budget = p.cfg.DefaultBudget
 	}
 	running := p.use[team].Running
 	least := budget.Allowed(running)
@@ -265,11 +265,11 @@
 	load := map[string]int{}
 	gangs := map[string]bool{}
 	for _, a := range m.Attempts {
-		if a.Ending || a.Gang && gangs[a.Task.Job] {
+		if a.Stopping || a.Gang && gangs[a.Task.Job] {
 			continue
 		}
 		gangs[a.Task.Job] = true
-		load[a.Team] += a.Size
+		load[a.Team] += a.DisruptedTasks
 	}
 	return load
 }
@@ -283,7 +283,7 @@
 		}
 		gangs[a.Task.Job] = true
 		if reason := r.decide(d, m, a); reason != "" && len(d.blocked) < mostBlocked {
-			d.blocked = append(d.blocked, Blocked{Machine: m.ID, Team: a.Team, Task: a.Task.String(), Reason: reason})
+			d.blocked = append(d.blocked, BlockedEviction{Machine: m.ID, Team: a.Team, Task: a.Task.String(), Reason: reason})
 		}
 	}
 }
@@ -293,7 +293,7 @@
 	use := r.p.use[a.Team]
 	allowed := r.p.allowed(a.Team)
 	switch {
-	case a.Ending:
+	case a.Stopping:
 		return "it is being stopped"
 	case !m.Heartbeating:
 		return "the machine does not report"
@@ -301,10 +301,10 @@
 		return "it can't save: its end is waited for"
 	case a.ExpectedEnd > r.s.Now && a.ExpectedEnd.Sub(r.s.Now) < soonOver:
 		return "it ends soon"
-	case a.Size > allowed:
-		return fmt.Sprintf("the budget of %d is too small for %d tasks", allowed, a.Size)
-	case use.Disturbed+a.Size > allowed:
-		return fmt.Sprintf("the budget is used up: %d of %d tasks are disturbed", use.Disturbed, allowed)
+	case a.DisruptedTasks > allowed:
+		return fmt.Sprintf("the budget of %d is too small for %d tasks", allowed, a.DisruptedTasks)
+	case use.Disrupted+a.DisruptedTasks > allowed:
+		return fmt.Sprintf("the budget is used up: %d of %d tasks are disturbed", use.Disrupted, allowed)
 	case r.tries >= r.triesOfEach || r.spent():
 		return "not looked at in this round"
 	}
@@ -314,18 +314,18 @@
 
 // move evicts an attempt that may be, or gives the reason why there is no place for it. Room is wanted for as many tasks as
 // the budget allows to move.
-func (r *round) move(a Attempt, use Team, allowed int) string {
+func (r *round) move(a Attempt, use TeamUsage, allowed int) string {
 	switch refusal := r.evict(a.Task); {
-	case refusal == NoRoom:
-		if use.Disturbed+r.wanted[a.Team]+a.Size <= allowed {
-			r.wanted[a.Team] += a.Size
+	case refusal == NoCapacity:
+		if use.Disrupted+r.wanted[a.Team]+a.DisruptedTasks <= allowed {
+			r.wanted[a.Team] += a.DisruptedTasks
 			r.acts.NeedReplacement = append(r.acts.NeedReplacement, a.Task)
 		}
 		return r.p.noRoom()
 	case refusal != Evicted:
 		return string(refusal)
 	}
-	use.Disturbed += a.Size
+	use.Disrupted += a.DisruptedTasks
 	r.p.use[a.Team] = use
 	r.acts.Evicted++
 	return ""
@@ -334,44 +334,44 @@
 // noRoom is the reason of a task for which there is no room elsewhere.
 func (p *Planner) noRoom() string {
 	if p.shortage == "" {
-		return string(NoRoom)
+		return string(NoCapacity)
 	}
-	return string(NoRoom) + ": " + p.shortage
+	return string(NoCapacity) + ": " + p.shortage
 }
 
 // Status is a drain as operators see it.
 type Status struct {
-	Name                  string
-	State                 State
-	Machines              int
-	Gone, Emptying, Tasks int
-	Overdue               bool
-	Blocked               []Blocked
-	Budgets               []TeamBudget
+	Name                      string
+	State                     State
+	Machines                  int
+	Gone, Emptying, TasksLeft int
+	Overdue                   bool
+	Blocked                   []BlockedEviction
+	Budgets                   []TeamBudget
 }
 
 // TeamBudget is how much of a team's budget is used.
 type TeamBudget struct {
 	Team               string
-	Disturbed, Allowed int
+	Disrupted, Allowed int
 }
 
 // Status gives a drain as of the last round.
 func (p *Planner) Status(name string) (Status, error) {
 	d := p.drains[name]
 	if d == nil {
-		return Status{}, ErrUnknown
+		return Status{}, ErrUnknownDrain
 	}
 	st := Status{Name: name, State: State(d.record.State), Machines: d.record.Machines, Gone: len(d.gone), Emptying: len(d.emptying),
-		Tasks: d.tasks, Overdue: d.overdue, Blocked: slices.Clone(d.blocked)}
+		TasksLeft: d.tasks, Overdue: d.overdue, Blocked: slices.Clone(d.blocked)}
 	if State(d.record.State) == Done {
-		st.Gone, st.Tasks = d.record.Machines, 0
+		st.Gone, st.TasksLeft = d.record.Machines, 0
 	}
 	if !st.State.Active() {
 		return st, nil
 	}
 	for _, team := range p.cfg.Teams {
-		st.Budgets = append(st.Budgets, TeamBudget{team, p.use[team].Disturbed, p.allowed(team)})
+		st.Budgets = append(st.Budgets, TeamBudget{team, p.use[team].Disrupted, p.allowed(team)})
 	}
 	return st, nil
 }
--- a/internal/drain/plan_test.go
+++ b/internal/drain/plan_test.go
@@ -23,7 +23,7 @@
 }
 
 func newPlanner(t testing.TB, limit string) *Planner {
-	return New(Config{Teams: []string{"red", "blue"}, Default: budget(t, limit), Step: 2})
+	return New(Config{Teams: []string{"red", "blue"}, DefaultBudget: budget(t, limit), StepSize: 2})
 }
 
 var knownMachines = []KnownMachine{{"n-1", "a", "small", micros.Minute}, {"n-2", "a", "large", micros.Second}, {"n-3", "b", "small", micros.Minute}}
@@ -53,15 +53,15 @@
 		{Request{Name: "x", Type: "small", Zone: "b"}, []string{"n-3"}, nil},
 		{Request{Name: "x", OlderThan: 2 * micros.Second}, []string{"n-1", "n-3"}, nil},
 		{Request{Name: "x", Machines: []string{"n-2", "n-1"}}, []string{"n-1", "n-2"}, nil},
-		{Request{Name: "x", Machines: []string{"n-2", "n-9"}}, nil, ErrMachine},
-		{Request{Name: "x", Zone: "c"}, nil, ErrEmpty},
-		{Request{Name: "x"}, nil, ErrSelection},
-		{Request{Name: "", Zone: "a"}, nil, ErrName},
-		{Request{Name: "a/b", Zone: "a"}, nil, ErrName},
-		{Request{Name: "x", Zone: "a", Deadline: -1}, nil, ErrDeadline},
-		{Request{Name: "x", Zone: "a", OlderThan: -1}, nil, ErrDeadline},
-		{Request{Name: "x", Zone: "a", Budgets: map[string]string{"green": "1"}}, nil, ErrTeam},
-		{Request{Name: "x", Zone: "a", Budgets: map[string]string{"red": "-1"}}, nil, disruption.ErrBudget},
+		{Request{Name: "x", Machines: []string{"n-2", "n-9"}}, nil, ErrUnknownMachine},
+		{Request{Name: "x", Zone: "c"}, nil, ErrNoMatch},
+		{Request{Name: "x"}, nil, ErrNoSelection},
+		{Request{Name: "", Zone: "a"}, nil, ErrInvalidName},
+		{Request{Name: "a/b", Zone: "a"}, nil, ErrInvalidName},
+		{Request{Name: "x", Zone: "a", Deadline: -1}, nil, ErrNegativeDuration},
+		{Request{Name: "x", Zone: "a", OlderThan: -1}, nil, ErrNegativeDuration},
+		{Request{Name: "x", Zone: "a", Budgets: map[string]string{"green": "1"}}, nil, ErrUnknownTeam},
+		{Request{Name: "x", Zone: "a", Budgets: map[string]string{"red": "-1"}}, nil, disruption.ErrInvalidBudget},
 	} {
 		plan, err := p.Prepare(c.req, 0, knownMachines)
 		if !errors.Is(err, c.err) || !slices.Equal(plan.Machines, c.want) {
@@ -75,7 +75,7 @@
 	if _, err := p.Prepare(Request{Name: "x", Zone: "b"}, 0, knownMachines); !errors.Is(err, ErrNameInUse) {
 		t.Errorf("another of the same name: %v", err)
 	}
-	if _, err := p.Change("y", Paused); !errors.Is(err, ErrUnknown) {
+	if _, err := p.ChangeState("y", Paused); !errors.Is(err, ErrUnknownDrain) {
 		t.Errorf("pause of an unknown one: %v", err)
 	}
 }
@@ -87,8 +87,8 @@
 	begin(t, p, Request{Name: "y", Type: "small"}, knownMachines)
 	change := func(name string, to State, wantChange bool, wantErr error) {
 		t.Helper()
-		c, err := p.Change(name, to)
-		changed := err == nil && !c.None
+		c, err := p.ChangeState(name, to)
+		changed := err == nil && !c.Unchanged
 		if changed != wantChange || !errors.Is(err, wantErr) {
 			t.Fatalf("%s %s: %v, %v", name, to, changed, err)
 		}
@@ -104,7 +104,7 @@
 		t.Errorf("cordons %v", p.Cordons())
 	}
 	change("x", Cancelled, true, nil)
-	change("x", Running, false, ErrEnded)
+	change("x", Running, false, ErrDrainEnded)
 	if c := p.Cordons(); len(c) != 2 || !c["n-1"] || !c["n-3"] {
 		t.Errorf("cordons %v", c)
 	}
@@ -120,7 +120,7 @@
 	begin(t, p, Request{Name: "zone", Zone: "a"}, knownMachines)
 	begin(t, p, Request{Name: "old", Zone: "b", OlderThan: micros.Second}, knownMachines)
 	begin(t, p, Request{Name: "named", Type: "small", Machines: []string{"n-3"}}, knownMachines)
-	if got := p.Vacated(); !slices.Equal(got, []Vacating{{Zone: "a"}}) || !got[0].Includes("small", "a") || got[0].Includes("small", "b") {
+	if got := p.VacatedPools(); !slices.Equal(got, []VacatedPool{{Zone: "a"}}) || !got[0].Includes("small", "a") || got[0].Includes("small", "b") {
 		t.Errorf("vacated: %v", got)
 	}
 }
@@ -133,20 +133,20 @@
 			t.Fatal(err)
 		}
 	}
-	if got := p.Expendable(); !slices.Equal(got, []string{"0", "1"}) {
+	if got := p.PrunableDrains(); !slices.Equal(got, []string{"0", "1"}) {
 		t.Errorf("expendable: %v", got)
 	}
 }
 
 func attempt(job string, index int, team string) Attempt {
-	return Attempt{Task: disruption.Task{Job: job, Index: index}, Team: team, Size: 1, Checkpoints: true, ExpectedEnd: micros.Timestamp(micros.Minute)}
+	return Attempt{Task: disruption.Task{Job: job, Index: index}, Team: team, DisruptedTasks: 1, Checkpoints: true, ExpectedEnd: micros.Timestamp(micros.Minute)}
 }
 
 // reasons gives why the attempts of a machine stay in one round, "" for each that goes.
-func reason(t *testing.T, p *Planner, m Machine, wall int64, refusal Refusal) string {
+func reason(t *testing.T, p *Planner, m Machine, wall int64, refusal EvictionOutcome) string {
 	t.Helper()
-	s := Snapshot{Now: 1, Wall: wall, Machines: map[string]Machine{m.ID: m}, Teams: map[string]Team{"red": {Running: 10}}, Complete: true}
-	p.Plan(s, func(disruption.Task) Refusal { return refusal }, func() bool { return false })
+	s := Snapshot{Now: 1, WallClock: wall, Machines: map[string]Machine{m.ID: m}, Teams: map[string]TeamUsage{"red": {Running: 10}}, MachinesListed: true}
+	p.Plan(s, func(disruption.Task) EvictionOutcome { return refusal }, func() bool { return false })
 	st, err := p.Status("x")
 	if err != nil {
 		t.Fatal(err)
@@ -171,19 +171,19 @@
 		wall    int64
 		evict   bool
 		limit   string
-		refusal Refusal
+		refusal EvictionOutcome
 		want    string
 	}{
 		{name: "it goes", a: change(func(*Attempt) {}), limit: "1"},
 		{name: "no budget", a: change(func(*Attempt) {}), limit: "0", want: "the budget of 0 is too small for 1 tasks"},
-		{name: "gang", a: change(func(a *Attempt) { a.Gang, a.Size = true, 4 }), limit: "3", want: "the budget of 3 is too small for 4 tasks"},
+		{name: "gang", a: change(func(a *Attempt) { a.Gang, a.DisruptedTasks = true, 4 }), limit: "3", want: "the budget of 3 is too small for 4 tasks"},
 		{name: "silent", a: change(func(*Attempt) {}), deaf: true, limit: "1", want: "the machine does not report"},
 		{name: "ends", a: change(func(a *Attempt) { a.ExpectedEnd = 10 }), limit: "1", want: "it ends soon"},
 		{name: "can't save", a: change(func(a *Attempt) { a.Checkpoints = false }), limit: "1", evict: true, want: "it can't save: its end is waited for"},
 		{name: "can't save, overdue, to wait", a: change(func(a *Attempt) { a.Checkpoints = false }), limit: "1", wall: overdue, want: "it can't save: its end is waited for"},
 		{name: "can't save, overdue, to go", a: change(func(a *Attempt) { a.Checkpoints = false }), limit: "1", wall: overdue, evict: true},
-		{name: "no room", a: change(func(*Attempt) {}), limit: "1", refusal: NoRoom, want: "no room for it elsewhere: the cloud has none"},
-		{name: "stops", a: change(func(a *Attempt) { a.Ending = true }), limit: "1", want: "it is being stopped"},
+		{name: "no room", a: change(func(*Attempt) {}), limit: "1", refusal: NoCapacity, want: "no room for it elsewhere: the cloud has none"},
+		{name: "stops", a: change(func(a *Attempt) { a.Stopping = true }), limit: "1", want: "it is being stopped"},
 	} {
 		p := newPlanner(t, c.limit)
 		p.SetShortage("the cloud has none")
@@ -203,8 +203,8 @@
 	for i := range 8 {
 		m.Attempts = append(m.Attempts, attempt("run-1", i, "red"))
 	}
-	s := Snapshot{Now: 1, Machines: map[string]Machine{m.ID: m}, Teams: map[string]Team{"red": {Running: 9, Disturbed: 1}}, Complete: true}
-	acts := p.Plan(s, func(disruption.Task) Refusal { return NoRoom }, func() bool { return false })
+	s := Snapshot{Now: 1, Machines: map[string]Machine{m.ID: m}, Teams: map[string]TeamUsage{"red": {Running: 9, Disrupted: 1}}, MachinesListed: true}
+	acts := p.Plan(s, func(disruption.Task) EvictionOutcome { return NoCapacity }, func() bool { return false })
 	if len(acts.NeedReplacement) != 2 || acts.Evicted != 0 {
 		t.Errorf("%+v", acts)
 	}
@@ -218,13 +218,13 @@
 }
 
 func (f *fleet) snapshot(now micros.Timestamp) Snapshot {
-	s := Snapshot{Now: now, Machines: map[string]Machine{}, Teams: map[string]Team{}, Complete: true}
+	s := Snapshot{Now: now, Machines: map[string]Machine{}, Teams: map[string]TeamUsage{}, MachinesListed: true}
 	count := map[string]int{}
 	for _, team := range f.disturbed {
 		count[team]++
 	}
 	for _, team := range []string{"red", "blue"} {
-		s.Teams[team] = Team{Running: f.running[team] + count[team], Disturbed: count[team]}
+		s.Teams[team] = TeamUsage{Running: f.running[team] + count[team], Disrupted: count[team]}
 	}
 	for id, tasks := range f.machines {
 		m := Machine{ID: id, Heartbeating: true, Empty: len(tasks) == 0}
@@ -260,7 +260,7 @@
 			}
 			budgets[team] = b
 		}
-		p := New(Config{Teams: []string{"red", "blue"}, Budgets: budgets, Step: rapid.IntRange(1, 5).Draw(t, "step")})
+		p := New(Config{Teams: []string{"red", "blue"}, TeamBudgets: budgets, StepSize: rapid.IntRange(1, 5).Draw(t, "step")})
 		f := &fleet{machines: map[string]map[disruption.Task]string{}, disturbed: map[disruption.Task]string{}, running: map[string]int{}}
 		var known []KnownMachine
 		red := 0
@@ -289,7 +289,7 @@
 			now = now.Add(micros.Second)
 			f.step(t, p, now, limits)
 		}
-		if (limits["red"] > 0 || red == 0) && (len(f.machines) > 0 || !slices.Equal(p.Finished(), []string{"x"})) {
+		if (limits["red"] > 0 || red == 0) && (len(f.machines) > 0 || !slices.Equal(p.FinishedDrains(), []string{"x"})) {
 			t.Fatalf("not done: %v", f.machines)
 		}
 	})
@@ -312,7 +312,7 @@
 		}
 	}
 	s := f.snapshot(now)
-	acts := p.Plan(s, func(task disruption.Task) Refusal {
+	acts := p.Plan(s, func(task disruption.Task) EvictionOutcome {
 		for id, tasks := range f.machines {
 			team, on := tasks[task]
 			if !on {
@@ -331,7 +331,7 @@
 			return Evicted
 		}
 		t.Fatalf("%v is evicted twice", task)
-		return NotThere
+		return AttemptEnded
 	}, func() bool { return false })
 	for _, id := range acts.ScaleIn {
 		if len(f.machines[id]) > 0 {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -20,13 +20,13 @@
 
 // Config is what the fleet must know beforehand.
 type Config struct {
-	Token   uint64
-	Lease   micros.Duration
-	Report  micros.Duration
-	ListLag micros.Duration
-	Tuning  settings.Tuning
+	FencingToken      uint64
+	LeaseDuration     micros.Duration
+	HeartbeatInterval micros.Duration
+	ListLag           micros.Duration
+	Tuning            settings.Tuning
 	// Urgent classes have an aim for how soon their tasks start.
-	Urgent map[string]bool
+	UrgentClasses map[string]bool
 }
 
 // Actions are what the fleet wants done.
@@ -67,7 +67,7 @@
 	refusal map[place]micros.Duration
 	out     map[string]wire.ScaleOutRequest // hires that await their outcome
 	demand  demand
-	vacated []drain.Vacating
+	vacated []drain.VacatedPool
 	serial  int
 }
 
@@ -186,11 +186,11 @@
 	if len(f.types) == 0 {
 		return acts
 	}
-	f.demand.see(v, f.cfg.Urgent)
-	f.vacated = v.Vacating
+	f.demand.see(v, f.cfg.UrgentClasses)
+	f.vacated = v.VacatedPools
 	f.remove(v, &acts)
 	// A new leader first hears from the machines that there are.
-	if now.Sub(f.born) < f.cfg.Report.Scale(1.25)+2*micros.Second {
+	if now.Sub(f.born) < f.cfg.HeartbeatInterval.Scale(1.25)+2*micros.Second {
 		return acts
 	}
 	bins, count := f.bins(v, acts.ScaleIn)
@@ -224,19 +224,19 @@
 			boot = micros.Seconds(t.BootS)
 		}
 		silent := v.Now.Sub(m.LastHeartbeat)
-		patience := f.cfg.Lease + f.cfg.Tuning.SilenceTimeout
+		patience := f.cfg.LeaseDuration + f.cfg.Tuning.SilenceTimeout
 		switch {
 		case m.Deleting:
 		case m.Failed:
 			why = "failed"
 		case !m.Up && m.State == wire.MachineStarting && v.Now.Sub(m.RegisteredAt) > boot.Scale(f.cfg.Tuning.BootPatience):
 			why = "does not come up"
-		case m.State != wire.MachineStarting && m.Unlisted && silent > 2*f.cfg.Report+micros.Second:
+		case m.State != wire.MachineStarting && m.Unlisted && silent > 2*f.cfg.HeartbeatInterval+micros.Second:
 			why = "taken"
 		case m.State != wire.MachineStarting && silent > patience,
-			m.State != wire.MachineStarting && m.NeedsDeletion && silent > f.cfg.Lease+f.cfg.Tuning.SilenceTimeout/2:
+			m.State != wire.MachineStarting && m.NeedsDeletion && silent > f.cfg.LeaseDuration+f.cfg.Tuning.SilenceTimeout/2:
 			why = "silent"
-		case m.UnreachableSince != 0 && v.Now.Sub(m.UnreachableSince) > f.cfg.Lease+f.cfg.Tuning.SilenceTimeout/2:
+		case m.UnreachableSince != 0 && v.Now.Sub(m.UnreachableSince) > f.cfg.LeaseDuration+f.cfg.Tuning.SilenceTimeout/2:
 			why = "does not hear"
 		case m.Up && m.QuarantineReason != "" && m.ProvenIdle():
 			why = m.QuarantineReason
@@ -309,7 +309,7 @@
 	var wants []*want
 	for _, j := range v.Jobs {
 		if n := v.PlaceableTasks(j); n > 0 {
-			wants = append(wants, &want{Job: j, n: n, choices: f.choices(j), urgent: f.cfg.Urgent[j.Class], inZone: j.ActiveByZone})
+			wants = append(wants, &want{Job: j, n: n, choices: f.choices(j), urgent: f.cfg.UrgentClasses[j.Class], inZone: j.ActiveByZone})
 		}
 	}
 	for _, j := range v.Replacements {
@@ -391,7 +391,7 @@
 
 // isVacated tells whether a drain vacates the machines of a type in a zone.
 func (f *Fleet) isVacated(typ, zone string) bool {
-	return slices.ContainsFunc(f.vacated, func(v drain.Vacating) bool { return v.Includes(typ, zone) })
+	return slices.ContainsFunc(f.vacated, func(v drain.VacatedPool) bool { return v.Includes(typ, zone) })
 }
 
 // rentableElsewhere tells whether machines that take the tasks may be asked for where nothing is vacated.
@@ -467,7 +467,7 @@
 	}
 	for _, p := range order {
 		f.serial++
-		h := wire.ScaleOutRequest{RequestID: "r-" + strconv.FormatUint(f.cfg.Token, 10) + "-" + strconv.Itoa(f.serial),
+		h := wire.ScaleOutRequest{RequestID: "r-" + strconv.FormatUint(f.cfg.FencingToken, 10) + "-" + strconv.Itoa(f.serial),
 			Type: p.typ, Zone: p.zone, Spot: p.spot, Count: rents[p]}
 		f.out[h.RequestID] = h
 		acts.ScaleOut = append(acts.ScaleOut, h)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,7 +16,7 @@
 
 // newFleet makes a fleet that is past its first seconds, in a cloud with two types.
 func newFleet(reserve float64) *Fleet {
-	f := New(0, Config{Token: 7, Lease: 10 * micros.Second, Report: 2 * micros.Second, Urgent: map[string]bool{"rush": true},
+	f := New(0, Config{FencingToken: 7, LeaseDuration: 10 * micros.Second, HeartbeatInterval: 2 * micros.Second, UrgentClasses: map[string]bool{"rush": true},
 		Tuning: settings.Tuning{MaxMachines: 2000, IdleTimeout: 30 * micros.Second, BootPatience: 3, SilenceTimeout: 30 * micros.Second,
 			ScaleOutAhead: 10 * micros.Second, SpareShare: reserve, Grace: 20 * micros.Second}})
 	f.SetTypes([]wire.MachineType{
@@ -56,10 +56,10 @@
 
 // Where a drain vacates a zone, nothing is rented there that can be elsewhere; what is bound to it, or refused elsewhere, is.
 func TestVacatedZone(t *testing.T) {
-	vacated := []drain.Vacating{{Zone: "a"}}
+	vacated := []drain.VacatedPool{{Zone: "a"}}
 	zones := func(f *Fleet, j *snapshot.Job) string {
 		out := ""
-		for _, h := range f.Decide(start, &snapshot.Snapshot{Now: start, Jobs: []*snapshot.Job{j}, Vacating: vacated}).ScaleOut {
+		for _, h := range f.Decide(start, &snapshot.Snapshot{Now: start, Jobs: []*snapshot.Job{j}, VacatedPools: vacated}).ScaleOut {
 			out += h.Zone
 		}
 		return out
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -118,7 +118,7 @@
 
 // TaskSaving says that a task saves. If nobody here has told it to, an earlier leader has, which
 // may not have reached the others.
-func (g *Gang) TaskSaving() Action {
+func (g *Gang) TaskCheckpointing() Action {
 	if g.phase != Launched && g.phase != Running {
 		return None
 	}
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -70,7 +70,7 @@
 	case "runs":
 		g.TaskRunning()
 	case "saves":
-		return g.TaskSaving()
+		return g.TaskCheckpointing()
 	case "stop":
 		return g.Preempt()
 	case "end":
--- a/internal/manager/disruptions.go
+++ b/internal/manager/disruptions.go
@@ -33,7 +33,7 @@
 	if m.ledger == nil || j.over != "" || j.tasks[a.task] != taskActive || !a.launched() || a.refused {
 		return
 	}
-	if m.ledger.Begin(disruption.Disturbance{Task: taskOf(a), Team: j.rec.Job.Team, Attempt: a.id, Cause: cause, Since: now}) {
+	if m.ledger.Begin(disruption.Disruption{Task: taskOf(a), Team: j.rec.Job.Team, Attempt: a.id, Cause: cause, Since: now}) {
 		m.touch(now, j, a.task, false)
 		m.note("work is disturbed", "task", a.name, "attempt", a.id, "team", j.rec.Job.Team, "cause", string(cause), "machine", a.machine.id)
 	}
@@ -83,7 +83,7 @@
 				continue
 			}
 			task := disruption.Task{Job: id, Index: o.Task}
-			m.ledger.Begin(disruption.Disturbance{Task: task, Team: j.rec.Job.Team, Attempt: o.Attempt, Cause: disruption.Cause(o.Cause), Since: now})
+			m.ledger.Begin(disruption.Disruption{Task: task, Team: j.rec.Job.Team, Attempt: o.Attempt, Cause: disruption.Cause(o.Cause), Since: now})
 			if o.To != "" {
 				m.promisedTo[task] = o.To
 			}
@@ -103,7 +103,7 @@
 // disturbances gives the entries of the ledger that belong to a progress record.
 func (m *Manager) disturbances(j *job, chunk int) []state.OpenDisturbance {
 	var open []state.OpenDisturbance
-	for _, task := range m.ledger.OfJob(j.rec.Job.ID) {
+	for _, task := range m.ledger.TasksOfJob(j.rec.Job.ID) {
 		if task/j.rec.ShardSize != chunk {
 			continue
 		}
--- a/internal/manager/evictions.go
+++ b/internal/manager/evictions.go
@@ -15,7 +15,7 @@
 )
 
 // SetCordons says which machines take nothing new, and where nothing is rented that can be elsewhere. What was granted on one of them and has not been launched is withdrawn.
-func (m *Manager) SetCordons(now micros.Timestamp, cordons map[string]bool, vacated []drain.Vacating) {
+func (m *Manager) SetCordons(now micros.Timestamp, cordons map[string]bool, vacated []drain.VacatedPool) {
 	m.vacated = vacated
 	before := m.cordons
 	m.cordons = cordons
@@ -47,7 +47,7 @@
 
 // DrainSnapshot shows cordoned machines, and how much of the teams' work runs and is disturbed.
 func (m *Manager) DrainSnapshot(now micros.Timestamp) drain.Snapshot {
-	s := drain.Snapshot{Now: now, Machines: map[string]drain.Machine{}, Teams: m.TeamUsage(now), Complete: m.listedAll && now.Sub(m.born) > lateLists*m.cfg.ListLag}
+	s := drain.Snapshot{Now: now, Machines: map[string]drain.Machine{}, Teams: m.TeamUsage(now), MachinesListed: m.listedAll && now.Sub(m.born) > lateLists*m.cfg.ListLag}
 	for id := range m.cordons {
 		if mc := m.machines[id]; mc != nil {
 			s.Machines[id] = m.drainMachine(now, mc)
@@ -57,10 +57,10 @@
 }
 
 // TeamUsage gives how much of each team's work runs and is disturbed.
-func (m *Manager) TeamUsage(now micros.Timestamp) map[string]drain.Team {
-	work := map[string]drain.Team{}
+func (m *Manager) TeamUsage(now micros.Timestamp) map[string]drain.TeamUsage {
+	work := map[string]drain.TeamUsage{}
 	for _, t := range m.teams {
-		work[t.Name] = drain.Team{Disturbed: m.ledger.Open(t.Name), Running: m.ledger.Open(t.Name)}
+		work[t.Name] = drain.TeamUsage{Disrupted: m.ledger.CountForTeam(t.Name), Running: m.ledger.CountForTeam(t.Name)}
 	}
 	for _, mc := range m.machines {
 		m.countWork(now, mc, work)
@@ -74,7 +74,7 @@
 
 // countWork adds to the teams' work what is on a machine. Work on a machine that is not heard of may be lost already, so it
 // counts as disturbed until more is known.
-func (m *Manager) countWork(now micros.Timestamp, mc *machine, teams map[string]drain.Team) {
+func (m *Manager) countWork(now micros.Timestamp, mc *machine, teams map[string]drain.TeamUsage) {
 	heard := m.reports(now, mc)
 	for _, a := range mc.attempts {
 		if _, open := m.ledger.Get(taskOf(a)); open || !a.launched() || a.job.over != "" {
@@ -83,7 +83,7 @@
 		use := teams[a.job.rec.Job.Team]
 		use.Running++
 		if !heard || !a.listed {
-			use.Disturbed++
+			use.Disrupted++
 		}
 		teams[a.job.rec.Job.Team] = use
 	}
@@ -100,13 +100,13 @@
 
 func (m *Manager) drainAttempt(now micros.Timestamp, a *attempt) drain.Attempt {
 	jb := &a.job.rec.Job
-	d := drain.Attempt{Task: taskOf(a), Team: jb.Team, Size: 1, ExpectedEnd: m.expectedEnd(now, a),
-		Ending: !m.evictable(a),
+	d := drain.Attempt{Task: taskOf(a), Team: jb.Team, DisruptedTasks: 1, ExpectedEnd: m.expectedEnd(now, a),
+		Stopping: !m.evictable(a),
 		// One that is reported fetching may run by now.
 		Checkpoints: jb.CheckpointS > 0}
 	if g := a.job.gang; g != nil {
-		d.Gang, d.Size = true, len(a.job.active)
-		d.Ending = d.Ending || g.Phase() == gang.Checkpointing || g.Phase() == gang.Ending || g.Phase() == gang.Complete
+		d.Gang, d.DisruptedTasks = true, len(a.job.active)
+		d.Stopping = d.Stopping || g.Phase() == gang.Checkpointing || g.Phase() == gang.Ending || g.Phase() == gang.Complete
 		d.Checkpoints = d.Checkpoints && (g.Phase() == gang.Launched || m.savesInTime(now, a.job))
 	}
 	return d
@@ -129,10 +129,10 @@
 
 // Evict has a task, or the gang that it belongs to, leave its machine: room for the successor is reserved, and the attempt is
 // stopped once the disturbance is durable. If there is no room, nothing is done.
-func (m *Manager) Evict(now micros.Timestamp, t disruption.Task) drain.Refusal {
+func (m *Manager) Evict(now micros.Timestamp, t disruption.Task) drain.EvictionOutcome {
 	j := m.jobs[t.Job]
 	if j == nil || j.active[t.Index] == nil {
-		return drain.NotThere
+		return drain.AttemptEnded
 	}
 	evicted := []*attempt{j.active[t.Index]}
 	if j.gang != nil {
@@ -140,7 +140,7 @@
 	}
 	places, ok := m.placesFor(now, j, evicted)
 	if !ok {
-		return drain.NoRoom
+		return drain.NoCapacity
 	}
 	for i, a := range evicted {
 		m.evict(now, a, places[i], disruption.Drain)
--- a/internal/manager/evictions_test.go
+++ b/internal/manager/evictions_test.go
@@ -281,9 +281,9 @@
 func TestSilentMachinesUseUpTheBudget(t *testing.T) {
 	b := drainBench(t, nil, nil, nil)
 	b.runningTask()
-	b.want(b.m.DrainSnapshot(b.now).Teams["red"], drain.Team{Running: 1})
+	b.want(b.m.DrainSnapshot(b.now).Teams["red"], drain.TeamUsage{Running: 1})
 	b.wait(4 * micros.Second)
-	b.want(b.m.DrainSnapshot(b.now).Teams["red"], drain.Team{Running: 1, Disturbed: 1})
+	b.want(b.m.DrainSnapshot(b.now).Teams["red"], drain.TeamUsage{Running: 1, Disrupted: 1})
 }
 
 // A write takes record and ledger together or neither, also where transactions have two changes.
--- a/internal/manager/gangs.go
+++ b/internal/manager/gangs.go
@@ -126,7 +126,7 @@
 	case wire.TaskRunning:
 		j.gang.TaskRunning()
 	case wire.TaskSaving:
-		m.follow(now, j, j.gang.TaskSaving(), disruption.Gang)
+		m.follow(now, j, j.gang.TaskCheckpointing(), disruption.Gang)
 	}
 }
 
--- a/internal/manager/grants.go
+++ b/internal/manager/grants.go
@@ -127,7 +127,7 @@
 		a.task = claim.task.Index
 		return m.limits.takes(j, a.task, placementSize(a.placement()))
 	}
-	for _, t := range m.ledger.OfJob(j.rec.Job.ID) {
+	for _, t := range m.ledger.TasksOfJob(j.rec.Job.ID) {
 		a.task = t
 		if j.tasks[t] == taskWaiting && m.limits.takes(j, t, placementSize(a.placement())) {
 			return true
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -229,7 +229,7 @@
 	promisedTo map[disruption.Task]string
 	// replacements is how many tasks of jobs can't be evicted for lack of room elsewhere.
 	replacements map[string]int
-	vacated      []drain.Vacating
+	vacated      []drain.VacatedPool
 	listedAll    bool // the cloud has listed its machines in this term
 }
 
--- a/internal/manager/moves.go
+++ b/internal/manager/moves.go
@@ -16,9 +16,9 @@
 
 // RebalanceSnapshot shows the work on all machines; remaining is how many more tasks of each team may be disturbed.
 func (m *Manager) RebalanceSnapshot(now micros.Timestamp, remaining map[string]int) rebalance.Snapshot {
-	s := rebalance.Snapshot{Now: now, Teams: map[string]rebalance.Team{}, Listed: m.listedAll}
+	s := rebalance.Snapshot{Now: now, Teams: map[string]rebalance.Team{}, MachinesListed: m.listedAll}
 	for name := range m.teams {
-		s.Teams[name] = rebalance.Team{Remaining: remaining[name]}
+		s.Teams[name] = rebalance.Team{RemainingBudget: remaining[name]}
 	}
 	for _, j := range m.jobs {
 		if waiting := m.waitingForRoom(j); waiting > 0 && now >= j.notBefore {
@@ -30,7 +30,7 @@
 	for _, id := range slices.Sorted(maps.Keys(m.machines)) {
 		mc := m.machines[id]
 		if m.mayStillReport(now, mc) {
-			s.Unknown++
+			s.UnreportedMachines++
 		}
 		if mc.spec != nil {
 			s.Machines = append(s.Machines, m.rebalanceMachine(now, mc))
@@ -53,7 +53,7 @@
 
 func (m *Manager) rebalanceMachine(now micros.Timestamp, mc *machine) rebalance.Machine {
 	r := rebalance.Machine{ID: mc.id, Capacity: resources.OfMachine(mc.spec), Free: m.free(mc),
-		Known: m.reports(now, mc), Usable: m.usable(now, mc) && mc.keep == "", Cordoned: m.cordons[mc.id],
+		Heartbeating: m.reports(now, mc), Usable: m.usable(now, mc) && mc.keep == "", Cordoned: m.cordons[mc.id],
 		FetchGBPS: mc.spec.FetchGBPS, Images: map[string]bool{}}
 	for name, im := range mc.images {
 		r.Images[name] = im.ready
@@ -63,7 +63,7 @@
 	}
 	for t, reserved := range mc.reserved {
 		if j := m.jobs[t.Job]; j != nil {
-			r.Reserved = append(r.Reserved, rebalance.Reservation{Team: j.rec.Job.Team, Need: reserved.need})
+			r.Reserved = append(r.Reserved, rebalance.Reservation{Team: j.rec.Job.Team, Resources: reserved.need})
 		}
 	}
 	return r
@@ -71,7 +71,7 @@
 
 func (m *Manager) rebalanceAttempt(now micros.Timestamp, a *attempt) rebalance.Attempt {
 	jb := &a.job.rec.Job
-	return rebalance.Attempt{Task: taskOf(a), Team: jb.Team, Need: resources.OfTask(jb), Gang: a.job.gang != nil,
+	return rebalance.Attempt{Task: taskOf(a), Team: jb.Team, Resources: resources.OfTask(jb), Gang: a.job.gang != nil,
 		Stopping: m.leaving(a), Running: a.listed && a.state == wire.TaskRunning, Checkpoints: jb.CheckpointS > 0,
 		CheckpointTime: micros.Seconds(jb.SaveS), ExpectedEnd: m.expectedEnd(now, a), Image: jb.Image, ImageGB: jb.ImageGB}
 }
@@ -114,7 +114,9 @@
 }
 
 // Move has a task leave its machine for another.
-func (r mover) Move(t disruption.Task, to string) rebalance.Refusal { return r.m.Move(r.now, t, to) }
+func (r mover) Move(t disruption.Task, to string) rebalance.MoveOutcome {
+	return r.m.Move(r.now, t, to)
+}
 
 // waitingForRoom is how many tasks of a job wait within its team's limit and have no room reserved.
 func (m *Manager) waitingForRoom(j *job) int {
@@ -122,7 +124,7 @@
 		return 0
 	}
 	waiting := j.waiting
-	for _, task := range m.ledger.OfJob(j.rec.Job.ID) {
+	for _, task := range m.ledger.TasksOfJob(j.rec.Job.ID) {
 		if _, reserved := m.reservations[disruption.Task{Job: j.rec.Job.ID, Index: task}]; reserved && j.tasks[task] == taskWaiting {
 			waiting--
 		}
@@ -136,10 +138,10 @@
 }
 
 // Move has a task leave its machine for another: room there is reserved, and the attempt is stopped once the move is durable.
-func (m *Manager) Move(now micros.Timestamp, t disruption.Task, to string) rebalance.Refusal {
+func (m *Manager) Move(now micros.Timestamp, t disruption.Task, to string) rebalance.MoveOutcome {
 	j := m.jobs[t.Job]
 	if j == nil || j.active[t.Index] == nil {
-		return rebalance.NotThere
+		return rebalance.AttemptEnded
 	}
 	a := j.active[t.Index]
 	mc := m.machines[to]
@@ -147,7 +149,7 @@
 	case !m.evictable(a):
 		return rebalance.AlreadyStopping
 	case mc == nil || mc == a.machine || !m.suitsMove(now, mc, j):
-		return rebalance.NoRoom
+		return rebalance.NoCapacity
 	}
 	m.evict(now, a, mc, disruption.Rebalance)
 	return rebalance.Moved
--- a/internal/manager/moves_test.go
+++ b/internal/manager/moves_test.go
@@ -18,11 +18,11 @@
 		cpus := 0.0
 		for _, a := range m.Attempts {
 			if !a.Stopping {
-				cpus += a.Need.CPUs
+				cpus += a.Resources.CPUs
 			}
 		}
 		for _, r := range m.Reserved {
-			cpus += r.Need.CPUs
+			cpus += r.Resources.CPUs
 		}
 		out = append(out, fmt.Sprintf("%s %g", m.ID, cpus))
 	}
@@ -75,14 +75,14 @@
 func TestMoveIsRefused(t *testing.T) {
 	b := drainBench(t, nil, nil, nil)
 	b.runningTask()
-	b.want(b.m.Move(b.now, task("run-1", 0), "n-1-a"), rebalance.NoRoom)
-	b.want(b.m.Move(b.now, task("run-1", 0), "n-9-a"), rebalance.NoRoom)
-	b.want(b.m.Move(b.now, task("run-9", 0), "n-2-a"), rebalance.NotThere)
+	b.want(b.m.Move(b.now, task("run-1", 0), "n-1-a"), rebalance.NoCapacity)
+	b.want(b.m.Move(b.now, task("run-1", 0), "n-9-a"), rebalance.NoCapacity)
+	b.want(b.m.Move(b.now, task("run-9", 0), "n-2-a"), rebalance.AttemptEnded)
 	b.want(b.m.MoveExecutor(b.now).MayHost(task("run-1", 0), "n-2-a"), true)
 	b.job("run-2", 1, savesProgress)
 	b.want(b.m.MoveExecutor(b.now).MayHost(task("run-1", 0), "n-2-a"), false) // its room is for work that waits
 	b.m.SetCordons(b.now, map[string]bool{"n-2-a": true}, nil)
-	b.want(b.m.Move(b.now, task("run-1", 0), "n-2-a"), rebalance.NoRoom)
+	b.want(b.m.Move(b.now, task("run-1", 0), "n-2-a"), rebalance.NoCapacity)
 	b.m.SetCordons(b.now, nil, nil)
 	b.m.OpenRecordChanged(b.now, b.now, 0, cancelled("run-1"), b.rev+1)
 	b.want(b.m.Move(b.now, task("run-1", 0), "n-2-a"), rebalance.AlreadyStopping)
@@ -99,9 +99,9 @@
 func TestUnheardMachinesAreUnknown(t *testing.T) {
 	b := drainBench(t, nil, nil, nil)
 	b.m.MachinesListed(b.now, []wire.Machine{{ID: "n-1-a", Type: "small", Zone: "a", State: wire.MachineRunning}})
-	b.want(b.m.RebalanceSnapshot(b.now, nil).Unknown, 1)
+	b.want(b.m.RebalanceSnapshot(b.now, nil).UnreportedMachines, 1)
 	b.wait(b.m.cfg.WorkerLease + b.m.cfg.HeartbeatInterval + b.m.cfg.LeaseMargin + micros.Second)
-	b.want(b.m.RebalanceSnapshot(b.now, nil).Unknown, 0)
+	b.want(b.m.RebalanceSnapshot(b.now, nil).UnreportedMachines, 0)
 }
 
 // The record of a move names its destination. The next leader reserves the room there again, once that machine has reported; one that
@@ -142,6 +142,6 @@
 	b.wait(b.m.reportDue() + micros.Second)
 	b.up("n-1-a")
 	s := b.m.RebalanceSnapshot(b.now, nil)
-	b.want(s.Machines[0].Known && s.Machines[0].Usable, true)
-	b.want(s.Machines[1].Known, false)
+	b.want(s.Machines[0].Heartbeating && s.Machines[0].Usable, true)
+	b.want(s.Machines[1].Heartbeating, false)
 }
--- a/internal/manager/show.go
+++ b/internal/manager/show.go
@@ -66,7 +66,7 @@
 	m.showMachines(now)
 	m.showJobs()
 	v := &snapshot.Snapshot{FencingToken: m.cfg.FencingToken, Version: sh.version, Now: now, StoreAvailable: m.stateOK, TeamAssignments: m.assign, QuotaHeadroom: m.rooms(),
-		Machines: sh.machines, Jobs: sh.jobs, Replacements: m.showReplacements(), Vacating: m.vacated}
+		Machines: sh.machines, Jobs: sh.jobs, Replacements: m.showReplacements(), VacatedPools: m.vacated}
 	for i := range sh.finished {
 		f := &sh.finished[i]
 		if f.PublishedIn == 0 {
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -20,7 +20,7 @@
 
 // DrainController carries out the operators' requests on the leader.
 type DrainController interface {
-	Leader
+	LeaderLocator
 	StartDrain(ctx context.Context, r drain.Request) (drain.Status, error)
 	ChangeDrain(ctx context.Context, name string, to drain.State) (drain.Status, error)
 	// ListDrains gives the drain of a name, or all.
@@ -59,7 +59,7 @@
 		return drain.Request{}, errStep
 	}
 	if math.IsNaN(m.DeadlineS) || math.IsNaN(m.OlderThanS) {
-		return drain.Request{}, drain.ErrDeadline
+		return drain.Request{}, drain.ErrNegativeDuration
 	}
 	return drain.Request{Name: m.Name, Machines: m.Machines, Zone: m.Zone, Type: m.Type, OlderThan: micros.Seconds(m.OlderThanS), Step: int(m.Step),
 		Deadline: micros.Seconds(m.DeadlineS), EvictAtDeadline: m.EvictAtDeadline, Budgets: m.Budgets}, nil
@@ -106,12 +106,12 @@
 
 func encodeStatus(st drain.Status) *operatorpb.DrainStatus {
 	out := &operatorpb.DrainStatus{Name: st.Name, State: string(st.State), Machines: uint32(st.Machines), Gone: uint32(st.Gone),
-		Emptying: uint32(st.Emptying), TasksLeft: uint32(st.Tasks), Overdue: st.Overdue}
+		Emptying: uint32(st.Emptying), TasksLeft: uint32(st.TasksLeft), Overdue: st.Overdue}
 	for _, b := range st.Blocked {
 		out.Blocked = append(out.Blocked, &operatorpb.BlockedMachine{Machine: b.Machine, Team: b.Team, Task: b.Task, Reason: b.Reason})
 	}
 	for _, b := range st.Budgets {
-		out.Budgets = append(out.Budgets, &operatorpb.TeamBudget{Team: b.Team, Disturbed: uint32(b.Disturbed), Allowed: uint32(b.Allowed)})
+		out.Budgets = append(out.Budgets, &operatorpb.TeamBudget{Team: b.Team, Disturbed: uint32(b.Disrupted), Allowed: uint32(b.Allowed)})
 	}
 	return out
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -34,7 +34,7 @@
 )
 
 // Leader tells where the leader is.
-type Leader interface {
+type LeaderLocator interface {
 	// Leader gives the cluster address of the leader; here: it is this controller. None is known if both are empty.
 	Leader() (addr string, here bool)
 }
@@ -48,7 +48,7 @@
 
 // forwarder finds the leader for requests to one service, of which C is the client.
 type forwarder[C any] struct {
-	leader    Leader
+	leader    LeaderLocator
 	dial      call.Dialer
 	newClient func(dial call.Dialer, addr string) (client C, closeIdle func())
 }
@@ -84,10 +84,10 @@
 	code connect.Code
 }{
 	{ErrUnavailable, connect.CodeUnavailable}, {ErrDrainsDisabled, connect.CodeFailedPrecondition}, {ErrRebalancingDisabled, connect.CodeFailedPrecondition},
-	{drain.ErrUnknown, connect.CodeNotFound}, {drain.ErrMachine, connect.CodeNotFound}, {drain.ErrTeam, connect.CodeNotFound},
-	{drain.ErrEmpty, connect.CodeNotFound}, {drain.ErrNameInUse, connect.CodeAlreadyExists}, {drain.ErrEnded, connect.CodeFailedPrecondition},
-	{drain.ErrTooMany, connect.CodeResourceExhausted}, {drain.ErrName, connect.CodeInvalidArgument}, {drain.ErrSelection, connect.CodeInvalidArgument},
-	{drain.ErrDeadline, connect.CodeInvalidArgument}, {errStep, connect.CodeInvalidArgument}, {disruption.ErrBudget, connect.CodeInvalidArgument},
+	{drain.ErrUnknownDrain, connect.CodeNotFound}, {drain.ErrUnknownMachine, connect.CodeNotFound}, {drain.ErrUnknownTeam, connect.CodeNotFound},
+	{drain.ErrNoMatch, connect.CodeNotFound}, {drain.ErrNameInUse, connect.CodeAlreadyExists}, {drain.ErrDrainEnded, connect.CodeFailedPrecondition},
+	{drain.ErrTooManyDrains, connect.CodeResourceExhausted}, {drain.ErrInvalidName, connect.CodeInvalidArgument}, {drain.ErrNoSelection, connect.CodeInvalidArgument},
+	{drain.ErrNegativeDuration, connect.CodeInvalidArgument}, {errStep, connect.CodeInvalidArgument}, {disruption.ErrInvalidBudget, connect.CodeInvalidArgument},
 }
 
 func encodeError(err error) *connect.Error {
--- a/internal/operator/spread.go
+++ b/internal/operator/spread.go
@@ -17,22 +17,22 @@
 const defaultMachines, mostMachines = 20, 2000
 
 // Rebalancing carries out the operators' requests about moves on the leader.
-type Rebalancing interface {
-	Leader
+type RebalancingController interface {
+	LeaderLocator
 	// SpreadStatus shows the so many machines with the most load.
-	SpreadStatus(ctx context.Context, machines int) (rebalance.Status, error)
+	RebalancingStatus(ctx context.Context, machines int) (rebalance.Status, error)
 	// PauseSpread pauses moves or resumes them.
-	PauseSpread(ctx context.Context, paused bool) (rebalance.Status, error)
+	PauseRebalancing(ctx context.Context, paused bool) (rebalance.Status, error)
 }
 
 // spreadService adapts Spread to the generated interface.
 type spreadService struct {
 	forwarder[operatorpbconnect.SpreadServiceClient]
-	spread Rebalancing
+	spread RebalancingController
 }
 
 // RebalancingHandler gives the path below which the service of moves is served, and its handler.
-func RebalancingHandler(sp Rebalancing, dial call.Dialer) (path string, h http.Handler) {
+func RebalancingHandler(sp RebalancingController, dial call.Dialer) (path string, h http.Handler) {
 	s := &spreadService{forwarder[operatorpbconnect.SpreadServiceClient]{sp, dial, NewRebalancingClient}, sp}
 	return operatorpbconnect.NewSpreadServiceHandler(s, connect.WithReadMaxBytes(mostMessage))
 }
@@ -48,7 +48,7 @@
 		if machines == 0 {
 			machines = defaultMachines
 		}
-		return encodeSpread(s.spread.SpreadStatus(ctx, machines))
+		return encodeSpread(s.spread.RebalancingStatus(ctx, machines))
 	}, operatorpbconnect.SpreadServiceClient.GetSpread)
 }
 
@@ -62,7 +62,7 @@
 
 func (s *spreadService) change(paused bool) func(context.Context) (*operatorpb.SpreadStatus, error) {
 	return func(ctx context.Context) (*operatorpb.SpreadStatus, error) {
-		return encodeSpread(s.spread.PauseSpread(ctx, paused))
+		return encodeSpread(s.spread.PauseRebalancing(ctx, paused))
 	}
 }
 
@@ -70,15 +70,15 @@
 	if err != nil {
 		return nil, err
 	}
-	out := &operatorpb.SpreadStatus{Paused: st.Paused, WaitsFor: st.WaitsFor, KnownMachines: uint32(st.Known)}
+	out := &operatorpb.SpreadStatus{Paused: st.Paused, WaitsFor: st.IdleReason, KnownMachines: uint32(st.KnownMachines)}
 	for _, m := range st.Machines {
 		out.Machines = append(out.Machines, encodeMachineLoad(m))
 	}
 	for _, m := range st.Moves {
 		out.Moves = append(out.Moves, &operatorpb.SpreadMove{AgoS: st.Now.Sub(m.At).Seconds(), Task: m.Task.String(), Team: m.Team, From: m.From, To: m.To,
-			Relief: m.Relief, GainS: m.Gain.Seconds(), PriceS: m.Price.Seconds()})
+			Relief: m.Relief, GainS: m.Gain.Seconds(), PriceS: m.Cost.Seconds()})
 	}
-	for _, h := range st.Held {
+	for _, h := range st.HeldTasks {
 		out.Held = append(out.Held, &operatorpb.HeldTask{Machine: h.Machine, Team: h.Team, Task: h.Task, Reason: h.Reason})
 	}
 	return out, nil
--- a/internal/rebalance/plan.go
+++ b/internal/rebalance/plan.go
@@ -60,7 +60,7 @@
 	loads := make(map[string]*average, len(s.Machines))
 	for i := range s.Machines {
 		m := &s.Machines[i]
-		if !m.Known {
+		if !m.Heartbeating {
 			continue // silence is no load
 		}
 		u := usageOf(s.Now, m)
@@ -99,11 +99,11 @@
 	u := newUsage(m.Capacity)
 	for i := range m.Attempts {
 		if a := &m.Attempts[i]; !a.Stopping && !a.endsSoon(now) {
-			u.add(a.Team, a.Need)
+			u.add(a.Team, a.Resources)
 		}
 	}
 	for _, r := range m.Reserved {
-		u.add(r.Team, r.Need)
+		u.add(r.Team, r.Resources)
 	}
 	return u
 }
@@ -121,10 +121,10 @@
 	switch wait := p.longestCooldown() - s.Now.Sub(p.began); {
 	case p.paused:
 		return "it is paused"
-	case !s.Listed:
+	case !s.MachinesListed:
 		return "the cloud has not listed its machines yet"
-	case s.Unknown > 0:
-		return fmt.Sprintf("%d machines have not reported to this leader yet", s.Unknown)
+	case s.UnreportedMachines > 0:
+		return fmt.Sprintf("%d machines have not reported to this leader yet", s.UnreportedMachines)
 	case wait > 0:
 		return fmt.Sprintf("what the last leader has moved cools down for %.0f s", wait.Seconds())
 	}
@@ -135,11 +135,11 @@
 	r := &round{p: p, s: s, mover: mover, spent: spent, usage: p.usage, free: map[string]resources.Vector{}, remaining: map[string]int{},
 		movedTeams: map[string]bool{}}
 	for name, team := range s.Teams {
-		r.remaining[name] = team.Remaining
+		r.remaining[name] = team.RemainingBudget
 	}
 	for i := range s.Machines {
 		m := &s.Machines[i]
-		if m.Known && m.Usable && !m.Cordoned && !p.cooling(m.ID, source) {
+		if m.Heartbeating && m.Usable && !m.Cordoned && !p.cooling(m.ID, source) {
 			r.destinations = append(r.destinations, m)
 			r.free[m.ID] = m.Free
 		}
@@ -153,7 +153,7 @@
 	var out []*Machine
 	for i := range r.s.Machines {
 		m := &r.s.Machines[i]
-		if m.Known && !m.Cordoned && len(m.Attempts) > 0 && !r.p.cooling(m.ID, destination) {
+		if m.Heartbeating && !m.Cordoned && len(m.Attempts) > 0 && !r.p.cooling(m.ID, destination) {
 			out = append(out, m)
 		}
 	}
@@ -199,7 +199,7 @@
 	}
 	u := r.usage[m.ID]
 	slices.SortFunc(out, func(a, b *Attempt) int {
-		return cmp.Or(cmp.Compare(u.teamLoad(b.Team), u.teamLoad(a.Team)), cmp.Compare(a.Need.DominantShare(m.Capacity), b.Need.DominantShare(m.Capacity)),
+		return cmp.Or(cmp.Compare(u.teamLoad(b.Team), u.teamLoad(a.Team)), cmp.Compare(a.Resources.DominantShare(m.Capacity), b.Resources.DominantShare(m.Capacity)),
 			cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Index, b.Task.Index))
 	})
 	return out
@@ -208,7 +208,7 @@
 // hold notes why a task stays where it is.
 func (r *round) hold(m *Machine, a *Attempt, reason string) {
 	if len(r.p.held) < mostHeld {
-		r.p.held = append(r.p.held, Held{Machine: m.ID, Team: a.Team, Task: a.Task.String(), Reason: reason})
+		r.p.held = append(r.p.held, HeldTask{Machine: m.ID, Team: a.Team, Task: a.Task.String(), Reason: reason})
 	}
 }
 
@@ -221,10 +221,10 @@
 	switch {
 	case !ok:
 		return "no machine with less load has room for it"
-	case option.Relief < r.p.cfg.LeastRelief:
+	case option.Relief < r.p.cfg.MinRelief:
 		return fmt.Sprintf("the relief of %.2f is too small", option.Relief)
-	case option.Gain <= option.Price.Scale(r.p.cfg.Margin):
-		return fmt.Sprintf("the gain of %.1f s is less than %g times the price of %.1f s", option.Gain.Seconds(), r.p.cfg.Margin, option.Price.Seconds())
+	case option.Gain <= option.Cost.Scale(r.p.cfg.Margin):
+		return fmt.Sprintf("the gain of %.1f s is less than %g times the price of %.1f s", option.Gain.Seconds(), r.p.cfg.Margin, option.Cost.Seconds())
 	}
 	if refusal := r.mover.Move(a.Task, option.To); refusal != Moved {
 		return string(refusal)
@@ -265,7 +265,7 @@
 		if looked == mostDestinations || r.usage[d.ID].load() >= r.usage[m.ID].load() {
 			break
 		}
-		if d.ID == m.ID || r.p.cooling(d.ID, source) || !r.free[d.ID].Fits(a.Need) || !r.mover.MayHost(a.Task, d.ID) {
+		if d.ID == m.ID || r.p.cooling(d.ID, source) || !r.free[d.ID].Fits(a.Resources) || !r.mover.MayHost(a.Task, d.ID) {
 			continue
 		}
 		looked++
@@ -291,27 +291,27 @@
 }
 
 // surplus is by how much the gain exceeds the price and the margin.
-func (m Move) surplus(margin float64) micros.Duration { return m.Gain - m.Price.Scale(margin) }
+func (m Move) surplus(margin float64) micros.Duration { return m.Gain - m.Cost.Scale(margin) }
 
 // option weighs a move. What holds for a moment only is no relief: the smoothed difference of the loads bounds it.
 func (r *round) option(m, d *Machine, a *Attempt) Move {
 	now := r.s.Now
-	byUsage := relief(r.usage[m.ID], r.usage[d.ID], a.Team, a.Need, r.p.cfg.Cap, r.p.contended[a.Team])
+	byUsage := relief(r.usage[m.ID], r.usage[d.ID], a.Team, a.Resources, r.p.cfg.TeamCap, r.p.contended[a.Team])
 	smoothed := r.p.loads[m.ID].value - r.p.loads[d.ID].value
-	price := a.CheckpointTime + r.p.cfg.Start
+	price := a.CheckpointTime + r.p.cfg.RestartTime
 	if !d.Images[a.Image] && d.FetchGBPS > 0 {
 		price += micros.Seconds(a.ImageGB / d.FetchGBPS)
 	}
 	relief := min(byUsage, smoothed)
 	left := max(0, a.remaining(now)-price)
-	return Move{At: now, Task: a.Task, Team: a.Team, From: m.ID, To: d.ID, Relief: relief, Gain: left.Scale(max(0, relief)), Price: price}
+	return Move{At: now, Task: a.Task, Team: a.Team, From: m.ID, To: d.ID, Relief: relief, Gain: left.Scale(max(0, relief)), Cost: price}
 }
 
 // book enters a move into the round's account and the planner's.
 func (r *round) book(m *Machine, a *Attempt, move Move) {
-	r.usage[m.ID].remove(a.Team, a.Need)
-	r.usage[move.To].add(a.Team, a.Need)
-	r.free[move.To] = r.free[move.To].Plus(a.Need, -1)
+	r.usage[m.ID].remove(a.Team, a.Resources)
+	r.usage[move.To].add(a.Team, a.Resources)
+	r.free[move.To] = r.free[move.To].Plus(a.Resources, -1)
 	r.remaining[a.Team]--
 	r.movedTeams[a.Team] = true
 	r.reorder(move.To)
--- a/internal/rebalance/rebalance.go
+++ b/internal/rebalance/rebalance.go
@@ -16,11 +16,11 @@
 // Config holds the operators' settings.
 type Config struct {
 	// Cap is the share of a machine that a team should hold at most while other teams wait or are expected.
-	Cap float64
+	TeamCap float64
 	// Margin is how many times its price the gain of a move must be.
 	Margin float64
 	// LeastRelief is the least reduction of imbalance, as a share of a machine, for which work is moved.
-	LeastRelief float64
+	MinRelief float64
 	// TaskCooldown is the time after a move in which the task is not moved again; TeamCooldown, in which no other task of its
 	// team is; MachineCooldown, in which its source is no destination and its destination no source.
 	TaskCooldown, TeamCooldown, MachineCooldown micros.Duration
@@ -29,7 +29,7 @@
 	// Smoothing is the time constant of the averages of load.
 	Smoothing micros.Duration
 	// Start is how long it takes to stop a task and to launch another, beside saving and fetching.
-	Start micros.Duration
+	RestartTime micros.Duration
 }
 
 // role is what a machine was in a move.
@@ -59,7 +59,7 @@
 	machines  map[machineRole]micros.Timestamp
 	recent    []micros.Timestamp // moves within the last minute
 	history   []Move             // the last moves, the oldest first
-	held      []Held             // why work stays, as of the last round
+	held      []HeldTask         // why work stays, as of the last round
 	waitsFor  string
 	usage     map[string]*usage // as of the last round
 	contended map[string]bool   // teams with which others compete
@@ -74,7 +74,7 @@
 }
 
 // Pause stops moves until they are resumed; those that are under way are completed.
-func (p *Planner) Pause(paused bool) {
+func (p *Planner) SetPaused(paused bool) {
 	p.paused = paused
 	p.Suspend("the next round")
 }
--- a/internal/rebalance/rebalance_test.go
+++ b/internal/rebalance/rebalance_test.go
@@ -12,8 +12,8 @@
 	"saffronbend/internal/resources"
 )
 
-var policy = Config{Cap: 0.5, Margin: 2, LeastRelief: 0.2, TaskCooldown: 60 * micros.Second, TeamCooldown: 5 * micros.Second,
-	MachineCooldown: 30 * micros.Second, MovesPerMinute: 10, Smoothing: 10 * micros.Second, Start: 4 * micros.Second}
+var policy = Config{TeamCap: 0.5, Margin: 2, MinRelief: 0.2, TaskCooldown: 60 * micros.Second, TeamCooldown: 5 * micros.Second,
+	MachineCooldown: 30 * micros.Second, MovesPerMinute: 10, Smoothing: 10 * micros.Second, RestartTime: 4 * micros.Second}
 
 const start = micros.Timestamp(1000 * 1000 * 1000)
 
@@ -23,7 +23,7 @@
 	budget   int // of each team, in a round
 	waiting  map[string]int
 	moves    []Move
-	refuse   Refusal
+	refuse   MoveOutcome
 }
 
 // newFleet makes machines of four CPUs with the given tasks of one CPU each, by team.
@@ -31,11 +31,11 @@
 	f := &fleet{budget: 1000, waiting: map[string]int{}}
 	for i, tasks := range machines {
 		m := Machine{ID: fmt.Sprintf("m%03d", i), Capacity: resources.Vector{CPUs: 4, MemoryGB: 16}, Free: resources.Vector{CPUs: 4, MemoryGB: 16},
-			Known: true, Usable: true, FetchGBPS: 0.5, Images: map[string]bool{}}
+			Heartbeating: true, Usable: true, FetchGBPS: 0.5, Images: map[string]bool{}}
 		for n, team := range tasks {
 			need := resources.Vector{CPUs: 1, MemoryGB: 1}
 			m.Free = m.Free.Plus(need, -1)
-			m.Attempts = append(m.Attempts, Attempt{Task: disruption.Task{Job: fmt.Sprintf("%c%d", team, i), Index: n}, Team: string(team), Need: need,
+			m.Attempts = append(m.Attempts, Attempt{Task: disruption.Task{Job: fmt.Sprintf("%c%d", team, i), Index: n}, Team: string(team), Resources: need,
 				Running: true, Checkpoints: true, CheckpointTime: micros.Second, ExpectedEnd: start.Add(2000 * micros.Second), Image: "img", ImageGB: 1})
 		}
 		f.machines = append(f.machines, m)
@@ -44,9 +44,9 @@
 }
 
 func (f *fleet) snapshot(now micros.Timestamp) Snapshot {
-	s := Snapshot{Now: now, Machines: f.machines, Teams: map[string]Team{}, Listed: true}
+	s := Snapshot{Now: now, Machines: f.machines, Teams: map[string]Team{}, MachinesListed: true}
 	for _, team := range []string{"r", "b"} {
-		s.Teams[team] = Team{Remaining: f.budget, Waiting: f.waiting[team]}
+		s.Teams[team] = Team{RemainingBudget: f.budget, Waiting: f.waiting[team]}
 	}
 	return s
 }
@@ -62,7 +62,7 @@
 
 func (f *fleet) MayHost(disruption.Task, string) bool { return true }
 
-func (f *fleet) Move(disruption.Task, string) Refusal { return f.refuse }
+func (f *fleet) Move(disruption.Task, string) MoveOutcome { return f.refuse }
 
 // round has the planner decide, and carries the moves out.
 func (f *fleet) round(p *Planner, now micros.Timestamp) []Move {
@@ -79,7 +79,7 @@
 	for i, a := range from.Attempts {
 		if a.Task == move.Task {
 			from.Attempts = append(from.Attempts[:i:i], from.Attempts[i+1:]...)
-			from.Free, to.Free = from.Free.Plus(a.Need, 1), to.Free.Plus(a.Need, -1)
+			from.Free, to.Free = from.Free.Plus(a.Resources, 1), to.Free.Plus(a.Resources, -1)
 			to.Attempts = append(to.Attempts[:len(to.Attempts):len(to.Attempts)], a)
 			return
 		}
@@ -137,12 +137,12 @@
 			f.each(func(a *Attempt) { a.ExpectedEnd = start.Add(20 * micros.Second) })
 		}},
 		{"budget", "budget is used up", func(f *fleet, _ *Config) { f.budget = 0 }},
-		{"relief", "is too small", func(_ *fleet, cfg *Config) { cfg.LeastRelief = 0.9 }},
+		{"relief", "is too small", func(_ *fleet, cfg *Config) { cfg.MinRelief = 0.9 }},
 		{"no machine", "no machine with less load", func(f *fleet, _ *Config) { f.machines[1].Usable = false }},
-		{"silent", "no machine with less load", func(f *fleet, _ *Config) { f.machines[1].Known = false }},
+		{"silent", "no machine with less load", func(f *fleet, _ *Config) { f.machines[1].Heartbeating = false }},
 		{"cordoned", "no machine with less load", func(f *fleet, _ *Config) { f.machines[1].Cordoned = true }},
 		{"cordoned source", "", func(f *fleet, _ *Config) { f.machines[0].Cordoned = true }},
-		{"room", "no room any more", func(f *fleet, _ *Config) { f.refuse = NoRoom }},
+		{"room", "no room any more", func(f *fleet, _ *Config) { f.refuse = NoCapacity }},
 		{"minute", "moves per minute", func(_ *fleet, cfg *Config) { cfg.MovesPerMinute = 1 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -176,7 +176,7 @@
 }
 
 func held(p *Planner, reason string) bool {
-	for _, h := range p.Status(start, 10).Held {
+	for _, h := range p.Status(start, 10).HeldTasks {
 		if strings.Contains(h.Reason, reason) {
 			return true
 		}
@@ -190,17 +190,17 @@
 		name, waits string
 		change      func(p *Planner, s *Snapshot)
 	}{
-		{"paused", "paused", func(p *Planner, _ *Snapshot) { p.Pause(true) }},
-		{"unheard", "3 machines have not reported", func(_ *Planner, s *Snapshot) { s.Unknown = 3 }},
-		{"unlisted", "has not listed", func(_ *Planner, s *Snapshot) { s.Listed = false }},
+		{"paused", "paused", func(p *Planner, _ *Snapshot) { p.SetPaused(true) }},
+		{"unheard", "3 machines have not reported", func(_ *Planner, s *Snapshot) { s.UnreportedMachines = 3 }},
+		{"unlisted", "has not listed", func(_ *Planner, s *Snapshot) { s.MachinesListed = false }},
 		{"new leader", "cools down for 1 s", func(_ *Planner, s *Snapshot) { s.Now = s.Now.Add(-micros.Second) }},
 	} {
 		f := newFleet("rrrr", "")
 		p, now := f.ready(policy)
 		s := f.snapshot(now)
 		c.change(p, &s)
-		if moves := p.Plan(s, f, func() bool { return false }); len(moves) > 0 || !strings.Contains(p.Status(now, 1).WaitsFor, c.waits) {
-			t.Errorf("%s: %d moves, waits for %q", c.name, len(moves), p.Status(now, 1).WaitsFor)
+		if moves := p.Plan(s, f, func() bool { return false }); len(moves) > 0 || !strings.Contains(p.Status(now, 1).IdleReason, c.waits) {
+			t.Errorf("%s: %d moves, waits for %q", c.name, len(moves), p.Status(now, 1).IdleReason)
 		}
 	}
 }
@@ -255,7 +255,7 @@
 		f.budget = rapid.IntRange(0, 3).Draw(t, "budget")
 		cfg := policy
 		cfg.MovesPerMinute = rapid.IntRange(1, 5).Draw(t, "moves per minute")
-		cfg.LeastRelief = rapid.Float64Range(0.01, 0.5).Draw(t, "least relief")
+		cfg.MinRelief = rapid.Float64Range(0.01, 0.5).Draw(t, "least relief")
 		p, now := f.ready(cfg)
 		tasks := f.tasks()
 		var all []Move
@@ -292,7 +292,7 @@
 		if byTeam[m.Team] > f.budget {
 			t.Fatalf("the budget of %d is broken: %v", f.budget, moves)
 		}
-		if m.Gain <= m.Price.Scale(cfg.Margin) || m.Relief < cfg.LeastRelief {
+		if m.Gain <= m.Cost.Scale(cfg.Margin) || m.Relief < cfg.MinRelief {
 			t.Fatalf("not worth its price: %+v", m)
 		}
 	}
@@ -332,11 +332,11 @@
 // A silent machine is shown with no load at all, neither its last one nor none.
 func TestSilenceIsNoLoad(t *testing.T) {
 	f := newFleet("rrrr", "rr")
-	f.machines[0].Known = false
+	f.machines[0].Heartbeating = false
 	p, now := f.ready(policy)
 	f.round(p, now)
-	if st := p.Status(now, 10); st.Known != 1 || len(st.Machines) != 1 || st.Machines[0].ID != f.machines[1].ID {
-		t.Errorf("%d known, %v", st.Known, st.Machines)
+	if st := p.Status(now, 10); st.KnownMachines != 1 || len(st.Machines) != 1 || st.Machines[0].ID != f.machines[1].ID {
+		t.Errorf("%d known, %v", st.KnownMachines, st.Machines)
 	}
 }
 
--- a/internal/rebalance/snapshot.go
+++ b/internal/rebalance/snapshot.go
@@ -13,8 +13,8 @@
 	Teams    map[string]Team
 	// Unknown is how many machines may run work and have not reported to this leader yet. Listed says that the cloud has
 	// listed its machines in this term.
-	Unknown int
-	Listed  bool
+	UnreportedMachines int
+	MachinesListed     bool
 }
 
 // Machine is a machine and the work on it.
@@ -23,7 +23,7 @@
 	Capacity resources.Vector
 	Free     resources.Vector // neither used nor reserved
 	// Known says that the machine reports and has our token, so that its work is known. Usable, that it takes new tasks.
-	Known, Usable bool
+	Heartbeating, Usable bool
 	// Cordoned machines are emptied by drains, not by moves.
 	Cordoned  bool
 	FetchGBPS float64
@@ -36,7 +36,7 @@
 type Attempt struct {
 	Task           disruption.Task
 	Team           string
-	Need           resources.Vector
+	Resources      resources.Vector
 	Gang           bool
 	Stopping       bool // is being stopped, or its job is over
 	Running        bool // is reported running
@@ -49,26 +49,26 @@
 
 // Reservation is room on a machine that is kept for a team's task.
 type Reservation struct {
-	Team string
-	Need resources.Vector
+	Team      string
+	Resources resources.Vector
 }
 
 // Team is what the planner knows of a team.
 type Team struct {
 	Waiting int // tasks that could be placed if there were room
 	// Remaining is how many more of its tasks may be disturbed now, by its disruption budget.
-	Remaining int
+	RemainingBudget int
 }
 
 // Refusal says why a move was not carried out.
-type Refusal string
+type MoveOutcome string
 
 // Outcomes of a move.
 const (
-	Moved           Refusal = ""
-	NotThere        Refusal = "it has ended"
-	AlreadyStopping Refusal = "it is being stopped"
-	NoRoom          Refusal = "the destination has no room any more"
+	Moved           MoveOutcome = ""
+	AttemptEnded    MoveOutcome = "it has ended"
+	AlreadyStopping MoveOutcome = "it is being stopped"
+	NoCapacity      MoveOutcome = "the destination has no room any more"
 )
 
 // MoveExecutor carries moves out.
@@ -77,7 +77,7 @@
 	// waits could use that room.
 	MayHost(t disruption.Task, machine string) bool
 	// Move reserves room on a machine for a task, and has the task stopped once the move is durable.
-	Move(t disruption.Task, machine string) Refusal
+	Move(t disruption.Task, machine string) MoveOutcome
 }
 
 // Move is a move that was decided on.
@@ -87,11 +87,11 @@
 	Team     string
 	From, To string
 	// Relief is the reduction of imbalance, Gain that over the task's remaining time, Price the time that the move costs.
-	Relief      float64
-	Gain, Price micros.Duration
+	Relief     float64
+	Gain, Cost micros.Duration
 }
 
 // Held says why a task stays where it is.
-type Held struct {
+type HeldTask struct {
 	Machine, Team, Task, Reason string
 }
--- a/internal/rebalance/solver_test.go
+++ b/internal/rebalance/solver_test.go
@@ -25,7 +25,7 @@
 				continue
 			}
 			m.Free = m.Free.Plus(need, -1)
-			m.Attempts = append(m.Attempts, Attempt{Task: disruption.Task{Job: fmt.Sprint("r", i), Index: n}, Team: "r", Need: need,
+			m.Attempts = append(m.Attempts, Attempt{Task: disruption.Task{Job: fmt.Sprint("r", i), Index: n}, Team: "r", Resources: need,
 				Running: true, Checkpoints: true, ExpectedEnd: start.Add(2000 * micros.Second), Image: "img"})
 		}
 	}
@@ -35,7 +35,7 @@
 // needs gives the CPUs of all tasks.
 func (f *fleet) needs() []int {
 	var out []int
-	f.each(func(a *Attempt) { out = append(out, int(a.Need.CPUs)) })
+	f.each(func(a *Attempt) { out = append(out, int(a.Resources.CPUs)) })
 	return out
 }
 
@@ -87,7 +87,7 @@
 	const fleets, machines = 60, 6
 	r := rand.New(rand.NewPCG(3, 4))
 	cfg := policy
-	cfg.LeastRelief, cfg.MovesPerMinute, cfg.TaskCooldown, cfg.MachineCooldown, cfg.TeamCooldown = 0.01, 1000, 0, 0, 0
+	cfg.MinRelief, cfg.MovesPerMinute, cfg.TaskCooldown, cfg.MachineCooldown, cfg.TeamCooldown = 0.01, 1000, 0, 0, 0
 	before, greatest, best, equal, moves := 0, 0, 0, 0, 0
 	for range fleets {
 		f := unevenFleet(r, machines)
--- a/internal/rebalance/status.go
+++ b/internal/rebalance/status.go
@@ -10,14 +10,14 @@
 
 // Status is what operators are told.
 type Status struct {
-	Now      micros.Timestamp
-	Paused   bool
-	WaitsFor string // why nothing is moved at all; empty: moves are decided on
-	Machines []MachineLoad
-	Moves    []Move // the last ones, the newest first
-	Held     []Held
+	Now        micros.Timestamp
+	Paused     bool
+	IdleReason string // why nothing is moved at all; empty: moves are decided on
+	Machines   []MachineLoad
+	Moves      []Move // the last ones, the newest first
+	HeldTasks  []HeldTask
 	// Known is how many machines' loads are known, of which Machines holds those with the most load.
-	Known int
+	KnownMachines int
 }
 
 // MachineLoad is the load of one machine.
@@ -35,7 +35,7 @@
 
 // Status gives the state as of the last round, with the so many machines that have the most load.
 func (p *Planner) Status(now micros.Timestamp, machines int) Status {
-	st := Status{Now: now, Paused: p.paused, WaitsFor: p.waitsFor, Held: slices.Clone(p.held), Moves: slices.Clone(p.history), Known: len(p.usage)}
+	st := Status{Now: now, Paused: p.paused, IdleReason: p.waitsFor, HeldTasks: slices.Clone(p.held), Moves: slices.Clone(p.history), KnownMachines: len(p.usage)}
 	slices.Reverse(st.Moves)
 	for id, u := range p.usage {
 		st.Machines = append(st.Machines, MachineLoad{ID: id, Load: u.load(), Smoothed: p.loads[id].value})
--- a/internal/scale/drain_test.go
+++ b/internal/scale/drain_test.go
@@ -46,8 +46,8 @@
 func (d *drainRun) round(c *cluster) {
 	d.observe(c)
 	s := c.manager.DrainSnapshot(c.now)
-	s.Complete = true
-	acts := d.planner.Plan(s, func(t disruption.Task) drain.Refusal { return c.manager.Evict(c.now, t) }, func() bool { return false })
+	s.MachinesListed = true
+	acts := d.planner.Plan(s, func(t disruption.Task) drain.EvictionOutcome { return c.manager.Evict(c.now, t) }, func() bool { return false })
 	c.manager.SetReplacements(acts.NeedReplacement)
 	c.manager.DeletionRequested(acts.ScaleIn)
 	c.manager.MachinesDeleted(c.now, acts.ScaleIn)
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	d = &drainRun{disturbances: newDisturbances(),
-		planner: drain.New(drain.Config{Teams: []string{"red"}, Default: budget, Step: machines})}
+		planner: drain.New(drain.Config{Teams: []string{"red"}, DefaultBudget: budget, StepSize: machines})}
 	c := newCluster(t, machines)
 	c.disturbed, c.decide = d.disturbances, func() { d.round(c) }
 	c.load(machines * each)
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -102,7 +102,7 @@
 	c.manager.SetTeamAssignments(map[string]string{"red": member})
 	c.scheduler = scheduler.New(member, c.tuning())
 	c.scheduler.SetTypes(types)
-	c.fleet = fleet.New(c.now, fleet.Config{Token: c.token, Lease: workerLease, Report: reportEvery, ListLag: 6 * micros.Second, Tuning: c.tuning()})
+	c.fleet = fleet.New(c.now, fleet.Config{FencingToken: c.token, LeaseDuration: workerLease, HeartbeatInterval: reportEvery, ListLag: 6 * micros.Second, Tuning: c.tuning()})
 	c.fleet.SetTypes(types)
 	for i, w := range c.workers {
 		w.nextReport = c.now.Add(reportEvery * micros.Duration(i) / micros.Duration(len(c.workers)))
--- a/internal/scale/spread_test.go
+++ b/internal/scale/spread_test.go
@@ -29,7 +29,7 @@
 		return
 	}
 	s.decided = s.c.now
-	remaining := map[string]int{"red": s.budget - s.c.manager.TeamUsage(s.c.now)["red"].Disturbed}
+	remaining := map[string]int{"red": s.budget - s.c.manager.TeamUsage(s.c.now)["red"].Disrupted}
 	moves := s.planner.Plan(s.c.manager.RebalanceSnapshot(s.c.now, remaining), s.c.manager.MoveExecutor(s.c.now), func() bool { return false })
 	for _, m := range moves {
 		s.movedTwo = s.movedTwo || s.moved[m.Task]
@@ -59,8 +59,8 @@
 		t.Fatalf("the load is not packed: at most %d tasks on a machine", c.greatest())
 	}
 	c.manager.MachinesListed(c.now, nil)
-	s.planner = rebalance.New(c.now.Add(-micros.Minute), rebalance.Config{Cap: 0.5, Margin: 3, LeastRelief: 0.25, TaskCooldown: micros.Minute,
-		MovesPerMinute: 100000, Smoothing: 10 * micros.Second, Start: 2 * reportEvery})
+	s.planner = rebalance.New(c.now.Add(-micros.Minute), rebalance.Config{TeamCap: 0.5, Margin: 3, MinRelief: 0.25, TaskCooldown: micros.Minute,
+		MovesPerMinute: 100000, Smoothing: 10 * micros.Second, RestartTime: 2 * reportEvery})
 	c.decide = s.round
 	begin := c.now
 	const spread = 5 // tasks on a machine when no move gains a quarter of one
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -177,7 +177,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newScheduler()
-			s.tuning.Rebalancing = settings.Rebalancing{Enabled: c.enabled, Policy: rebalance.Config{Cap: 0.25}}
+			s.tuning.Rebalancing = settings.Rebalancing{Enabled: c.enabled, Policy: rebalance.Config{TeamCap: 0.25}}
 			want(t, asked(s, []*snapshot.Machine{machineView("n-1", 4, "img"), machineView("n-2", 8, "img")}, c.jobs...), c.want...)
 		})
 	}
@@ -190,7 +190,7 @@
 	other := jobView("run-2", 1)
 	other.Team, other.CPUs = "blue", 64
 	s := newScheduler()
-	s.tuning.Rebalancing = settings.Rebalancing{Enabled: true, Policy: rebalance.Config{Cap: 0.25}}
+	s.tuning.Rebalancing = settings.Rebalancing{Enabled: true, Policy: rebalance.Config{TeamCap: 0.25}}
 	want(t, asked(s, []*snapshot.Machine{machineView("n-1", 4, "img"), machineView("n-2", 8)}, small, other), "run-1 n-1 x2", "run-1 n-1 x2")
 }
 
--- a/internal/scheduler/spread.go
+++ b/internal/scheduler/spread.go
@@ -81,7 +81,7 @@
 	n := 0
 	for ; n < j.wants; n++ {
 		held = held.Plus(j.Vector, 1)
-		if held.DominantShare(whole) > s.tuning.Rebalancing.Policy.Cap {
+		if held.DominantShare(whole) > s.tuning.Rebalancing.Policy.TeamCap {
 			break
 		}
 	}
--- a/internal/settings/spread.go
+++ b/internal/settings/spread.go
@@ -36,16 +36,16 @@
 	}
 	report := s.Deployment.Workers.ReportS
 	spread := Rebalancing{Enabled: o.GetEnabled(), Policy: rebalance.Config{
-		Cap:             c.number(o.Cap, defaultCap, 0, 1, "spread.cap"),
+		TeamCap:         c.number(o.Cap, defaultCap, 0, 1, "spread.cap"),
 		Margin:          c.number(o.Margin, defaultMargin, 1, mostMargin, "spread.margin"),
-		LeastRelief:     c.number(o.LeastRelief, defaultRelief, 0, 1, "spread.least_relief"),
+		MinRelief:       c.number(o.LeastRelief, defaultRelief, 0, 1, "spread.least_relief"),
 		TaskCooldown:    c.span(o.TaskCooldownS, defaultTaskCooldownS, "spread.task_cooldown_s"),
 		TeamCooldown:    c.span(o.TeamCooldownS, defaultTeamCooldownS, "spread.team_cooldown_s"),
 		MachineCooldown: c.span(o.MachineCooldownS, defaultMachineCooldownS, "spread.machine_cooldown_s"),
 		Smoothing:       c.span(o.SmoothingS, defaultSmoothingS, "spread.smoothing_s"),
 		MovesPerMinute:  int(o.GetMovesPerMinute()),
 		// The stop and the launch may both have to wait for a report.
-		Start: micros.Seconds(2 * report),
+		RestartTime: micros.Seconds(2 * report),
 	}}
 	if spread.Enabled && !(o.GetMovesPerMinute() >= 1 && float64(o.GetMovesPerMinute()) <= mostMovesPerMinute) {
 		c.errs = append(c.errs, errNoMoveBudget)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -28,7 +28,7 @@
 	// Replacements are tasks that can't be evicted before there is room for them elsewhere: Waiting of each job. For the fleet.
 	Replacements []*Job
 	// Vacating is where the fleet rents nothing that it can rent elsewhere.
-	Vacating []drain.Vacating
+	VacatedPools []drain.VacatedPool
 }
 
 // Update takes a view of version Base to a later one; with Base 0 it is a whole view.
--- a/spread.go
+++ b/spread.go
@@ -46,7 +46,7 @@
 
 func newSpreader(t *term, now micros.Timestamp, r spreadRecord) *spreader {
 	s := &spreader{t: t, planner: rebalance.New(now, t.n.set.Tuning.Rebalancing.Policy), lock: newRecordLock(), version: r.version}
-	s.planner.Pause(r.Paused)
+	s.planner.SetPaused(r.Paused)
 	return s
 }
 
@@ -64,11 +64,11 @@
 		return
 	}
 	s.decided = now
-	remaining := t.drains.planner.Remaining(t.mgr.TeamUsage(now))
+	remaining := t.drains.planner.RemainingBudgets(t.mgr.TeamUsage(now))
 	moves := s.planner.Plan(t.mgr.RebalanceSnapshot(now, remaining), t.mgr.MoveExecutor(now), spent(t.n.set.Tuning.RoundBudget))
 	for _, m := range moves {
 		t.n.log.Info("a task is moved", "task", m.Task.String(), "team", m.Team, "from", m.From, "to", m.To,
-			"relief", m.Relief, "gain_s", m.Gain.Seconds(), "price_s", m.Price.Seconds())
+			"relief", m.Relief, "gain_s", m.Gain.Seconds(), "price_s", m.Cost.Seconds())
 	}
 }
 
@@ -88,7 +88,7 @@
 func (s *spreader) apply(ctx context.Context, r spreadRecord) error {
 	s.version = r.version
 	err := s.t.tell(ctx, func(micros.Timestamp) error {
-		s.planner.Pause(r.Paused)
+		s.planner.SetPaused(r.Paused)
 		return nil
 	})
 	if err == nil {
@@ -124,7 +124,7 @@
 }
 
 // SpreadStatus shows load and moves.
-func (n *Node) SpreadStatus(ctx context.Context, machines int) (st rebalance.Status, err error) {
+func (n *Node) RebalancingStatus(ctx context.Context, machines int) (st rebalance.Status, err error) {
 	err = n.withSpread(ctx, func(ctx context.Context, s *spreader) error {
 		st, err = s.status(ctx, machines)
 		return err
@@ -136,7 +136,7 @@
 const shownAfterPause = 5
 
 // PauseSpread pauses moves or resumes them.
-func (n *Node) PauseSpread(ctx context.Context, paused bool) (st rebalance.Status, err error) {
+func (n *Node) PauseRebalancing(ctx context.Context, paused bool) (st rebalance.Status, err error) {
 	err = n.withSpread(ctx, func(ctx context.Context, s *spreader) error {
 		if err := s.pause(ctx, paused); err != nil {
 			return err
@@ -147,4 +147,4 @@
 	return st, err
 }
 
-var _ operator.Rebalancing = (*Node)(nil)
+var _ operator.RebalancingController = (*Node)(nil)
--- a/term.go
+++ b/term.go
@@ -146,8 +146,8 @@
 			if n.set.Tuning.Rebalancing.Enabled {
 				t.spread = newSpreader(t, now, moves)
 			}
-			t.fleet = fleet.New(now, fleet.Config{Token: t.token, Lease: n.set.Lease(), Report: micros.Seconds(d.Workers.ReportS),
-				ListLag: micros.Seconds(d.Cloud.ListLagS), Tuning: n.set.Tuning, Urgent: n.set.Urgent()})
+			t.fleet = fleet.New(now, fleet.Config{FencingToken: t.token, LeaseDuration: n.set.Lease(), HeartbeatInterval: micros.Seconds(d.Workers.ReportS),
+				ListLag: micros.Seconds(d.Cloud.ListLagS), Tuning: n.set.Tuning, UrgentClasses: n.set.Urgent()})
 			if types := n.Types(); types != nil {
 				t.mgr.SetTypes(types)
 				t.fleet.SetTypes(types)
