--- a/cmd/saffronbend/main.go
+++ b/cmd/saffronbend/main.go
@@ -74,10 +74,10 @@
 	// and the processor is dearer: garbage may pile up further than usual before it is
 	// collected.
 	debug.SetGCPercent(400)
-	debug.SetMemoryLimit(set.Memory())
+	debug.SetMemoryLimit(set.RuntimeMemoryLimit())
 	runtime.GOMAXPROCS(int(math.Ceil(set.Deployment.Limits.CoreShare)))
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	for _, t := range set.Tight() {
+	for _, t := range set.Warnings() {
 		log.Warn("the settings are tight", "what", t)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -96,7 +96,7 @@
 	for _, c := range set.Capacities() {
 		fmt.Printf("%s suffices for %d machines\n", c.Setting, c.Machines)
 	}
-	for _, t := range set.Tight() {
+	for _, t := range set.Warnings() {
 		fmt.Println("tight:", t)
 	}
 	fmt.Println("settings and options are sound")
--- a/commands.go
+++ b/commands.go
@@ -128,7 +128,7 @@
 // commitAll carries out changes under the leader's key, in as many transactions as they need.
 func (t *term) commitAll(ctx context.Context, changes []wire.Change) error {
 	const mostBytes = 48 << 10
-	limits := t.n.set.Deployment.State.Within()
+	limits := t.n.set.Deployment.State.Effective()
 	per := max(1, min(limits.TxnOps, int(mostBytes/(limits.ValueKB*1024))))
 	for part := range slices.Chunk(changes, per) {
 		if _, err := t.commit(ctx, wire.Txn{Then: part}); err != nil {
--- a/drains.go
+++ b/drains.go
@@ -38,7 +38,7 @@
 	}
 	o := set.Tuning.Drains
 	return &drainer{t: t, lock: newRecordLock(), ending: map[string]bool{},
-		planner: drain.New(drain.Config{Teams: teams, DefaultBudget: o.Default, TeamBudgets: o.Budgets, StepSize: o.Step})}
+		planner: drain.New(drain.Config{Teams: teams, DefaultBudget: o.DefaultBudget, TeamBudgets: o.Budgets, StepSize: o.Step})}
 }
 
 // readDrains reads the records of drains and of disturbed work.
@@ -147,7 +147,7 @@
 		if err != nil || plan.Exists {
 			return err
 		}
-		pages := paginate(plan.Machines, d.t.n.set.Deployment.State.Within().ValueKB)
+		pages := paginate(plan.Machines, d.t.n.set.Deployment.State.Effective().ValueKB)
 		d.lists++
 		plan.Record.List = fmt.Sprintf("%d.%d", d.t.token, d.lists)
 		plan.Record.Pages = len(pages)
--- a/follow.go
+++ b/follow.go
@@ -177,8 +177,8 @@
 		if types := n.Types(); types != nil {
 			s.SetTypes(types)
 		}
-		s.View(o.view)
-		for again := true; again; again = s.Unfinished() && s.Current() && len(p.views) == 0 {
+		s.ApplySnapshot(o.view)
+		for again := true; again; again = s.Unfinished() && s.UpToDate() && len(p.views) == 0 {
 			requests := s.Round(n.clock.Now(), spent(n.set.Tuning.RoundBudget))
 			// An empty request is a sign of life for the leader.
 			if len(requests) == 0 && n.clock.Now().Sub(asked) < 400*micros.Millisecond {
@@ -191,7 +191,7 @@
 				break
 			}
 			if len(requests) > 0 {
-				s.Granted(ans.SnapshotVersion)
+				s.RequireVersion(ans.SnapshotVersion)
 			}
 		}
 	}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -133,7 +133,7 @@
 		a.unlessKnown(ctx, w, job.ID, func() { later(w, "short of memory") })
 		return
 	}
-	limit := a.set.Deployment.State.Within().ValueKB
+	limit := a.set.Deployment.State.Effective().ValueKB
 	rec := state.OpenRecord{Job: *job, AcceptedAt: a.wall(), ShardSize: state.ProgressShardSize(job.Kind, limit)}
 	open, err := json.Marshal(rec)
 	if err == nil && float64(len(open)) > limit*1024 {
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -52,7 +52,7 @@
 func TestShortOfMemory(t *testing.T) {
 	set := &settings.Settings{}
 	set.Deployment.Teams = []settings.Team{{Name: "red"}}
-	set.Deployment.State = settings.State{ValueKB: 4, TxnOps: 8}
+	set.Deployment.State = settings.StoreLimits{ValueKB: 4, TxnOps: 8}
 	now := &info{}
 	router := httprouter.New()
 	New(store{}, now, set, slog.New(slog.NewTextHandler(io.Discard, nil)), func() int64 { return 0 }).Register(router)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -229,7 +229,7 @@
 		case m.Deleting:
 		case m.Failed:
 			why = "failed"
-		case !m.Up && m.State == wire.MachineStarting && v.Now.Sub(m.RegisteredAt) > boot.Scale(f.cfg.Tuning.BootPatience):
+		case !m.Up && m.State == wire.MachineStarting && v.Now.Sub(m.RegisteredAt) > boot.Scale(f.cfg.Tuning.BootTimeoutFactor):
 			why = "does not come up"
 		case m.State != wire.MachineStarting && m.Unlisted && silent > 2*f.cfg.HeartbeatInterval+micros.Second:
 			why = "taken"
@@ -270,7 +270,7 @@
 			for _, g := range m.Leases {
 				for _, l := range g.Leases {
 					left := l.ExpectedEnd.Sub(v.Now)
-					if left < -f.cfg.Tuning.Grace {
+					if left < -f.cfg.Tuning.LeaseGrace {
 						continue
 					}
 					if left < f.cfg.Tuning.ScaleOutAhead {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -17,8 +17,8 @@
 // newFleet makes a fleet that is past its first seconds, in a cloud with two types.
 func newFleet(reserve float64) *Fleet {
 	f := New(0, Config{FencingToken: 7, LeaseDuration: 10 * micros.Second, HeartbeatInterval: 2 * micros.Second, UrgentClasses: map[string]bool{"rush": true},
-		Tuning: settings.Tuning{MaxMachines: 2000, IdleTimeout: 30 * micros.Second, BootPatience: 3, SilenceTimeout: 30 * micros.Second,
-			ScaleOutAhead: 10 * micros.Second, SpareShare: reserve, Grace: 20 * micros.Second}})
+		Tuning: settings.Tuning{MaxMachines: 2000, IdleTimeout: 30 * micros.Second, BootTimeoutFactor: 3, SilenceTimeout: 30 * micros.Second,
+			ScaleOutAhead: 10 * micros.Second, SpareShare: reserve, LeaseGrace: 20 * micros.Second}})
 	f.SetTypes([]wire.MachineType{
 		{Name: "small", CPUs: 8, MemoryGB: 16, Price: 1, SpotPrice: 0.3, BootS: 40, Zones: []string{"a", "b"}},
 		{Name: "large", CPUs: 64, MemoryGB: 128, Price: 8, SpotPrice: 2.4, BootS: 40, Zones: []string{"a"}}})
--- a/internal/manager/bench_test.go
+++ b/internal/manager/bench_test.go
@@ -29,7 +29,7 @@
 	*now = 1000
 	m, err := New(*now, Config{FencingToken: token, Teams: []settings.Team{{Name: "red"}}, WorkerLease: 26 * micros.Second, HeartbeatInterval: 5 * micros.Second,
 		LeaseMargin: micros.Second, CancelTimeout: 56 * micros.Second, Tuning: settings.Tuning{FirstLease: 100 * micros.Second}, MaxCommandPushes: 100,
-		StoreLimits: settings.State{TxnOps: 32, ValueKB: 8}}, 0, nil, nil)
+		StoreLimits: settings.StoreLimits{TxnOps: 32, ValueKB: 8}}, 0, nil, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/manager/grants.go
+++ b/internal/manager/grants.go
@@ -63,7 +63,7 @@
 		return false
 	}
 	a.waiter = ask.Job
-	a.waiterUntil = max(now, a.leaseEnd).Add(m.cfg.Tuning.Grace)
+	a.waiterUntil = max(now, a.leaseEnd).Add(m.cfg.Tuning.LeaseGrace)
 	m.touchMachine(mc)
 	return true
 }
--- a/internal/manager/limits.go
+++ b/internal/manager/limits.go
@@ -22,7 +22,7 @@
 // records change together, and a record of progress with one placement needs as much.
 const leastOps, leastBytes = 2, 256
 
-func newLimits(s settings.State) limits {
+func newLimits(s settings.StoreLimits) limits {
 	// A transaction may have 64 KiB in total.
 	const total = 50
 	return limits{ops: min(s.TxnOps, max(leastOps, int(total/s.ValueKB))), bytes: int(s.ValueKB * 1024)}
--- a/internal/manager/limits_test.go
+++ b/internal/manager/limits_test.go
@@ -29,7 +29,7 @@
 // takes, and the others follow.
 func TestPlacementsWithinTheLimit(t *testing.T) {
 	b := newBench(t, nil, nil)
-	b.m.limits = newLimits(settings.State{ValueKB: 1, TxnOps: 4})
+	b.m.limits = newLimits(settings.StoreLimits{ValueKB: 1, TxnOps: 4})
 	b.job("run-1", 48, small)
 	b.up("n-1-a")
 	got := b.grant("run-1", "n-1-a", 48)
@@ -58,7 +58,7 @@
 		rec.Active = append(rec.Active, state.Placement{Task: i, Machine: "n-000001-a", Attempt: 99<<20 + uint64(i), Incarnation: 1})
 	}
 	b := newBench(t, open, []wire.Item{item(state.ProgressKey("run-1", 0), 6, rec)})
-	b.m.limits = newLimits(settings.State{ValueKB: 1, TxnOps: 4})
+	b.m.limits = newLimits(settings.StoreLimits{ValueKB: 1, TxnOps: 4})
 	b.up("n-2-a")
 	b.want(b.grant("run-1", "n-2-a", 1), 0)
 	tasks := make([]string, 30)
@@ -142,7 +142,7 @@
 // promised, the less urgent the sooner; a job that has waited long is the last to be refused.
 func TestNothingPromisedBeyondWhatCanBeWritten(t *testing.T) {
 	b := newBench(t, nil, nil)
-	b.m.limits = newLimits(settings.State{ValueKB: 4, TxnOps: 2})
+	b.m.limits = newLimits(settings.StoreLimits{ValueKB: 4, TxnOps: 2})
 	b.m.cfg.Tuning.ReserveAfter = 45 * micros.Second
 	b.up("n-1-a", "n-2-a", "n-3-a")
 	for i := range 40 {
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -48,7 +48,7 @@
 	// MaxCommandPushes bounds the direct orders that are out at once: each takes a connection.
 	MaxCommandPushes int
 	// StoreLimits holds the limits of the state service.
-	StoreLimits settings.State
+	StoreLimits settings.StoreLimits
 }
 
 type job struct {
--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -38,7 +38,7 @@
 func newBenchWith(t *testing.T, open, chunks []wire.Item, change func(*Config)) *bench {
 	cfg := Config{FencingToken: token, Teams: []settings.Team{{Name: "red", CPUsMax: 40}, {Name: "blue", CPUs: 4}}, WorkerLease: workerLease,
 		HeartbeatInterval: 2 * micros.Second, LeaseMargin: micros.Second, CancelTimeout: 30 * micros.Second, GangWaitTimeout: 20 * micros.Second, GangPeerTimeout: 5 * micros.Second, ListLag: 3 * micros.Second,
-		Tuning: settings.Tuning{FirstLease: 100 * micros.Second}, MaxCommandPushes: 2, StoreLimits: settings.State{TxnOps: 8, ValueKB: 4}}
+		Tuning: settings.Tuning{FirstLease: 100 * micros.Second}, MaxCommandPushes: 2, StoreLimits: settings.StoreLimits{TxnOps: 8, ValueKB: 4}}
 	change(&cfg)
 	m, err := New(1000, cfg, 0, open, chunks)
 	if err != nil {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -72,9 +72,9 @@
 }
 
 func (c *cluster) tuning() settings.Tuning {
-	return settings.Tuning{MinLocality: 0.5, Skip: 10 * micros.Second, History: 10, Slack: 5 * micros.Second, FirstLease: 100 * micros.Second,
-		Grace: 20 * micros.Second, PreemptAfter: micros.Second, ReserveAfter: 45 * micros.Second, MaxMachines: machines, IdleTimeout: 10 * micros.Minute,
-		BootPatience: 3, SilenceTimeout: 80 * micros.Second, ScaleOutAhead: 10 * micros.Second}
+	return settings.Tuning{MinLocality: 0.5, MaxSkip: 10 * micros.Second, RunHistory: 10, LeaseSlack: 5 * micros.Second, FirstLease: 100 * micros.Second,
+		LeaseGrace: 20 * micros.Second, PreemptAfter: micros.Second, ReserveAfter: 45 * micros.Second, MaxMachines: machines, IdleTimeout: 10 * micros.Minute,
+		BootTimeoutFactor: 3, SilenceTimeout: 80 * micros.Second, ScaleOutAhead: 10 * micros.Second}
 }
 
 // lead begins a term from the records; the workers come back at moments spread over a report's time.
@@ -92,7 +92,7 @@
 	}
 	m, err := manager.New(c.now, manager.Config{FencingToken: c.token, Teams: []settings.Team{{Name: "red"}}, WorkerLease: workerLease, HeartbeatInterval: reportEvery,
 		TrackDisruptions: c.disturbed != nil, ReservationTTL: 2 * micros.Minute, LeaseMargin: micros.Second, CancelTimeout: 56 * micros.Second, ListLag: 6 * micros.Second, Tuning: c.tuning(), MaxCommandPushes: 300,
-		StoreLimits: settings.State{TxnOps: 32, ValueKB: 8}}, int64(c.now), open, chunks)
+		StoreLimits: settings.StoreLimits{TxnOps: 32, ValueKB: 8}}, int64(c.now), open, chunks)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -163,7 +163,7 @@
 		c.decide()
 	}
 	view := c.manager.Snapshot(c.now)
-	c.scheduler.View(view)
+	c.scheduler.ApplySnapshot(view)
 	for _, r := range c.scheduler.Round(c.now, func() bool { return false }) {
 		c.manager.Grant(c.now, r)
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -81,10 +81,10 @@
 }
 
 // Granted says that what was asked for shows from this version of the view on.
-func (s *Scheduler) Granted(version uint64) { s.after = max(s.after, version) }
+func (s *Scheduler) RequireVersion(version uint64) { s.after = max(s.after, version) }
 
 // View takes a new view; a round of decisions on it follows with Round.
-func (s *Scheduler) View(v *snapshot.Snapshot) {
+func (s *Scheduler) ApplySnapshot(v *snapshot.Snapshot) {
 	if s.view != nil && s.view.FencingToken != v.FencingToken {
 		s.after = 0
 	}
@@ -202,7 +202,7 @@
 	}
 	keep := func(list []micros.Duration) []micros.Duration {
 		list = append(list, f.Run)
-		return list[max(0, len(list)-s.tuning.History):]
+		return list[max(0, len(list)-s.tuning.RunHistory):]
 	}
 	h.byMachine[f.Machine] = keep(h.byMachine[f.Machine])
 	h.newest = keep(h.newest)
@@ -239,7 +239,7 @@
 	if s.runs[j.ID] == nil {
 		return s.tuning.FirstLease
 	}
-	l := s.expected(j.ID, m.ID, 0) + s.tuning.Slack
+	l := s.expected(j.ID, m.ID, 0) + s.tuning.LeaseSlack
 	if cold {
 		l += s.fetchTime(j, m.Zone)
 	}
@@ -250,7 +250,7 @@
 // round's time is over; the next call goes on from there.
 func (s *Scheduler) Round(now micros.Timestamp, spent func() bool) []lease.Transaction {
 	var out []lease.Transaction
-	if !s.Current() {
+	if !s.UpToDate() {
 		return nil
 	}
 	for ; s.next < len(s.queue); s.next++ {
@@ -265,7 +265,7 @@
 }
 
 // Current tells whether the view shows all that has been granted.
-func (s *Scheduler) Current() bool { return s.view != nil && s.view.Version >= s.after }
+func (s *Scheduler) UpToDate() bool { return s.view != nil && s.view.Version >= s.after }
 
 // Unfinished tells whether the last round stopped for lack of time.
 func (s *Scheduler) Unfinished() bool { return s.next < len(s.queue) }
@@ -557,7 +557,7 @@
 		since = now
 		s.skipped[j.ID] = now
 	}
-	left := s.tuning.Skip - now.Sub(since)
+	left := s.tuning.MaxSkip - now.Sub(since)
 	if left <= 0 {
 		return false
 	}
@@ -571,7 +571,7 @@
 		}
 		for _, g := range m.Leases {
 			for _, l := range g.Leases {
-				if ends := l.Expiry.Sub(s.view.Now); ends <= left && ends > -s.tuning.Grace && fitsAfter(j, m, g) {
+				if ends := l.Expiry.Sub(s.view.Now); ends <= left && ends > -s.tuning.LeaseGrace && fitsAfter(j, m, g) {
 					if places++; !j.Gang || places >= cold {
 						return true
 					}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -15,8 +15,8 @@
 const now micros.Timestamp = 1_000_000_000
 
 func newScheduler() *Scheduler {
-	s := New("c0", settings.Tuning{MinLocality: 0.5, Skip: 10 * micros.Second, History: 10, Slack: 5 * micros.Second,
-		FirstLease: 100 * micros.Second, Grace: 20 * micros.Second, ReserveAfter: 45 * micros.Second})
+	s := New("c0", settings.Tuning{MinLocality: 0.5, MaxSkip: 10 * micros.Second, RunHistory: 10, LeaseSlack: 5 * micros.Second,
+		FirstLease: 100 * micros.Second, LeaseGrace: 20 * micros.Second, ReserveAfter: 45 * micros.Second})
 	s.SetTypes([]wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 16, FetchGBPS: 0.1, Zones: []string{"a"}}})
 	return s
 }
@@ -32,7 +32,7 @@
 
 // asked gives what a round on a view asks for, such as "run-1 n-1 x2" or "run-1 n-1 after 7".
 func asked(s *Scheduler, machines []*snapshot.Machine, jobs ...*snapshot.Job) []string {
-	s.View(&snapshot.Snapshot{FencingToken: 1, Version: 1, Now: now, TeamAssignments: map[string]string{"red": "c0"}, Machines: machines, Jobs: jobs})
+	s.ApplySnapshot(&snapshot.Snapshot{FencingToken: 1, Version: 1, Now: now, TeamAssignments: map[string]string{"red": "c0"}, Machines: machines, Jobs: jobs})
 	var out []string
 	for _, r := range s.Round(now, func() bool { return false }) {
 		for _, a := range r.Requests {
@@ -143,7 +143,7 @@
 func TestRoundGoesOn(t *testing.T) {
 	s := newScheduler()
 	jobs := []*snapshot.Job{jobView("run-1", 1), jobView("run-2", 1), jobView("run-3", 1)}
-	s.View(&snapshot.Snapshot{FencingToken: 1, Version: 1, Now: now, TeamAssignments: map[string]string{"red": "c0"}, Jobs: jobs,
+	s.ApplySnapshot(&snapshot.Snapshot{FencingToken: 1, Version: 1, Now: now, TeamAssignments: map[string]string{"red": "c0"}, Jobs: jobs,
 		Machines: []*snapshot.Machine{machineView("n-1", 8, "img"), machineView("n-2", 8, "img"), machineView("n-3", 8, "img")}})
 	var got []string
 	for range 3 {
--- a/internal/settings/drains.go
+++ b/internal/settings/drains.go
@@ -13,12 +13,12 @@
 
 // Drains are the operators' settings of stepped drains.
 type Drains struct {
-	Enabled bool
-	Default disruption.Budget            // of a team for which nothing else is said
-	Budgets map[string]disruption.Budget // of single teams
-	Step    int                          // machines emptied at the same time, unless a drain says otherwise
+	Enabled       bool
+	DefaultBudget disruption.Budget            // of a team for which nothing else is said
+	Budgets       map[string]disruption.Budget // of single teams
+	Step          int                          // machines emptied at the same time, unless a drain says otherwise
 	// Reservation is how long room is kept for the successor of an evicted attempt.
-	Reservation micros.Duration
+	ReservationTTL micros.Duration
 }
 
 // Defaults of the settings of drains.
@@ -31,7 +31,7 @@
 
 // drains fills in the defaults of the settings of drains and checks them.
 func (s *Settings) drains(o *optionspb.Drains) (Drains, error) {
-	d := Drains{Enabled: o.GetEnabled(), Step: defaultDrainStep, Reservation: micros.Seconds(defaultReservationS), Budgets: map[string]disruption.Budget{}}
+	d := Drains{Enabled: o.GetEnabled(), Step: defaultDrainStep, ReservationTTL: micros.Seconds(defaultReservationS), Budgets: map[string]disruption.Budget{}}
 	var c optionChecker
 	budget := func(text, name string) disruption.Budget {
 		b, err := disruption.ParseBudget(text)
@@ -44,7 +44,7 @@
 	if o != nil && o.DefaultBudget != nil {
 		text = *o.DefaultBudget
 	}
-	d.Default = budget(text, "drains.default_budget")
+	d.DefaultBudget = budget(text, "drains.default_budget")
 	for _, b := range o.GetBudgets() {
 		team := b.GetTeam()
 		_, twice := d.Budgets[team]
@@ -55,7 +55,7 @@
 	}
 	if o != nil {
 		d.Step = c.count(o.Step, defaultDrainStep, drain.MaxStep, "drains.step")
-		d.Reservation = micros.Seconds(c.number(o.ReservationS, defaultReservationS, 1, mostReservationS, "drains.reservation_s"))
+		d.ReservationTTL = micros.Seconds(c.number(o.ReservationS, defaultReservationS, 1, mostReservationS, "drains.reservation_s"))
 	}
 	return d, errors.Join(c.errs...)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -55,18 +55,18 @@
 }
 
 // State holds the state service's limits.
-type State struct {
+type StoreLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
 	// Next holds the limits that will come at a moment that nobody announces; what is
 	// absent stays.
-	Next NextState `toml:"next"`
+	Upcoming UpcomingStoreLimits `toml:"next"`
 }
 
 // NextState holds limits of the state service that will come.
-type NextState struct {
+type UpcomingStoreLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
 	ValueKB  *float64 `toml:"value_kb"`
@@ -75,20 +75,20 @@
 
 // Within gives the limits that hold now and will hold: the smaller of both. Nobody tells
 // when they change, and what is written within them suits either time.
-func (s State) Within() State {
-	if n := s.Next.RPS; n != nil {
+func (s StoreLimits) Effective() StoreLimits {
+	if n := s.Upcoming.RPS; n != nil {
 		s.RPS = min(s.RPS, *n)
 	}
-	if n := s.Next.WriteRPS; n != nil {
+	if n := s.Upcoming.WriteRPS; n != nil {
 		s.WriteRPS = min(s.WriteRPS, *n)
 	}
-	if n := s.Next.ValueKB; n != nil {
+	if n := s.Upcoming.ValueKB; n != nil {
 		s.ValueKB = min(s.ValueKB, *n)
 	}
-	if n := s.Next.TxnOps; n != nil {
+	if n := s.Upcoming.TxnOps; n != nil {
 		s.TxnOps = min(s.TxnOps, *n)
 	}
-	s.Next = NextState{}
+	s.Upcoming = UpcomingStoreLimits{}
 	return s
 }
 
@@ -107,15 +107,15 @@
 
 // Deployment is the shared part of the settings.
 type Deployment struct {
-	Nodes      int         `toml:"nodes"`
-	Zones      []string    `toml:"zones"`
-	SkewMillis float64     `toml:"skew_ms"`
-	Teams      []Team      `toml:"teams"`
-	Objectives []Objective `toml:"objectives"`
-	Workers    Workers     `toml:"workers"`
-	State      State       `toml:"state"`
-	Cloud      Cloud       `toml:"cloud"`
-	Limits     Limits      `toml:"quota"`
+	Controllers int         `toml:"nodes"`
+	Zones       []string    `toml:"zones"`
+	SkewMillis  float64     `toml:"skew_ms"`
+	Teams       []Team      `toml:"teams"`
+	Objectives  []Objective `toml:"objectives"`
+	Workers     Workers     `toml:"workers"`
+	State       StoreLimits `toml:"state"`
+	Cloud       Cloud       `toml:"cloud"`
+	Limits      Limits      `toml:"quota"`
 }
 
 // Services are the addresses of what the controllers lean on.
@@ -138,23 +138,23 @@
 
 // Tuning is what operators may set, with defaults filled in.
 type Tuning struct {
-	MinLocality    float64
-	Skip           micros.Duration
-	History        int
-	Slack          micros.Duration
-	FirstLease     micros.Duration
-	Grace          micros.Duration
-	RoundBudget    micros.Duration
-	PreemptAfter   micros.Duration
-	MaxMachines    int
-	IdleTimeout    micros.Duration
-	BootPatience   float64
-	SilenceTimeout micros.Duration
-	ScaleOutAhead  micros.Duration
-	ReserveAfter   micros.Duration
-	SpareShare     float64
-	Drains         Drains
-	Rebalancing    Rebalancing
+	MinLocality       float64
+	MaxSkip           micros.Duration
+	RunHistory        int
+	LeaseSlack        micros.Duration
+	FirstLease        micros.Duration
+	LeaseGrace        micros.Duration
+	RoundBudget       micros.Duration
+	PreemptAfter      micros.Duration
+	MaxMachines       int
+	IdleTimeout       micros.Duration
+	BootTimeoutFactor float64
+	SilenceTimeout    micros.Duration
+	ScaleOutAhead     micros.Duration
+	ReserveAfter      micros.Duration
+	SpareShare        float64
+	Drains            Drains
+	Rebalancing       Rebalancing
 }
 
 // Load reads the settings and, where a path is given, the options.
@@ -249,7 +249,7 @@
 		v    *float64
 	}{
 		{"workers.gang_wait_s", d.Workers.GangWaitS}, {"workers.gang_peer_s", d.Workers.GangPeerS},
-		{"state.next.rps", d.State.Next.RPS}, {"state.next.write_rps", d.State.Next.WriteRPS}, {"state.next.value_kb", d.State.Next.ValueKB},
+		{"state.next.rps", d.State.Upcoming.RPS}, {"state.next.write_rps", d.State.Upcoming.WriteRPS}, {"state.next.value_kb", d.State.Upcoming.ValueKB},
 	}
 	for _, o := range optional {
 		if o.v != nil && !(*o.v > 0) {
@@ -273,8 +273,8 @@
 	}
 	for _, l := range []struct {
 		name string
-		State
-	}{{"state", d.State}, {"state.next", d.State.Within()}} {
+		StoreLimits
+	}{{"state", d.State}, {"state.next", d.State.Effective()}} {
 		if l.TxnOps < 2 {
 			return fmt.Errorf("deployment.%s.txn_ops must be at least 2: a job's two records change together", l.name)
 		}
@@ -315,17 +315,17 @@
 func (s *Settings) MaxStaleness() micros.Duration {
 	const drift, steps = 1000, micros.Second
 	cancel := micros.Seconds(s.Deployment.Workers.CancelS)
-	return cancel - cancel/drift - s.Lease() - steps
+	return cancel - cancel/drift - s.WorkerLease() - steps
 }
 
 // GangWait is how long a task waits for the others of its gang.
-func (s *Settings) GangWait() micros.Duration {
+func (s *Settings) GangWaitTimeout() micros.Duration {
 	return s.gangTime(s.Deployment.Workers.GangWaitS, 3)
 }
 
 // GangPeer is how soon the tasks of a gang notice that one of them is gone, and how long one
 // that has saved waits for the others.
-func (s *Settings) GangPeer() micros.Duration {
+func (s *Settings) GangPeerTimeout() micros.Duration {
 	return s.gangTime(s.Deployment.Workers.GangPeerS, 0.5)
 }
 
@@ -333,7 +333,7 @@
 	if given != nil {
 		return micros.Seconds(*given)
 	}
-	return s.Lease().Scale(leases)
+	return s.WorkerLease().Scale(leases)
 }
 
 // What a controller needs before it serves anybody, and for each machine.
@@ -389,7 +389,7 @@
 }
 
 // Tight says where the settings work but leave little room.
-func (s *Settings) Tight() []string {
+func (s *Settings) Warnings() []string {
 	var out []string
 	for _, c := range s.Capacities() {
 		if s.Tuning.MaxMachines > c.Machines {
@@ -397,7 +397,7 @@
 		}
 	}
 	// A stop may have to wait for a report, and a direct order that gets no answer takes 2 s.
-	if peer, need := s.GangPeer(), micros.Seconds(1.25*s.Deployment.Workers.ReportS)+micros.Second; peer < need {
+	if peer, need := s.GangPeerTimeout(), micros.Seconds(1.25*s.Deployment.Workers.ReportS)+micros.Second; peer < need {
 		out = append(out, fmt.Sprintf("workers.gang_peer_s is %g, less than the longest time between two reports and a second (%g): a gang with a machine that direct orders don't reach can't save", peer.Seconds(), need.Seconds()))
 	}
 	return out
@@ -412,12 +412,12 @@
 const fullShare = 0.85
 
 // MemoryFull is how much memory the process may hold, in bytes, while it takes on anything new.
-func (s *Settings) MemoryFull() uint64 {
+func (s *Settings) MemoryAdmissionLimit() uint64 {
 	return uint64(s.Deployment.Limits.MemoryMB * fullShare * (1 << 20))
 }
 
 // Memory is how much the runtime may use, in bytes.
-func (s *Settings) Memory() int64 {
+func (s *Settings) RuntimeMemoryLimit() int64 {
 	return int64(s.Deployment.Limits.MemoryMB * memoryShare * (1 << 20))
 }
 
@@ -460,21 +460,21 @@
 	lease := s.Deployment.Workers.LeaseS
 	var c optionChecker
 	s.Tuning = Tuning{
-		MinLocality:    c.number(o.MinLocality, 0.5, 0, 1, "min_locality"),
-		Skip:           c.span(o.SkipS, 10, "skip_s"),
-		History:        c.count(o.History, 10, 1000, "history"),
-		Slack:          c.span(o.SlackS, 5, "slack_s"),
-		FirstLease:     c.span(o.FirstLeaseS, 100, "first_lease_s"),
-		Grace:          c.span(o.GraceS, 20, "grace_s"),
-		RoundBudget:    c.span(o.RoundBudgetS, 0.02, "round_budget_s"),
-		PreemptAfter:   c.span(o.PreemptAfterS, 1, "preempt_after_s"),
-		MaxMachines:    c.count(o.MaxMachines, uint32(max(1, min(s.connectableMachines(), s.servableMachines()))), 100000, "max_machines"),
-		IdleTimeout:    c.span(o.IdleReturnS, 30, "idle_return_s"),
-		BootPatience:   c.number(o.BootPatience, 3, 1, 100, "boot_patience"),
-		SilenceTimeout: c.span(o.SilentReturnS, 3*lease, "silent_return_s"),
-		ScaleOutAhead:  c.span(o.HireAheadS, 10, "hire_ahead_s"),
-		SpareShare:     c.number(o.Reserve, 1.5, 0, 10, "reserve"),
-		ReserveAfter:   c.span(o.KeepAfterS, 45, "keep_after_s"),
+		MinLocality:       c.number(o.MinLocality, 0.5, 0, 1, "min_locality"),
+		MaxSkip:           c.span(o.SkipS, 10, "skip_s"),
+		RunHistory:        c.count(o.History, 10, 1000, "history"),
+		LeaseSlack:        c.span(o.SlackS, 5, "slack_s"),
+		FirstLease:        c.span(o.FirstLeaseS, 100, "first_lease_s"),
+		LeaseGrace:        c.span(o.GraceS, 20, "grace_s"),
+		RoundBudget:       c.span(o.RoundBudgetS, 0.02, "round_budget_s"),
+		PreemptAfter:      c.span(o.PreemptAfterS, 1, "preempt_after_s"),
+		MaxMachines:       c.count(o.MaxMachines, uint32(max(1, min(s.connectableMachines(), s.servableMachines()))), 100000, "max_machines"),
+		IdleTimeout:       c.span(o.IdleReturnS, 30, "idle_return_s"),
+		BootTimeoutFactor: c.number(o.BootPatience, 3, 1, 100, "boot_patience"),
+		SilenceTimeout:    c.span(o.SilentReturnS, 3*lease, "silent_return_s"),
+		ScaleOutAhead:     c.span(o.HireAheadS, 10, "hire_ahead_s"),
+		SpareShare:        c.number(o.Reserve, 1.5, 0, 10, "reserve"),
+		ReserveAfter:      c.span(o.KeepAfterS, 45, "keep_after_s"),
 	}
 	drains, err := s.drains(o.GetDrains())
 	s.Tuning.Drains = drains
@@ -484,15 +484,15 @@
 }
 
 // Share is the part of a limit that one controller may count on.
-func (s *Settings) Share(limit float64) float64 {
-	return limit / float64(max(1, s.Deployment.Nodes, len(s.Peers)+1))
+func (s *Settings) PerController(limit float64) float64 {
+	return limit / float64(max(1, s.Deployment.Controllers, len(s.Peers)+1))
 }
 
 // Lease is how long a worker lives without an answer.
-func (s *Settings) Lease() micros.Duration { return micros.Seconds(s.Deployment.Workers.LeaseS) }
+func (s *Settings) WorkerLease() micros.Duration { return micros.Seconds(s.Deployment.Workers.LeaseS) }
 
 // Urgent gives the classes that have an aim for how soon their tasks start.
-func (s *Settings) Urgent() map[string]bool {
+func (s *Settings) UrgentClasses() map[string]bool {
 	u := map[string]bool{}
 	for _, o := range s.Deployment.Objectives {
 		if o.Kind == "wait" {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Tuning.Skip != 4*micros.Second || s.Tuning.History != 3 || s.Tuning.MinLocality != 0.5 || s.Share(100) != 50 {
+	if s.Tuning.MaxSkip != 4*micros.Second || s.Tuning.RunHistory != 3 || s.Tuning.MinLocality != 0.5 || s.PerController(100) != 50 {
 		t.Errorf("got %+v", s.Tuning)
 	}
 	bad := []struct{ old, new, says string }{
@@ -94,10 +94,10 @@
 		t.Fatal(err)
 	}
 	d := s.Tuning.Drains
-	if !d.Enabled || d.Default.String() != "20%" || d.Budgets["red"].Allowed(100) != 3 || d.Step != 7 || d.Reservation != 30*micros.Second {
+	if !d.Enabled || d.DefaultBudget.String() != "20%" || d.Budgets["red"].Allowed(100) != 3 || d.Step != 7 || d.ReservationTTL != 30*micros.Second {
 		t.Errorf("got %+v", d)
 	}
-	if s, err = Parse([]byte(sound), nil); err != nil || s.Tuning.Drains.Enabled || s.Tuning.Drains.Default.String() != "10%" {
+	if s, err = Parse([]byte(sound), nil); err != nil || s.Tuning.Drains.Enabled || s.Tuning.Drains.DefaultBudget.String() != "10%" {
 		t.Errorf("by default: %+v, %v", s.Tuning.Drains, err)
 	}
 }
@@ -119,7 +119,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := strings.Join(s.Tight(), "; "); c.says == "" && got != "" || !strings.Contains(got, c.says) {
+		if got := strings.Join(s.Warnings(), "; "); c.says == "" && got != "" || !strings.Contains(got, c.says) {
 			t.Errorf("%s %s: %q does not speak of %q", c.new, c.options, got, c.says)
 		}
 	}
@@ -132,8 +132,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Tuning.MaxMachines < 4000 || len(s.Tight()) > 0 {
-		t.Errorf("%d machines, %v", s.Tuning.MaxMachines, s.Tight())
+	if s.Tuning.MaxMachines < 4000 || len(s.Warnings()) > 0 {
+		t.Errorf("%d machines, %v", s.Tuning.MaxMachines, s.Warnings())
 	}
 }
 
@@ -159,7 +159,7 @@
 			t.Fatal(err)
 		}
 		const slow = 1.0005
-		if gone := slow*s.MaxStaleness().Seconds() + slow*s.Lease().Seconds(); gone > cancel-0.9 {
+		if gone := slow*s.MaxStaleness().Seconds() + slow*s.WorkerLease().Seconds(); gone > cancel-0.9 {
 			t.Errorf("cancel_s %g: gone after %g s", cancel, gone)
 		}
 	}
@@ -172,10 +172,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := s.Deployment.State.Within(), (State{RPS: 200, WriteRPS: 50, ValueKB: 2, TxnOps: 4}); got != want {
+	if got, want := s.Deployment.State.Effective(), (StoreLimits{RPS: 200, WriteRPS: 50, ValueKB: 2, TxnOps: 4}); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	if s, err = Parse([]byte(sound), nil); err != nil || s.Deployment.State.Within() != s.Deployment.State {
+	if s, err = Parse([]byte(sound), nil); err != nil || s.Deployment.State.Effective() != s.Deployment.State {
 		t.Errorf("without limits to come: %+v, %v", s, err)
 	}
 }
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -150,7 +150,7 @@
 
 const token = 52
 
-func newManager(t *testing.T, limits settings.State, open, chunks []wire.Item) *manager.Manager {
+func newManager(t *testing.T, limits settings.StoreLimits, open, chunks []wire.Item) *manager.Manager {
 	m, err := manager.New(1000, manager.Config{FencingToken: token, Teams: []settings.Team{{Name: "red", CPUsMax: 40}, {Name: "blue", CPUs: 4}},
 		WorkerLease: 10 * micros.Second, HeartbeatInterval: 2 * micros.Second, LeaseMargin: micros.Second, CancelTimeout: 30 * micros.Second, ListLag: 3 * micros.Second,
 		Tuning: settings.Tuning{FirstLease: 100 * micros.Second}, MaxCommandPushes: 20, StoreLimits: limits}, 1764600000000000, open, chunks)
@@ -166,7 +166,7 @@
 func ours(t *testing.T) []example {
 	var out []example
 	put := func(kind, key string, v any) { out = append(out, example{kind, key, encode(t, v)}) }
-	m := newManager(t, settings.State{TxnOps: 4, ValueKB: 2}, nil, nil)
+	m := newManager(t, settings.StoreLimits{TxnOps: 4, ValueKB: 2}, nil, nil)
 	gang := wire.Job{ID: "run-000002", Class: "sync", Team: "red", Kind: wire.KindGang, Urgency: "normal", Tasks: 12, CPUs: 1, MemoryGB: 1,
 		Image: "y", ImageGB: 1, SameZone: true, EstimateS: 30, CheckpointS: 20, SaveS: 3}
 	rec := state.OpenRecord{Job: gang, AcceptedAt: 1764600000000000, ShardSize: state.ProgressShardSize(gang.Kind, 2)}
@@ -244,7 +244,7 @@
 // placements that may exist are kept until they are proven gone, done tasks stay done, a
 // cancelled job is not placed.
 func TestTakesOverFromProduction(t *testing.T) {
-	m := newManager(t, settings.State{TxnOps: 4, ValueKB: 1}, items(t, "open"), items(t, "chunk"))
+	m := newManager(t, settings.StoreLimits{TxnOps: 4, ValueKB: 1}, items(t, "open"), items(t, "chunk"))
 	grant := func(job, machine string, n int) int {
 		return m.Grant(1000, lease.Transaction{Requests: []lease.Request{{Job: job, Machine: machine, Count: n}}}).Granted[0]
 	}
@@ -302,7 +302,7 @@
 
 // Production's scheduler asks this version's leader for a gang as it always has.
 func TestServesProductionsAsks(t *testing.T) {
-	m := newManager(t, settings.State{TxnOps: 8, ValueKB: 4}, items(t, "open"), nil)
+	m := newManager(t, settings.StoreLimits{TxnOps: 8, ValueKB: 4}, items(t, "open"), nil)
 	for i, id := range []string{"n-000001a", "n-000002b", "n-000003a"} {
 		m.Heartbeat(1000, &wire.Heartbeat{Machine: id, Addr: "10.1.0.2:9000", Type: "small", Zone: id[len(id)-1:], Incarnation: 1, Seq: uint64(i + 1), FencingToken: token}, "", true)
 	}
--- a/memory.go
+++ b/memory.go
@@ -11,4 +11,4 @@
 
 // ShortOfMemory tells whether nothing should be taken on that needs more memory: the platform ends a process that exceeds
 // its limit, with all that it has at work.
-func (n *Node) ShortOfMemory() bool { return heldMemory() > n.set.MemoryFull() }
+func (n *Node) ShortOfMemory() bool { return heldMemory() > n.set.MemoryAdmissionLimit() }
--- a/node.go
+++ b/node.go
@@ -90,8 +90,8 @@
 func New(set *settings.Settings, network Network, log *slog.Logger) *Node {
 	d := &set.Deployment
 	n := &Node{set: set, net: network, log: log.With("member", set.Member), clock: micros.NewClock(), run: rand.Uint64() >> 11,
-		state:   state.New(network.Dial, set.Services.State, set.Share(d.State.Within().RPS), d.State.Within().WriteRPS*urgentWrites),
-		cloud:   cloud.New(network.Dial, set.Services.Cloud, set.Share(d.Cloud.RPS)),
+		state:   state.New(network.Dial, set.Services.State, set.PerController(d.State.Effective().RPS), d.State.Effective().WriteRPS*urgentWrites),
+		cloud:   cloud.New(network.Dial, set.Services.Cloud, set.PerController(d.Cloud.RPS)),
 		workers: worker.NewClient(network.Dial)}
 	n.setShares(false)
 	n.role.Store(&role{})
@@ -154,12 +154,12 @@
 	const calls = 0.7
 	d := &n.set.Deployment
 	if leading {
-		n.state.SetWriteShare(d.State.Within().WriteRPS * (1 - urgentWrites))
+		n.state.SetWriteShare(d.State.Effective().WriteRPS * (1 - urgentWrites))
 		n.cloud.SetShare(d.Cloud.RPS * calls)
 		return
 	}
 	n.state.SetWriteShare(0)
-	n.cloud.SetShare(n.set.Share(d.Cloud.RPS) / 3)
+	n.cloud.SetShare(n.set.PerController(d.Cloud.RPS) / 3)
 }
 
 func (n *Node) start(f func()) {
--- a/records.go
+++ b/records.go
@@ -173,7 +173,7 @@
 
 func (t *term) storeTypes(ctx context.Context, types []wire.MachineType) bool {
 	value, err := json.Marshal(types)
-	if err != nil || float64(len(value)) > t.n.set.Deployment.State.Within().ValueKB*1024 {
+	if err != nil || float64(len(value)) > t.n.set.Deployment.State.Effective().ValueKB*1024 {
 		return true // too many to store: the cloud has to be asked
 	}
 	_, err = t.n.state.CompareAndSwap(ctx, wire.Txn{If: []wire.Condition{{Key: state.LeaderKey, Version: t.token}},
--- a/term.go
+++ b/term.go
@@ -131,9 +131,9 @@
 		}
 		if err == nil {
 			now := n.clock.Now()
-			t.mgr, err = manager.New(now, manager.Config{FencingToken: t.token, Teams: d.Teams, WorkerLease: n.set.Lease(),
-				HeartbeatInterval: micros.Seconds(d.Workers.ReportS), LeaseMargin: micros.Second, CancelTimeout: micros.Seconds(d.Workers.CancelS), GangWaitTimeout: n.set.GangWait(), GangPeerTimeout: n.set.GangPeer(), ListLag: micros.Seconds(d.Cloud.ListLagS),
-				Tuning: n.set.Tuning, TrackDisruptions: n.set.Tuning.Drains.Enabled, ReservationTTL: n.set.Tuning.Drains.Reservation, MaxCommandPushes: max(4, d.Limits.MaxConnections/16), StoreLimits: d.State.Within()},
+			t.mgr, err = manager.New(now, manager.Config{FencingToken: t.token, Teams: d.Teams, WorkerLease: n.set.WorkerLease(),
+				HeartbeatInterval: micros.Seconds(d.Workers.ReportS), LeaseMargin: micros.Second, CancelTimeout: micros.Seconds(d.Workers.CancelS), GangWaitTimeout: n.set.GangWaitTimeout(), GangPeerTimeout: n.set.GangPeerTimeout(), ListLag: micros.Seconds(d.Cloud.ListLagS),
+				Tuning: n.set.Tuning, TrackDisruptions: n.set.Tuning.Drains.Enabled, ReservationTTL: n.set.Tuning.Drains.ReservationTTL, MaxCommandPushes: max(4, d.Limits.MaxConnections/16), StoreLimits: d.State.Effective()},
 				n.clock.Wall(), open, chunks)
 			if err == nil {
 				err = t.restoreDrains(now, drains)
@@ -146,8 +146,8 @@
 			if n.set.Tuning.Rebalancing.Enabled {
 				t.spread = newSpreader(t, now, moves)
 			}
-			t.fleet = fleet.New(now, fleet.Config{FencingToken: t.token, LeaseDuration: n.set.Lease(), HeartbeatInterval: micros.Seconds(d.Workers.ReportS),
-				ListLag: micros.Seconds(d.Cloud.ListLagS), Tuning: n.set.Tuning, UrgentClasses: n.set.Urgent()})
+			t.fleet = fleet.New(now, fleet.Config{FencingToken: t.token, LeaseDuration: n.set.WorkerLease(), HeartbeatInterval: micros.Seconds(d.Workers.ReportS),
+				ListLag: micros.Seconds(d.Cloud.ListLagS), Tuning: n.set.Tuning, UrgentClasses: n.set.UrgentClasses()})
 			if types := n.Types(); types != nil {
 				t.mgr.SetTypes(types)
 				t.fleet.SetTypes(types)
