--- a/client/client.go
+++ b/client/client.go
@@ -24,21 +24,21 @@
 	// next one.
 	Servers []string
 	// Patience is how long a request is repeated; a minute if it is zero.
-	Patience time.Duration
+	RetryTimeout time.Duration
 	// Retry, if set, is told why a request has to be repeated, and when.
-	Retry func(why string, after time.Duration)
+	OnRetry func(why string, after time.Duration)
 
 	http http.Client
 	next int
 }
 
 // Refused says that the service has given its final answer, and it is no.
-type Refused struct {
+type RefusedError struct {
 	Status int
 	Reason string
 }
 
-func (r *Refused) Error() string { return r.Reason }
+func (r *RefusedError) Error() string { return r.Reason }
 
 // Submit submits a job, given as the protocol's JSON.
 func (c *Client) Submit(ctx context.Context, job []byte) (*wire.JobStatus, error) {
@@ -54,8 +54,8 @@
 }
 
 // Withdraw cancels a job; the answer says whether it was done before.
-func (c *Client) Withdraw(ctx context.Context, id string) (*wire.JobStatus, error) {
-	return c.named(ctx, http.MethodPost, id, "/"+wire.VerbCancel, 5*time.Second)
+func (c *Client) Cancel(ctx context.Context, id string) (*wire.JobStatus, error) {
+	return c.named(ctx, http.MethodPost, id, "/"+wire.ActionCancel, 5*time.Second)
 }
 
 func (c *Client) named(ctx context.Context, method, id, suffix string, timeout time.Duration) (*wire.JobStatus, error) {
@@ -70,22 +70,22 @@
 	if len(c.Servers) == 0 {
 		return nil, errors.New("no server is given")
 	}
-	patience := c.Patience
+	patience := c.RetryTimeout
 	if patience == 0 {
 		patience = time.Minute
 	}
 	end := time.Now().Add(patience)
 	for {
 		st, after, err := c.try(ctx, method, path, body, timeout)
-		var no *Refused
+		var no *RefusedError
 		if err == nil || errors.As(err, &no) {
 			return st, err
 		}
 		if ctx.Err() != nil || time.Now().Add(after).After(end) {
 			return nil, fmt.Errorf("given up: %w", err)
 		}
-		if c.Retry != nil {
-			c.Retry(err.Error(), after)
+		if c.OnRetry != nil {
+			c.OnRetry(err.Error(), after)
 		}
 		c.next++
 		select {
@@ -103,7 +103,7 @@
 	server := c.Servers[c.next%len(c.Servers)]
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+server+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, 0, &Refused{Reason: fmt.Sprintf("%q is no address of a server", server)}
+		return nil, 0, &RefusedError{Reason: fmt.Sprintf("%q is no address of a server", server)}
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -122,14 +122,14 @@
 		}
 		return st, 0, nil
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusUnprocessableEntity:
-		return nil, 0, &Refused{resp.StatusCode, reason(data, resp.Status)}
+		return nil, 0, &RefusedError{resp.StatusCode, reason(data, resp.Status)}
 	}
 	return nil, retryAfter(resp.Header.Get("Retry-After")), fmt.Errorf("%s: %s", server, reason(data, resp.Status))
 }
 
 // reason gives what an answer says of itself.
 func reason(body []byte, status string) string {
-	var e wire.Error
+	var e wire.ErrorResponse
 	if json.Unmarshal(body, &e) == nil && e.Error != "" {
 		return e.Error
 	}
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -42,7 +42,7 @@
 		asked := answers(c, `503 {"error":"busy"}`, `429 {}`, `201 {"id":"run-000412","status":"pending"}`)
 		began := time.Now()
 		st, err := c.Submit(context.Background(), []byte(job))
-		if err != nil || st.Status != "pending" {
+		if err != nil || st.State != "pending" {
 			t.Fatal(st, err)
 		}
 		if time.Since(began) != 14*time.Second {
@@ -73,11 +73,11 @@
 	c := &Client{Servers: []string{"a:1"}}
 	asked := answers(c, `422 {"error":"unknown team"}`, `404 {"error":"no such job"}`)
 	_, err := c.Submit(context.Background(), []byte(job))
-	var no *Refused
+	var no *RefusedError
 	if !errors.As(err, &no) || no.Status != 422 || err.Error() != "unknown team" {
 		t.Error(err)
 	}
-	if _, err = c.Withdraw(context.Background(), "run-1"); err == nil || err.Error() != "no such job" {
+	if _, err = c.Cancel(context.Background(), "run-1"); err == nil || err.Error() != "no such job" {
 		t.Error(err)
 	}
 	if _, err = c.Submit(context.Background(), []byte(`{"id":"run-1"}`)); err == nil || err.Error() != `field "lane" is missing` {
--- a/cmd/saffronbend/job.go
+++ b/cmd/saffronbend/job.go
@@ -37,7 +37,7 @@
 )
 
 func (j *jobCmd) client() *client.Client {
-	return &client.Client{Servers: j.Server, Patience: j.Patience, Retry: func(why string, after time.Duration) {
+	return &client.Client{Servers: j.Server, RetryTimeout: j.Patience, OnRetry: func(why string, after time.Duration) {
 		fmt.Fprintf(os.Stderr, "saffronbend: %s; again in %v\n", why, after)
 	}}
 }
@@ -52,12 +52,12 @@
 		defer f.Close()
 		in = f
 	}
-	job, err := io.ReadAll(io.LimitReader(in, wire.MaxBody+1))
+	job, err := io.ReadAll(io.LimitReader(in, wire.MaxBodyBytes+1))
 	if err != nil {
 		return fmt.Errorf("the job can't be read: %w", err)
 	}
-	if len(job) > wire.MaxBody {
-		return fmt.Errorf("the job is longer than %d bytes", wire.MaxBody)
+	if len(job) > wire.MaxBodyBytes {
+		return fmt.Errorf("the job is longer than %d bytes", wire.MaxBodyBytes)
 	}
 	return tell(func(ctx context.Context) (*wire.JobStatus, error) { return c.Job.client().Submit(ctx, job) })
 }
@@ -67,7 +67,7 @@
 }
 
 func (w withdrawCmd) Run(c *cli) error {
-	return tell(func(ctx context.Context) (*wire.JobStatus, error) { return c.Job.client().Withdraw(ctx, w.ID) })
+	return tell(func(ctx context.Context) (*wire.JobStatus, error) { return c.Job.client().Cancel(ctx, w.ID) })
 }
 
 // tell prints a job's state in one line.
@@ -78,9 +78,9 @@
 	if err != nil {
 		return err
 	}
-	line := []string{st.ID, st.Status}
-	if st.Done != nil && st.Running != nil {
-		line = append(line, fmt.Sprintf("%d done", *st.Done), fmt.Sprintf("%d running", *st.Running))
+	line := []string{st.ID, st.State}
+	if st.DoneTasks != nil && st.RunningTasks != nil {
+		line = append(line, fmt.Sprintf("%d done", *st.DoneTasks), fmt.Sprintf("%d running", *st.RunningTasks))
 	}
 	fmt.Println(strings.Join(line, " "))
 	return nil
--- a/commands.go
+++ b/commands.go
@@ -105,14 +105,14 @@
 // putRecord writes a record that must have a version, 0 if there is none yet. While its outcome is not known the command is
 // unavailable, and the write is repeated, since else it might be carried out at any later time: settle is started with it, or
 // with nil if it is known to have changed nothing because the record has another version.
-func (t *term) putRecord(ctx context.Context, key string, version uint64, record any, settle func(ctx context.Context, txn *wire.Txn)) (revision uint64, err error) {
+func (t *term) putRecord(ctx context.Context, key string, version uint64, record any, settle func(ctx context.Context, txn *wire.Transaction)) (revision uint64, err error) {
 	value, err := json.Marshal(record)
 	if err != nil {
 		return 0, err
 	}
-	txn := wire.Txn{If: []wire.Condition{{Key: key, Version: version}}, Then: []wire.Change{{Put: key, Value: value}}}
+	txn := wire.Transaction{If: []wire.Condition{{Key: key, Version: version}}, Then: []wire.Change{{Put: key, Value: value}}}
 	revision, err = t.commit(ctx, txn)
-	var conflict *state.Conflict
+	var conflict *state.ConflictError
 	switch {
 	case err == nil:
 		return revision, nil
@@ -131,7 +131,7 @@
 	limits := t.n.set.Deployment.State.Effective()
 	per := max(1, min(limits.TxnOps, int(mostBytes/(limits.ValueKB*1024))))
 	for part := range slices.Chunk(changes, per) {
-		if _, err := t.commit(ctx, wire.Txn{Then: part}); err != nil {
+		if _, err := t.commit(ctx, wire.Transaction{Then: part}); err != nil {
 			return err
 		}
 	}
@@ -139,13 +139,13 @@
 }
 
 // commit carries out a transaction under the leader's key.
-func (t *term) commit(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
+func (t *term) commit(ctx context.Context, txn wire.Transaction) (revision uint64, err error) {
 	txn.If = append([]wire.Condition{{Key: state.LeaderKey, Version: t.token}}, txn.If...)
 	return t.n.state.CompareAndSwap(ctx, txn)
 }
 
 // settle repeats a write, if one is given, until its outcome is known, and has what is durable then read.
-func (t *term) settle(ctx context.Context, txn *wire.Txn, reload func(context.Context) error) error {
+func (t *term) settle(ctx context.Context, txn *wire.Transaction, reload func(context.Context) error) error {
 	const pause = 500 * micros.Millisecond
 	for {
 		err := t.repeat(ctx, txn)
@@ -159,12 +159,12 @@
 }
 
 // repeat carries out a write once more; that it can't be carried out any more is as good.
-func (t *term) repeat(ctx context.Context, txn *wire.Txn) error {
+func (t *term) repeat(ctx context.Context, txn *wire.Transaction) error {
 	if txn == nil {
 		return nil
 	}
 	_, err := t.commit(ctx, *txn)
-	var conflict *state.Conflict
+	var conflict *state.ConflictError
 	if errors.As(err, &conflict) || errors.Is(err, state.ErrRefused) {
 		return nil
 	}
--- a/drains.go
+++ b/drains.go
@@ -27,7 +27,7 @@
 
 // drainRecords are what the state service holds of drains and of disturbed work.
 type drainRecords struct {
-	drains, machines, disruptions []wire.Item
+	drains, machines, disruptions []wire.KeyValue
 }
 
 func newDrainer(t *term) *drainer {
@@ -66,8 +66,8 @@
 			return err
 		}
 		machines := []string{}
-		for page := range rec.Pages {
-			machines = append(machines, pages[rec.List][page]...)
+		for page := range rec.MachinePages {
+			machines = append(machines, pages[rec.MachineListID][page]...)
 		}
 		seen[rec.Name] = true
 		if err := d.planner.Apply(rec, machines, it.Version); err != nil {
@@ -83,7 +83,7 @@
 }
 
 // decodePages gives the machines by list and page.
-func decodePages(items []wire.Item) (map[string]map[int][]string, error) {
+func decodePages(items []wire.KeyValue) (map[string]map[int][]string, error) {
 	pages := map[string]map[int][]string{}
 	for _, it := range items {
 		list, page, ok := state.ParseDrainMachinesKey(it.Key)
@@ -110,7 +110,7 @@
 		return
 	}
 	s := t.mgr.DrainSnapshot(now)
-	s.WallClock = t.n.clock.Wall()
+	s.WallClock = t.n.clock.UnixMicro()
 	evict := func(task disruption.Task) drain.EvictionOutcome { return t.mgr.Evict(now, task) }
 	acts := d.planner.Plan(s, evict, spent(t.n.set.Tuning.RoundBudget))
 	t.mgr.SetReplacements(acts.NeedReplacement)
@@ -142,16 +142,16 @@
 func (d *drainer) start(ctx context.Context, r drain.Request) (st drain.Status, err error) {
 	err = d.lock.holding(ctx, func() error {
 		plan, err := ask(ctx, d.t, func(now micros.Timestamp) (drain.PreparedDrain, error) {
-			return d.planner.Prepare(r, d.t.n.clock.Wall(), d.t.mgr.KnownMachines(now))
+			return d.planner.Prepare(r, d.t.n.clock.UnixMicro(), d.t.mgr.KnownMachines(now))
 		})
 		if err != nil || plan.Exists {
 			return err
 		}
 		pages := paginate(plan.Machines, d.t.n.set.Deployment.State.Effective().ValueKB)
 		d.lists++
-		plan.Record.List = fmt.Sprintf("%d.%d", d.t.token, d.lists)
-		plan.Record.Pages = len(pages)
-		if err := d.writePages(ctx, plan.Record.List, pages); err != nil {
+		plan.Record.MachineListID = fmt.Sprintf("%d.%d", d.t.token, d.lists)
+		plan.Record.MachinePages = len(pages)
+		if err := d.writePages(ctx, plan.Record.MachineListID, pages); err != nil {
 			return err
 		}
 		d.t.n.log.Info("a drain begins", "drain", plan.Record.Name, "machines", len(plan.Machines))
@@ -189,8 +189,8 @@
 		return
 	}
 	var changes []wire.Change
-	for page := range rec.Pages {
-		changes = append(changes, wire.Change{Delete: state.DrainMachinesKey(rec.List, page)})
+	for page := range rec.MachinePages {
+		changes = append(changes, wire.Change{Delete: state.DrainMachinesKey(rec.MachineListID, page)})
 	}
 	expendable, err := ask(ctx, d.t, func(micros.Timestamp) ([]string, error) { return d.planner.PrunableDrains(), nil })
 	if err != nil {
@@ -258,7 +258,7 @@
 }
 
 // settle finds out what has become of a write, if one is given, and takes what is durable.
-func (d *drainer) settle(ctx context.Context, txn *wire.Txn) {
+func (d *drainer) settle(ctx context.Context, txn *wire.Transaction) {
 	_ = d.lock.holding(ctx, func() error { return d.t.settle(ctx, txn, d.reload) })
 }
 
@@ -286,7 +286,7 @@
 	for _, it := range r.drains {
 		var rec state.DrainRecord
 		if state.DecodeRecord(it, &rec) == nil && drain.State(rec.State).Active() {
-			wanted[rec.List] = true
+			wanted[rec.MachineListID] = true
 		}
 	}
 	var changes []wire.Change
--- a/elect.go
+++ b/elect.go
@@ -39,7 +39,7 @@
 
 func (d *elector) run(ctx context.Context) {
 	d.n.start(func() { d.watch(ctx) })
-	tick := time.NewTicker((100 * micros.Millisecond).Std())
+	tick := time.NewTicker((100 * micros.Millisecond).AsDuration())
 	defer tick.Stop()
 	for {
 		var effects []election.Effect
@@ -128,7 +128,7 @@
 }
 
 func outcome(err error) election.Outcome {
-	var c *state.Conflict
+	var c *state.ConflictError
 	switch {
 	case err == nil:
 		return election.OK
@@ -148,7 +148,7 @@
 		n.start(func() { _, _ = d.read(ctx) })
 	case e.GrantLease:
 		n.start(func() {
-			permit, err := n.state.GrantLease(ctx, d.life.Std())
+			permit, err := n.state.GrantLease(ctx, d.life.AsDuration())
 			d.post(ctx, func(now micros.Timestamp) []election.Effect {
 				return d.e.LeaseGranted(now, asked, permit, outcome(err))
 			})
@@ -158,7 +158,7 @@
 			value, err := json.Marshal(e.Claim.Record)
 			var version uint64
 			if err == nil {
-				version, err = n.state.CompareAndSwap(ctx, wire.Txn{If: []wire.Condition{{Key: state.LeaderKey, Version: e.Claim.Version}},
+				version, err = n.state.CompareAndSwap(ctx, wire.Transaction{If: []wire.Condition{{Key: state.LeaderKey, Version: e.Claim.Version}},
 					Then: []wire.Change{{Put: state.LeaderKey, Value: value, Lease: e.Claim.Lease}}})
 			}
 			d.post(ctx, func(now micros.Timestamp) []election.Effect { return d.e.LeadershipClaimed(now, version, outcome(err)) })
--- a/follow.go
+++ b/follow.go
@@ -150,7 +150,7 @@
 // spent tells when the time for a round of decisions is over.
 func spent(budget micros.Duration) func() bool {
 	began := time.Now()
-	return func() bool { return time.Since(began) > budget.Std() }
+	return func() bool { return time.Since(began) > budget.AsDuration() }
 }
 
 // newer gives the newer view along with the news of the one it replaces.
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -22,8 +22,8 @@
 
 // Store is the part of the state service that the users' interface needs.
 type Store interface {
-	Get(ctx context.Context, key string) (*wire.Item, error)
-	CompareAndSwap(ctx context.Context, t wire.Txn) (uint64, error)
+	Get(ctx context.Context, key string) (*wire.KeyValue, error)
+	CompareAndSwap(ctx context.Context, t wire.Transaction) (uint64, error)
 }
 
 // Info is what the controller knows beside the store.
@@ -60,7 +60,7 @@
 func (a *API) Register(r *httprouter.Router) {
 	r.POST(wire.PathJobs, a.limited(a.submit))
 	r.GET(wire.PathJobs+"/:id", a.limited(a.status))
-	r.POST(wire.PathJobs+"/:id/"+wire.VerbCancel, a.limited(a.withdraw))
+	r.POST(wire.PathJobs+"/:id/"+wire.ActionCancel, a.limited(a.withdraw))
 	r.GET(wire.PathHealth, a.health)
 	r.NotFound = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { refuse(w, http.StatusNotFound, "no such path") })
 	r.MethodNotAllowed = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -75,7 +75,7 @@
 }
 
 func refuse(w http.ResponseWriter, status int, why string) {
-	answer(w, status, wire.Error{Error: why})
+	answer(w, status, wire.ErrorResponse{Error: why})
 }
 
 // later answers at once a request that can't be served now, and says when to come
@@ -110,7 +110,7 @@
 func (a *API) submit(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	ctx, cancel := context.WithTimeout(r.Context(), 3500*time.Millisecond)
 	defer cancel()
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err != nil {
 		refuse(w, http.StatusBadRequest, "the body is too long or broken")
 		return
@@ -134,22 +134,22 @@
 		return
 	}
 	limit := a.set.Deployment.State.Effective().ValueKB
-	rec := state.OpenRecord{Job: *job, AcceptedAt: a.wall(), ShardSize: state.ProgressShardSize(job.Kind, limit)}
+	rec := state.OpenJobRecord{Job: *job, AcceptedAt: a.wall(), ShardSize: state.ProgressShardSize(job.Kind, limit)}
 	open, err := json.Marshal(rec)
 	if err == nil && float64(len(open)) > limit*1024 {
 		a.refuseNew(ctx, w, job.ID, http.StatusBadRequest, tooLong)
 		return
 	}
-	status, err2 := json.Marshal(state.StatusRecord{Status: wire.JobPending})
+	status, err2 := json.Marshal(state.JobStatusRecord{State: wire.JobPending})
 	if err := errors.Join(err, err2); err != nil {
 		a.log.Error("a record can't be encoded", "job", job.ID, "err", err)
 		later(w, "internal error")
 		return
 	}
-	_, err = a.store.CompareAndSwap(ctx, wire.Txn{
-		If: []wire.Condition{{Key: state.StatusKey(job.ID)}, {Key: state.OpenKey(job.ID)}},
-		Then: []wire.Change{{Put: state.StatusKey(job.ID), Value: status},
-			{Put: state.OpenKey(job.ID), Value: open}}})
+	_, err = a.store.CompareAndSwap(ctx, wire.Transaction{
+		If: []wire.Condition{{Key: state.JobStatusKey(job.ID)}, {Key: state.OpenJobKey(job.ID)}},
+		Then: []wire.Change{{Put: state.JobStatusKey(job.ID), Value: status},
+			{Put: state.OpenJobKey(job.ID), Value: open}}})
 	if err == nil {
 		a.log.Debug("job accepted", "job", job.ID, "class", job.Class, "team", job.Team, "tasks", job.Tasks)
 		a.tell(w, http.StatusCreated, job.ID, wire.JobPending)
@@ -161,7 +161,7 @@
 		return
 	case errors.Is(err, state.ErrRefused):
 		// The limit has been lowered to less than the settings say.
-		a.log.Error("the state service refuses a description", "key", state.OpenKey(job.ID), "bytes", len(open), "err", err)
+		a.log.Error("the state service refuses a description", "key", state.OpenJobKey(job.ID), "bytes", len(open), "err", err)
 		a.refuseNew(ctx, w, job.ID, http.StatusBadRequest, tooLong)
 		return
 	}
@@ -237,18 +237,18 @@
 	if st, ok := a.final.get(id); ok {
 		return st, nil
 	}
-	it, err := a.store.Get(ctx, state.StatusKey(id))
+	it, err := a.store.Get(ctx, state.JobStatusKey(id))
 	if err != nil || it == nil {
 		return "", err
 	}
-	var rec state.StatusRecord
+	var rec state.JobStatusRecord
 	if err := json.Unmarshal(it.Value, &rec); err != nil {
 		return "", fmt.Errorf("record of %s: %w", id, err)
 	}
-	if rec.Status != wire.JobPending {
-		a.final.put(id, rec.Status)
+	if rec.State != wire.JobPending {
+		a.final.put(id, rec.State)
 	}
-	return rec.Status, nil
+	return rec.State, nil
 }
 
 // tell answers with a job's state. Whether a job that is not over is pending or
@@ -258,9 +258,9 @@
 	if status == wire.JobPending && running > 0 {
 		status = wire.JobRunning
 	}
-	js := wire.JobStatus{ID: id, Status: status}
+	js := wire.JobStatus{ID: id, State: status}
 	if status != wire.JobCancelled && status != wire.JobDone {
-		js.Done, js.Running = &done, &running
+		js.DoneTasks, js.RunningTasks = &done, &running
 	}
 	answer(w, code, js)
 }
@@ -315,23 +315,23 @@
 
 // cancel tries to mark a job as cancelled; whether it has worked is read back.
 func (a *API) cancel(ctx context.Context, id string) error {
-	it, err := a.store.Get(ctx, state.OpenKey(id))
+	it, err := a.store.Get(ctx, state.OpenJobKey(id))
 	if err != nil || it == nil {
 		return err
 	}
-	var rec state.OpenRecord
+	var rec state.OpenJobRecord
 	if err := json.Unmarshal(it.Value, &rec); err != nil {
 		return fmt.Errorf("record of %s: %w", id, err)
 	}
 	open, err := json.Marshal(rec.Finalized(wire.JobCancelled))
-	status, err2 := json.Marshal(state.StatusRecord{Status: wire.JobCancelled})
+	status, err2 := json.Marshal(state.JobStatusRecord{State: wire.JobCancelled})
 	if err := errors.Join(err, err2); err != nil {
 		return fmt.Errorf("record of %s: %w", id, err)
 	}
 	// Both records of a job change together, so they share their version.
-	_, err = a.store.CompareAndSwap(ctx, wire.Txn{
-		If: []wire.Condition{{Key: state.StatusKey(id), Version: it.Version}, {Key: state.OpenKey(id), Version: it.Version}},
-		Then: []wire.Change{{Put: state.StatusKey(id), Value: status},
-			{Put: state.OpenKey(id), Value: open}}})
+	_, err = a.store.CompareAndSwap(ctx, wire.Transaction{
+		If: []wire.Condition{{Key: state.JobStatusKey(id), Version: it.Version}, {Key: state.OpenJobKey(id), Version: it.Version}},
+		Then: []wire.Change{{Put: state.JobStatusKey(id), Value: status},
+			{Put: state.OpenJobKey(id), Value: open}}})
 	return err
 }
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -18,23 +18,23 @@
 )
 
 // store is a state service in memory; it checks no conditions but that a new key is new.
-type store map[string]wire.Item
+type store map[string]wire.KeyValue
 
-func (s store) Get(_ context.Context, key string) (*wire.Item, error) {
+func (s store) Get(_ context.Context, key string) (*wire.KeyValue, error) {
 	if it, ok := s[key]; ok {
 		return &it, nil
 	}
 	return nil, nil
 }
 
-func (s store) CompareAndSwap(_ context.Context, t wire.Txn) (uint64, error) {
+func (s store) CompareAndSwap(_ context.Context, t wire.Transaction) (uint64, error) {
 	for _, c := range t.If {
 		if _, ok := s[c.Key]; ok && c.Version == 0 {
-			return 0, &state.Conflict{Failed: []string{c.Key}}
+			return 0, &state.ConflictError{FailedKeys: []string{c.Key}}
 		}
 	}
 	for _, c := range t.Then {
-		s[c.Put] = wire.Item{Key: c.Put, Value: c.Value, Version: 1}
+		s[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, Version: 1}
 	}
 	return 1, nil
 }
@@ -57,7 +57,7 @@
 	router := httprouter.New()
 	New(store{}, now, set, slog.New(slog.NewTextHandler(io.Discard, nil)), func() int64 { return 0 }).Register(router)
 	job := func(id string, cores float64) string {
-		data, err := json.Marshal(wire.Job{ID: id, Class: "plan", Team: "red", Kind: wire.KindArray, Urgency: "normal", Tasks: 1,
+		data, err := json.Marshal(wire.Job{ID: id, Class: "plan", Team: "red", Kind: wire.KindArray, PriorityName: "normal", Tasks: 1,
 			CPUs: cores, MemoryGB: 1, Image: "img", ImageGB: 1, EstimateS: 10})
 		if err != nil {
 			t.Fatal(err)
@@ -76,7 +76,7 @@
 		{true, http.MethodPost, wire.PathJobs, job("run-3", 9), http.StatusUnprocessableEntity},
 		{true, http.MethodGet, wire.PathJobs + "/run-1", "", http.StatusOK},
 		{true, http.MethodGet, wire.PathJobs + "/run-2", "", http.StatusNotFound},
-		{true, http.MethodPost, wire.PathJobs + "/run-1/" + wire.VerbCancel, "", http.StatusOK},
+		{true, http.MethodPost, wire.PathJobs + "/run-1/" + wire.ActionCancel, "", http.StatusOK},
 		{false, http.MethodPost, wire.PathJobs, job("run-2", 1), http.StatusCreated},
 	}
 	for _, s := range steps {
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -16,7 +16,7 @@
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // HTTP2 are the protocols between the controllers: HTTP/2 without encryption alone.
-func HTTP2() *http.Protocols {
+func UnencryptedHTTP2() *http.Protocols {
 	p := new(http.Protocols)
 	p.SetUnencryptedHTTP2(true)
 	return p
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -39,7 +39,7 @@
 }
 
 // SetShare changes how many requests a second this controller may send.
-func (c *Client) SetShare(rps float64) {
+func (c *Client) SetRate(rps float64) {
 	c.lim.SetLimit(rate.Limit(rps))
 	c.lim.SetBurst(max(1, int(rps)))
 }
@@ -57,7 +57,7 @@
 	switch status {
 	case http.StatusOK:
 	case http.StatusServiceUnavailable:
-		var e wire.Error
+		var e wire.ErrorResponse
 		if json.Unmarshal(data, &e) == nil && e.Error == ErrNoCapacity.Error() {
 			return ErrNoCapacity
 		}
@@ -76,7 +76,7 @@
 }
 
 // Types lists the machine types with their current prices.
-func (c *Client) Types(ctx context.Context) ([]wire.MachineType, error) {
+func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var t wire.MachineTypes
 	if err := c.do(ctx, http.MethodGet, "/machine_types", nil, &t); err != nil {
 		return nil, err
@@ -87,28 +87,28 @@
 // ScaleOut rents machines. After an error other than ErrNoCapacity and ErrUnavailable
 // the machines may exist all the same; repeating the same request is safe.
 func (c *Client) ScaleOut(ctx context.Context, h wire.ScaleOutRequest) ([]string, error) {
-	var n wire.MachineNames
+	var n wire.MachineIDs
 	if err := c.do(ctx, http.MethodPost, "/machines", h, &n); err != nil {
 		return nil, err
 	}
-	return n.Machines, nil
+	return n.IDs, nil
 }
 
 // ScaleIn returns machines; nil means that they and all on them are gone.
 func (c *Client) ScaleIn(ctx context.Context, names []string) error {
-	return c.do(ctx, http.MethodPost, "/machines/delete", wire.MachineNames{Machines: names}, nil)
+	return c.do(ctx, http.MethodPost, "/machines/delete", wire.MachineIDs{IDs: names}, nil)
 }
 
 // List reads the whole list of machines.
-func (c *Client) List(ctx context.Context) ([]wire.Machine, error) {
+func (c *Client) ListMachines(ctx context.Context) ([]wire.Machine, error) {
 	var all []wire.Machine
 	from := ""
 	for {
-		q := url.Values{"page": {strconv.Itoa(wire.MachinePage)}}
+		q := url.Values{"page": {strconv.Itoa(wire.MachinePageSize)}}
 		if from != "" {
 			q.Set("from", from)
 		}
-		var l wire.MachineList
+		var l wire.MachinePage
 		if err := c.do(ctx, http.MethodGet, "/machines?"+q.Encode(), nil, &l); err != nil {
 			return nil, err
 		}
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -132,7 +132,7 @@
 		return PreparedDrain{}, ErrInvalidName
 	}
 	if d := p.drains[r.Name]; d != nil {
-		if d.record.Request != r.fingerprint() {
+		if d.record.RequestID != r.fingerprint() {
 			return PreparedDrain{}, ErrNameInUse
 		}
 		return PreparedDrain{Record: d.record, Exists: true}, nil
@@ -144,8 +144,8 @@
 	if err != nil {
 		return PreparedDrain{}, err
 	}
-	rec := state.DrainRecord{Name: r.Name, State: string(Running), Request: r.fingerprint(), Step: cmp.Or(r.Step, p.cfg.StepSize), Started: wall,
-		EvictAtDeadline: r.EvictAtDeadline, Budgets: r.Budgets, Machines: len(machines)}
+	rec := state.DrainRecord{Name: r.Name, State: string(Running), RequestID: r.fingerprint(), Step: cmp.Or(r.Step, p.cfg.StepSize), StartedAt: wall,
+		EvictAtDeadline: r.EvictAtDeadline, Budgets: r.Budgets, MachineCount: len(machines)}
 	if len(r.Machines) == 0 && r.OlderThan == 0 {
 		rec.Zone, rec.Type = r.Zone, r.Type
 	}
@@ -312,7 +312,7 @@
 		}
 	}
 	slices.SortFunc(over, func(a, b *drainState) int {
-		return cmp.Or(cmp.Compare(a.record.Started, b.record.Started), cmp.Compare(a.record.Name, b.record.Name))
+		return cmp.Or(cmp.Compare(a.record.StartedAt, b.record.StartedAt), cmp.Compare(a.record.Name, b.record.Name))
 	})
 	var out []string
 	for _, d := range over[:max(0, len(over)-mostKept)] {
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -99,7 +99,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b *drainState) int {
-		return cmp.Or(cmp.Compare(a.record.Started, b.record.Started), cmp.Compare(a.record.Name, b.record.Name))
+		return cmp.Or(cmp.Compare(a.record.StartedAt, b.record.StartedAt), cmp.Compare(a.record.Name, b.record.Name))
 	})
 	return out
 }
@@ -362,10 +362,10 @@
 	if d == nil {
 		return Status{}, ErrUnknownDrain
 	}
-	st := Status{Name: name, State: State(d.record.State), Machines: d.record.Machines, Gone: len(d.gone), Emptying: len(d.emptying),
+	st := Status{Name: name, State: State(d.record.State), Machines: d.record.MachineCount, Gone: len(d.gone), Emptying: len(d.emptying),
 		TasksLeft: d.tasks, Overdue: d.overdue, Blocked: slices.Clone(d.blocked)}
 	if State(d.record.State) == Done {
-		st.Gone, st.TasksLeft = d.record.Machines, 0
+		st.Gone, st.TasksLeft = d.record.MachineCount, 0
 	}
 	if !st.State.Active() {
 		return st, nil
--- a/internal/drain/plan_test.go
+++ b/internal/drain/plan_test.go
@@ -129,7 +129,7 @@
 func TestExpendable(t *testing.T) {
 	p := newPlanner(t, "1")
 	for i := range mostKept + 2 {
-		if err := p.Apply(state.DrainRecord{Name: fmt.Sprint(i), State: string(Done), Started: int64(i)}, nil, 1); err != nil {
+		if err := p.Apply(state.DrainRecord{Name: fmt.Sprint(i), State: string(Done), StartedAt: int64(i)}, nil, 1); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -60,7 +60,7 @@
 		var needs resources.Vector
 		for _, a := range list {
 			sum += float64(a.tasks*a.tasks) * a.job.Estimate.Seconds()
-			needs = needs.Plus(a.job.Vector, 1)
+			needs = needs.AddTasks(a.job.Vector, 1)
 		}
 		n := int(math.Round(factor * math.Sqrt(sum/span.Seconds())))
 		if n == 0 {
@@ -68,7 +68,7 @@
 		}
 		typical := *list[len(list)-1].job
 		typical.ID = ""
-		typical.Vector = resources.Vector{}.Plus(needs, 1/float64(len(list)))
+		typical.Vector = resources.Vector{}.AddTasks(needs, 1/float64(len(list)))
 		typical.Types, typical.Zone = nil, nil
 		out = append(out, &want{Job: &typical, n: n, urgent: true, expected: true})
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -161,9 +161,9 @@
 	case w.expected, w.Gang, w.replacement:
 		// A gang needs its room all at once.
 	case w.urgent:
-		have = have.Plus(b.soon, 1)
+		have = have.AddTasks(b.soon, 1)
 	default:
-		have = have.Plus(b.later, 1)
+		have = have.AddTasks(b.later, 1)
 	}
 	n := have.MaxTasks(w.Vector, most)
 	if w.MaxPerZone > 0 {
@@ -175,7 +175,7 @@
 	if !w.Allows(b.typ, b.zone, b.spot) {
 		return 0
 	}
-	b.room = b.room.Plus(w.Vector, -float64(n))
+	b.room = b.room.AddTasks(w.Vector, -float64(n))
 	b.used = true
 	return n
 }
@@ -274,10 +274,10 @@
 						continue
 					}
 					if left < f.cfg.Tuning.ScaleOutAhead {
-						b.later = b.later.Plus(g.Vector, 1)
+						b.later = b.later.AddTasks(g.Vector, 1)
 					}
 					if left < micros.Seconds(t.BootS/2) {
-						b.soon = b.soon.Plus(g.Vector, 1)
+						b.soon = b.soon.AddTasks(g.Vector, 1)
 					}
 				}
 			}
@@ -299,7 +299,7 @@
 }
 
 func newBin(t *wire.MachineType, p place) *bin {
-	return &bin{typ: t, zone: p.zone, spot: p.spot, room: resources.OfMachine(t)}
+	return &bin{typ: t, zone: p.zone, spot: p.spot, room: resources.ForMachine(t)}
 }
 
 // shortage places the queued tasks into the room there is and gives those left. Jobs that
--- a/internal/manager/bench_test.go
+++ b/internal/manager/bench_test.go
@@ -42,7 +42,7 @@
 	next = func() *wire.Heartbeat {
 		r := reports[i%machines]
 		i++
-		r.Seq++
+		r.Sequence++
 		return r
 	}
 	for range machines {
@@ -68,7 +68,7 @@
 		for _, a := range sorted(m.machines[r.Machine].attempts) {
 			r.Tasks = append(r.Tasks, wire.TaskStatus{Task: a.name, Attempt: a.id, State: wire.TaskRunning})
 		}
-		r.Seq++
+		r.Sequence++
 		m.Heartbeat(*now, r, "", true)
 	}
 	m.Snapshot(*now)
--- a/internal/manager/disruptions.go
+++ b/internal/manager/disruptions.go
@@ -58,7 +58,7 @@
 }
 
 // RestoreDisruptions takes the records that an earlier leader has left. It is called before anything is granted.
-func (m *Manager) RestoreDisruptions(now micros.Timestamp, items []wire.Item) error {
+func (m *Manager) RestoreDisruptions(now micros.Timestamp, items []wire.KeyValue) error {
 	if m.ledger == nil {
 		return nil
 	}
@@ -84,15 +84,15 @@
 			}
 			task := disruption.Task{Job: id, Index: o.Task}
 			m.ledger.Begin(disruption.Disruption{Task: task, Team: j.rec.Job.Team, Attempt: o.Attempt, Cause: disruption.Cause(o.Cause), Since: now})
-			if o.To != "" {
-				m.promisedTo[task] = o.To
+			if o.ReservedMachine != "" {
+				m.promisedTo[task] = o.ReservedMachine
 			}
 		}
 	}
 	return nil
 }
 
-func encodeDisturbances(open []state.OpenDisturbance) (string, error) {
+func encodeDisturbances(open []state.OpenDisruption) (string, error) {
 	if len(open) == 0 {
 		return "", nil
 	}
@@ -101,16 +101,16 @@
 }
 
 // disturbances gives the entries of the ledger that belong to a progress record.
-func (m *Manager) disturbances(j *job, chunk int) []state.OpenDisturbance {
-	var open []state.OpenDisturbance
+func (m *Manager) disturbances(j *job, chunk int) []state.OpenDisruption {
+	var open []state.OpenDisruption
 	for _, task := range m.ledger.TasksOfJob(j.rec.Job.ID) {
 		if task/j.rec.ShardSize != chunk {
 			continue
 		}
 		if d, ok := m.ledger.Get(disruption.Task{Job: j.rec.Job.ID, Index: task}); ok {
-			o := state.OpenDisturbance{Task: task, Attempt: d.Attempt, Cause: string(d.Cause)}
+			o := state.OpenDisruption{Task: task, Attempt: d.Attempt, Cause: string(d.Cause)}
 			if r := m.reservations[d.Task]; r != nil {
-				o.To = r.machine.id
+				o.ReservedMachine = r.machine.id
 			}
 			open = append(open, o)
 		}
--- a/internal/manager/evictions.go
+++ b/internal/manager/evictions.go
@@ -103,7 +103,7 @@
 	d := drain.Attempt{Task: taskOf(a), Team: jb.Team, DisruptedTasks: 1, ExpectedEnd: m.expectedEnd(now, a),
 		Stopping: !m.evictable(a),
 		// One that is reported fetching may run by now.
-		Checkpoints: jb.CheckpointS > 0}
+		Checkpoints: jb.CheckpointIntervalS > 0}
 	if g := a.job.gang; g != nil {
 		d.Gang, d.DisruptedTasks = true, len(a.job.active)
 		d.Stopping = d.Stopping || g.Phase() == gang.Checkpointing || g.Phase() == gang.Ending || g.Phase() == gang.Complete
@@ -150,7 +150,7 @@
 
 // evict reserves room for an attempt's successor and has the eviction recorded.
 func (m *Manager) evict(now micros.Timestamp, a *attempt, place *machine, cause disruption.Cause) {
-	m.reserve(now, taskOf(a), place, resources.OfTask(&a.job.rec.Job))
+	m.reserve(now, taskOf(a), place, resources.ForTask(&a.job.rec.Job))
 	m.disturb(now, a, cause)
 	a.evicting, a.evictedFor = true, cause
 	m.touch(now, a.job, a.task, true)
@@ -159,7 +159,7 @@
 // placesFor finds a machine for the successor of each attempt. What the attempts hold on machines that are not cordoned is
 // room for a gang's own successors.
 func (m *Manager) placesFor(now micros.Timestamp, j *job, evicted []*attempt) ([]*machine, bool) {
-	need := resources.OfTask(&j.rec.Job)
+	need := resources.ForTask(&j.rec.Job)
 	own := map[*machine]int{}
 	if j.gang != nil {
 		for _, a := range evicted {
@@ -187,7 +187,7 @@
 func fill(machines []*machine, need resources.Vector, own map[*machine]int, free func(*machine) resources.Vector, tasks int) []*machine {
 	var places []*machine
 	for _, mc := range machines {
-		room := free(mc).Plus(need, float64(own[mc]))
+		room := free(mc).AddTasks(need, float64(own[mc]))
 		for range room.MaxTasks(need, tasks-len(places)) {
 			places = append(places, mc)
 		}
@@ -197,7 +197,7 @@
 
 // destinations gives the machines that have room for a task of a job, those with its image first.
 func (m *Manager) destinations(now micros.Timestamp, j *job, own map[*machine]int) []*machine {
-	need := resources.OfTask(&j.rec.Job)
+	need := resources.ForTask(&j.rec.Job)
 	type candidate struct {
 		mc   *machine
 		warm bool
@@ -211,7 +211,7 @@
 		if j.gang == nil && !m.zoneAllows(j, mc.zone) {
 			continue
 		}
-		if room := m.free(mc); room.Plus(need, float64(own[mc])).Fits(need) {
+		if room := m.free(mc); room.AddTasks(need, float64(own[mc])).Fits(need) {
 			im := mc.images[j.rec.Job.Image]
 			found = append(found, candidate{mc, im != nil && im.ready, room.CPUs})
 		}
--- a/internal/manager/evictions_test.go
+++ b/internal/manager/evictions_test.go
@@ -15,7 +15,7 @@
 )
 
 // drainBench is a bench of a manager that keeps account of disturbed work.
-func drainBench(t *testing.T, open, chunks, disruptions []wire.Item) *bench {
+func drainBench(t *testing.T, open, chunks, disruptions []wire.KeyValue) *bench {
 	b := newBenchWith(t, open, chunks, func(c *Config) { c.TrackDisruptions, c.ReservationTTL = true, 30*micros.Second })
 	if err := b.m.RestoreDisruptions(b.now, disruptions); err != nil {
 		t.Fatal(err)
@@ -23,7 +23,7 @@
 	return b
 }
 
-func savesProgress(j *wire.Job) { j.CheckpointS, j.SaveS = 5, 1 }
+func savesProgress(j *wire.Job) { j.CheckpointIntervalS, j.CheckpointSaveS = 5, 1 }
 
 func task(job string, index int) disruption.Task { return disruption.Task{Job: job, Index: index} }
 
@@ -176,12 +176,12 @@
 // worker already saves goes on.
 func TestDisturbancesOutliveTheLeader(t *testing.T) {
 	const before = 5<<attemptBits | 3
-	open := []wire.Item{item("open/run-1", 4, record("run-1", 3, savesProgress))}
-	chunks := []wire.Item{item("tasks/run-1/0", 6, state.ProgressRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: before, Incarnation: 1},
+	open := []wire.KeyValue{item("open/run-1", 4, record("run-1", 3, savesProgress))}
+	chunks := []wire.KeyValue{item("tasks/run-1/0", 6, state.ProgressRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: before, Incarnation: 1},
 		{Task: 1, Machine: "n-1-a", Attempt: before + 1, Incarnation: 1}}})}
-	disruptions := []wire.Item{item("disruption/run-1/0", 6, state.DisruptionRecord{Open: []state.OpenDisturbance{{Task: 0, Attempt: before, Cause: "drain"},
+	disruptions := []wire.KeyValue{item("disruption/run-1/0", 6, state.DisruptionRecord{Open: []state.OpenDisruption{{Task: 0, Attempt: before, Cause: "drain"},
 		{Task: 1, Attempt: before + 1, Cause: "drain"}, {Task: 2, Attempt: before + 2, Cause: "lost"}}}),
-		item("disruption/run-9/0", 7, state.DisruptionRecord{Open: []state.OpenDisturbance{{Task: 0, Attempt: before, Cause: "lost"}}})}
+		item("disruption/run-9/0", 7, state.DisruptionRecord{Open: []state.OpenDisruption{{Task: 0, Attempt: before, Cause: "lost"}}})}
 	b := drainBench(t, open, chunks, disruptions)
 	b.want(b.disturbed(), "run-1/0 drain, run-1/1 drain, run-1/2 lost")
 	b.report("n-1-a", 5, 1, fmt.Sprintf("run-1/0 %d running", before), fmt.Sprintf("run-1/1 %d saving", before+1))
@@ -239,7 +239,7 @@
 	b := drainBench(t, nil, nil, nil)
 	b.runningTask()
 	b.m.SetCordons(b.now, map[string]bool{"n-2-a": true}, nil)
-	b.job("run-2", 1, func(j *wire.Job) { j.CPUs, j.Urgency, j.Team = 8, "critical", "blue" })
+	b.job("run-2", 1, func(j *wire.Job) { j.CPUs, j.PriorityName, j.Team = 8, "critical", "blue" })
 	b.wait(3 * micros.Second)
 	b.up("n-2-a")
 	b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d running", first))
--- a/internal/manager/gangs.go
+++ b/internal/manager/gangs.go
@@ -30,7 +30,7 @@
 		}
 	case gang.Checkpoint:
 		for _, a := range sorted(j.active) {
-			m.stop(now, a, j.rec.Job.SaveS+1, cause)
+			m.stop(now, a, j.rec.Job.CheckpointSaveS+1, cause)
 		}
 	case gang.Finish:
 		for n := range j.tasks {
@@ -63,7 +63,7 @@
 // gathered tells whether the tasks of a gang that had to fetch have their image.
 func (j *job) gathered() bool {
 	for _, a := range j.active {
-		if !a.held && a.state != wire.TaskWaiting && a.state != wire.TaskRunning {
+		if !a.held && a.state != wire.TaskWaitingForGang && a.state != wire.TaskRunning {
 			return false
 		}
 	}
@@ -117,7 +117,7 @@
 // gangState books that a task of a gang is in another state than before.
 func (m *Manager) gangState(now micros.Timestamp, j *job, state string) {
 	switch state {
-	case wire.TaskWaiting:
+	case wire.TaskWaitingForGang:
 		for _, a := range j.active {
 			if a.held {
 				m.direct[a.machine.id] = true
@@ -125,7 +125,7 @@
 		}
 	case wire.TaskRunning:
 		j.gang.TaskRunning()
-	case wire.TaskSaving:
+	case wire.TaskCheckpointing:
 		m.follow(now, j, j.gang.TaskCheckpointing(), disruption.Gang)
 	}
 }
@@ -137,10 +137,10 @@
 	first := j.gang.Phase() != gang.Ending
 	switch {
 	case tr.ExitReason == wire.ExitStopped:
-		a.saved = tr.Saved
+		a.saved = tr.CheckpointSaved
 	case first && tr.ExitReason == wire.ExitError:
 		m.noteFailure(now, mc, j)
-	case first && (tr.ExitReason == wire.ExitNoRoom || tr.ExitReason == wire.ExitBusy):
+	case first && (tr.ExitReason == wire.ExitInsufficientResources || tr.ExitReason == wire.ExitConflictingAttempt):
 		j.failed[mc.id]++
 		m.touchJob(j)
 	}
@@ -191,7 +191,7 @@
 	case gang.Granted, gang.Launched:
 		return true
 	case gang.Running:
-		return j.rec.Job.CheckpointS > 0 && m.savesInTime(now, j)
+		return j.rec.Job.CheckpointIntervalS > 0 && m.savesInTime(now, j)
 	}
 	return false
 }
@@ -200,7 +200,7 @@
 // machine hears us, if not directly then by the answer to its next report, and none is
 // taken before.
 func (m *Manager) savesInTime(now micros.Timestamp, j *job) bool {
-	save := micros.Seconds(j.rec.Job.SaveS)
+	save := micros.Seconds(j.rec.Job.CheckpointSaveS)
 	for _, a := range j.active {
 		mc := a.machine
 		late := m.reportDue()
@@ -231,7 +231,7 @@
 // not, none is stopped.
 func (m *Manager) displaceForGang(now micros.Timestamp, j *job, targets []*target, promised map[string]resources.Vector) {
 	jb := &j.rec.Job
-	need := resources.OfTask(jb)
+	need := resources.ForTask(jb)
 	mine := m.targetsFor(j, targets)
 	zones := map[string][]*target{}
 	for _, place := range mine {
@@ -258,21 +258,21 @@
 		m.makeRoom(now, a, targets, j)
 	}
 	if found {
-		promised[jb.Team] = promised[jb.Team].Plus(need, float64(j.waiting))
+		promised[jb.Team] = promised[jb.Team].AddTasks(need, float64(j.waiting))
 	}
 }
 
 // roomForGang gives tasks whose end makes room for all of a gang on the given machines, those
 // that lose least first; ok: there is enough.
 func (m *Manager) roomForGang(now micros.Timestamp, j *job, targets []*target, promised resources.Vector) (victims []*attempt, ok bool) {
-	need := resources.OfTask(&j.rec.Job)
+	need := resources.ForTask(&j.rec.Job)
 	missing := j.waiting
 	room := map[*machine]resources.Vector{}
 	var may []*attempt
 	for _, place := range targets {
 		n := place.room.MaxTasks(need, missing)
 		missing -= n
-		room[place.mc] = place.room.Plus(need, -float64(n))
+		room[place.mc] = place.room.AddTasks(need, -float64(n))
 		for _, a := range place.victims {
 			if !a.stop && a.job.gang == nil && m.displaces(j, a.job, promised) {
 				may = append(may, a)
@@ -286,10 +286,10 @@
 		if missing <= 0 || len(victims) == mostStops {
 			break
 		}
-		r := room[a.machine].Plus(resources.OfTask(&a.job.rec.Job), 1)
+		r := room[a.machine].AddTasks(resources.ForTask(&a.job.rec.Job), 1)
 		n := r.MaxTasks(need, missing)
 		missing -= n
-		room[a.machine] = r.Plus(need, -float64(n))
+		room[a.machine] = r.AddTasks(need, -float64(n))
 		victims = append(victims, a)
 	}
 	return victims, missing <= 0
--- a/internal/manager/grants.go
+++ b/internal/manager/grants.go
@@ -79,10 +79,10 @@
 	if !jb.Allows(mc.spec, mc.zone, mc.spot) || !m.zoneAllows(j, mc.zone) || m.room(j) < 1 {
 		return nil
 	}
-	free, need := m.free(mc), resources.OfTask(jb)
+	free, need := m.free(mc), resources.ForTask(jb)
 	claim := m.claim(j, mc)
 	if claim != nil {
-		free = free.Plus(claim.need, 1)
+		free = free.AddTasks(claim.need, 1)
 	}
 	if !free.Fits(need) {
 		return nil
@@ -102,7 +102,7 @@
 	m.place(a)
 	m.touch(now, j, a.task, true)
 	// Room was kept for the job until the machine had as many of its tasks as it takes.
-	if mc.keep == ask.Job && !free.Plus(need, -1).Fits(need) {
+	if mc.keep == ask.Job && !free.AddTasks(need, -1).Fits(need) {
 		mc.keep = ""
 	}
 	return a
--- a/internal/manager/keep.go
+++ b/internal/manager/keep.go
@@ -87,7 +87,7 @@
 			zone = mc.zone
 		}
 		holds[zone] += mc.holds(j)
-		free[zone] += m.free(mc).MaxTasks(resources.OfTask(&j.rec.Job), wire.MaxTasks)
+		free[zone] += m.free(mc).MaxTasks(resources.ForTask(&j.rec.Job), wire.MaxTasks)
 		if mc.keep != "" {
 			free[zone] += wire.MaxTasks // it stays where it has begun
 		}
@@ -124,7 +124,7 @@
 
 // holds is how many tasks of a job the machine takes when it is empty.
 func (mc *machine) holds(j *job) int {
-	return resources.OfMachine(mc.spec).MaxTasks(resources.OfTask(&j.rec.Job), wire.MaxTasks)
+	return resources.ForMachine(mc.spec).MaxTasks(resources.ForTask(&j.rec.Job), wire.MaxTasks)
 }
 
 // soonest gives the machines that may be kept for a job, those first on which a task of it should find room first, by the
@@ -153,7 +153,7 @@
 }
 
 func (m *Manager) fitsAt(now micros.Timestamp, mc *machine, jb *wire.Job) (micros.Timestamp, bool) {
-	room, need := m.free(mc), resources.OfTask(jb)
+	room, need := m.free(mc), resources.ForTask(jb)
 	if room.Fits(need) {
 		return now, true
 	}
@@ -167,7 +167,7 @@
 	}
 	slices.SortFunc(ends, func(a, b end) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.a.id, b.a.id)) })
 	for _, e := range ends {
-		room = room.Plus(resources.OfTask(&e.a.job.rec.Job), 1)
+		room = room.AddTasks(resources.ForTask(&e.a.job.rec.Job), 1)
 		if room.Fits(need) {
 			return e.at, true
 		}
--- a/internal/manager/ledger.go
+++ b/internal/manager/ledger.go
@@ -40,7 +40,7 @@
 		default:
 			run, fetch := 0.0, 0.0
 			for _, a := range mc.attempts {
-				if share := a.job.rec.Job.CPUs / mc.spec.CPUs; a.state == wire.TaskRunning || a.state == wire.TaskSaving {
+				if share := a.job.rec.Job.CPUs / mc.spec.CPUs; a.state == wire.TaskRunning || a.state == wire.TaskCheckpointing {
 					run += share
 				} else {
 					fetch += share
--- a/internal/manager/limits.go
+++ b/internal/manager/limits.go
@@ -34,7 +34,7 @@
 	if c := j.chunks[task/j.rec.ShardSize]; c != nil {
 		load = c.load
 	}
-	return load+more+state.ProgressOverhead(j.rec.ShardSize) <= l.bytes
+	return load+more+state.ProgressRecordOverhead(j.rec.ShardSize) <= l.bytes
 }
 
 // refused lowers the limits after a transaction with so many changes, the largest value of
@@ -57,7 +57,7 @@
 
 // placementSize is how many bytes a placement takes; one that can't be encoded fits nowhere.
 func placementSize(p state.Placement) int {
-	n, err := p.Size()
+	n, err := p.EncodedSize()
 	if err != nil {
 		return math.MaxInt32
 	}
--- a/internal/manager/limits_test.go
+++ b/internal/manager/limits_test.go
@@ -52,12 +52,12 @@
 // A record that is too long for the limit by now waits until enough of its tasks are gone; it
 // is not written, and nothing is placed that would lengthen it.
 func TestRecordOverTheLimitWaits(t *testing.T) {
-	open := []wire.Item{item(state.OpenKey("run-1"), 5, record("run-1", 48, small))}
+	open := []wire.KeyValue{item(state.OpenJobKey("run-1"), 5, record("run-1", 48, small))}
 	var rec state.ProgressRecord
 	for i := range 30 {
 		rec.Active = append(rec.Active, state.Placement{Task: i, Machine: "n-000001-a", Attempt: 99<<20 + uint64(i), Incarnation: 1})
 	}
-	b := newBench(t, open, []wire.Item{item(state.ProgressKey("run-1", 0), 6, rec)})
+	b := newBench(t, open, []wire.KeyValue{item(state.ProgressKey("run-1", 0), 6, rec)})
 	b.m.limits = newLimits(settings.StoreLimits{ValueKB: 1, TxnOps: 4})
 	b.up("n-2-a")
 	b.want(b.grant("run-1", "n-2-a", 1), 0)
@@ -126,7 +126,7 @@
 func TestClosedRecordIsSmall(t *testing.T) {
 	rec := record("run-000000000000000001", 100000, func(j *wire.Job) {
 		for range 100 {
-			j.Types = append(j.Types, "a-machine-type-with-a-long-name-of-more-than-forty-bytes")
+			j.MachineTypes = append(j.MachineTypes, "a-machine-type-with-a-long-name-of-more-than-forty-bytes")
 		}
 	})
 	data, err := json.Marshal(rec.Finalized(wire.JobCancelled))
@@ -149,7 +149,7 @@
 		b.job(fmt.Sprintf("run-%d", i), 1, func(j *wire.Job) {
 			small(j)
 			if i%2 == 1 {
-				j.Urgency = "high"
+				j.PriorityName = "high"
 			}
 		})
 	}
--- a/internal/manager/machines.go
+++ b/internal/manager/machines.go
@@ -197,7 +197,7 @@
 }
 
 // LeaseRenewersRead takes those records as they were read by a request sent at the given time.
-func (m *Manager) LeaseRenewersRead(now, sent micros.Timestamp, records []wire.Item) {
+func (m *Manager) LeaseRenewersRead(now, sent micros.Timestamp, records []wire.KeyValue) {
 	stamps := map[string]uint64{}
 	on := false
 	for _, it := range records {
@@ -225,17 +225,17 @@
 			m.follow(now, a.job, g.Preempt(), disruption.Reclaimed)
 			continue
 		}
-		if a.stop || !a.listed || a.state != wire.TaskRunning || jb.CheckpointS == 0 {
+		if a.stop || !a.listed || a.state != wire.TaskRunning || jb.CheckpointIntervalS == 0 {
 			continue
 		}
 		// Orders may have to wait for the next report when the direct way fails.
-		need := micros.Seconds(jb.SaveS) + m.cfg.HeartbeatInterval + 3*micros.Second
+		need := micros.Seconds(jb.CheckpointSaveS) + m.cfg.HeartbeatInterval + 3*micros.Second
 		if now.Add(need) < mc.notice {
 			continue
 		}
 		switch g := a.job.gang; {
 		case g == nil:
-			m.stop(now, a, jb.SaveS+1, disruption.Reclaimed)
+			m.stop(now, a, jb.CheckpointSaveS+1, disruption.Reclaimed)
 		case m.savesInTime(now, a.job):
 			m.follow(now, a.job, g.Preempt(), disruption.Reclaimed)
 		case m.expectedEnd(now, a) > mc.notice:
@@ -250,20 +250,20 @@
 	if mc.spec == nil {
 		return resources.Vector{}
 	}
-	free := resources.OfMachine(mc.spec)
+	free := resources.ForMachine(mc.spec)
 	for _, a := range mc.attempts {
-		free = free.Plus(resources.OfTask(&a.job.rec.Job), -1)
+		free = free.AddTasks(resources.ForTask(&a.job.rec.Job), -1)
 	}
 	for _, r := range mc.reserved {
-		free = free.Plus(r.need, -1)
+		free = free.AddTasks(r.need, -1)
 	}
 	for _, tr := range mc.strays {
-		id, _, _ := wire.SplitTask(tr.Task)
+		id, _, _ := wire.ParseTaskName(tr.Task)
 		j := m.jobs[id]
 		if j == nil {
 			return resources.Vector{}
 		}
-		free = free.Plus(resources.OfTask(&j.rec.Job), -1)
+		free = free.AddTasks(resources.ForTask(&j.rec.Job), -1)
 	}
 	return free
 }
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -52,7 +52,7 @@
 }
 
 type job struct {
-	rec     state.OpenRecord
+	rec     state.OpenJobRecord
 	version uint64 // of status and open record
 	born    micros.Timestamp
 	due     micros.Timestamp // 0: none
@@ -254,7 +254,7 @@
 }
 
 // New starts a term with what the state service holds.
-func New(now micros.Timestamp, cfg Config, wall int64, open []wire.Item, chunks []wire.Item) (*Manager, error) {
+func New(now micros.Timestamp, cfg Config, wall int64, open []wire.KeyValue, chunks []wire.KeyValue) (*Manager, error) {
 	m := &Manager{cfg: cfg, born: now, jobs: map[string]*job{}, removed: map[string]uint64{}, machines: map[string]*machine{},
 		gone: map[string]bool{}, types: map[string]*wire.MachineType{}, assign: map[string]string{},
 		teams: map[string]*team{}, stateOK: true, direct: map[string]bool{}, guesses: map[string]float64{},
@@ -307,13 +307,13 @@
 
 // openRecord is an open record with its version.
 type openRecord struct {
-	rec     state.OpenRecord
+	rec     state.OpenJobRecord
 	version uint64
 }
 
 // decodeOpen decodes open records and puts them in the order in which their jobs were accepted. The state service lists
 // them by their ids, which users choose.
-func decodeOpen(items []wire.Item) ([]openRecord, error) {
+func decodeOpen(items []wire.KeyValue) ([]openRecord, error) {
 	records := make([]openRecord, len(items))
 	for i, it := range items {
 		records[i].version = it.Version
@@ -337,7 +337,7 @@
 	return out
 }
 
-func (m *Manager) addJob(now micros.Timestamp, wall int64, rec state.OpenRecord, version uint64) *job {
+func (m *Manager) addJob(now micros.Timestamp, wall int64, rec state.OpenJobRecord, version uint64) *job {
 	j := &job{rec: rec, version: version, tasks: make([]byte, rec.Job.Tasks), waiting: rec.Job.Tasks,
 		active: map[int]*attempt{}, chunks: map[int]*chunk{}, over: rec.FinalState, failed: map[string]int{}}
 	age := max(0, micros.Duration(wall-rec.AcceptedAt))
@@ -361,7 +361,7 @@
 	c := &chunk{version: version}
 	j.chunks[n] = c
 	base := n * j.rec.ShardSize
-	err := state.DecodeDone(rec.Done, func(i int) {
+	err := state.DecodeDoneBitmap(rec.Done, func(i int) {
 		if t := base + i; t < len(j.tasks) && j.tasks[t] == taskWaiting {
 			j.tasks[t] = taskDurable
 			j.waiting--
@@ -485,7 +485,7 @@
 
 // OpenRecordChanged takes an open record seen by the watch. A cancellation that it tells of may have been
 // confirmed as early as since: what had been confirmed before that is known.
-func (m *Manager) OpenRecordChanged(now, since micros.Timestamp, wall int64, rec state.OpenRecord, version uint64) {
+func (m *Manager) OpenRecordChanged(now, since micros.Timestamp, wall int64, rec state.OpenJobRecord, version uint64) {
 	id := rec.Job.ID
 	if version <= m.removed[id] {
 		return
--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -27,15 +27,15 @@
 	seq uint64
 	rev uint64
 	// renewers are the records of controllers that renew in the leader's stead.
-	renewers []wire.Item
+	renewers []wire.KeyValue
 }
 
-func newBench(t *testing.T, open, chunks []wire.Item) *bench {
+func newBench(t *testing.T, open, chunks []wire.KeyValue) *bench {
 	return newBenchWith(t, open, chunks, func(*Config) {})
 }
 
 // newBenchWith makes a bench of a configuration that differs from the usual.
-func newBenchWith(t *testing.T, open, chunks []wire.Item, change func(*Config)) *bench {
+func newBenchWith(t *testing.T, open, chunks []wire.KeyValue, change func(*Config)) *bench {
 	cfg := Config{FencingToken: token, Teams: []settings.Team{{Name: "red", CPUsMax: 40}, {Name: "blue", CPUs: 4}}, WorkerLease: workerLease,
 		HeartbeatInterval: 2 * micros.Second, LeaseMargin: micros.Second, CancelTimeout: 30 * micros.Second, GangWaitTimeout: 20 * micros.Second, GangPeerTimeout: 5 * micros.Second, ListLag: 3 * micros.Second,
 		Tuning: settings.Tuning{FirstLease: 100 * micros.Second}, MaxCommandPushes: 2, StoreLimits: settings.StoreLimits{TxnOps: 8, ValueKB: 4}}
@@ -48,20 +48,20 @@
 	return &bench{T: t, m: m, now: 1000, rev: 100}
 }
 
-func record(id string, tasks int, change func(*wire.Job)) state.OpenRecord {
-	j := wire.Job{ID: id, Team: "red", Kind: wire.KindArray, Urgency: "normal", Tasks: tasks, CPUs: 4, MemoryGB: 1, Image: "img", Spot: true}
+func record(id string, tasks int, change func(*wire.Job)) state.OpenJobRecord {
+	j := wire.Job{ID: id, Team: "red", Kind: wire.KindArray, PriorityName: "normal", Tasks: tasks, CPUs: 4, MemoryGB: 1, Image: "img", AllowSpot: true}
 	if change != nil {
 		change(&j)
 	}
-	return state.OpenRecord{Job: j, ShardSize: 48}
+	return state.OpenJobRecord{Job: j, ShardSize: 48}
 }
 
-func item(key string, version uint64, v any) wire.Item {
+func item(key string, version uint64, v any) wire.KeyValue {
 	data, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
 	}
-	return wire.Item{Key: key, Value: data, Version: version}
+	return wire.KeyValue{Key: key, Value: data, Version: version}
 }
 
 func (b *bench) job(id string, tasks int, change func(*wire.Job)) {
@@ -89,7 +89,7 @@
 
 func (b *bench) reportAs(seq uint64, machine string, tok, session uint64, tasks ...string) string {
 	r := &wire.Heartbeat{Machine: machine, Addr: "10.1.0.1:9000", Type: "small", Zone: machine[len(machine)-1:], Incarnation: session,
-		Seq: seq, FencingToken: tok}
+		Sequence: seq, FencingToken: tok}
 	for _, s := range tasks {
 		var tr wire.TaskStatus
 		_, _ = fmt.Sscan(s, &tr.Task, &tr.Attempt, &tr.State, &tr.ExitReason)
@@ -170,8 +170,8 @@
 // An earlier leader's attempt is gone only once its worker has our token and does not
 // list it: before, that leader's launch may still arrive.
 func TestEarlierAttemptGoneOnlyUnderOurToken(t *testing.T) {
-	open := []wire.Item{item(state.OpenKey("run-1"), 5, record("run-1", 1, nil))}
-	chunks := []wire.Item{item(state.ProgressKey("run-1", 0), 6,
+	open := []wire.KeyValue{item(state.OpenJobKey("run-1"), 5, record("run-1", 1, nil))}
+	chunks := []wire.KeyValue{item(state.ProgressKey("run-1", 0), 6,
 		state.ProgressRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: 99, Incarnation: 1}}})}
 	b := newBench(t, open, chunks)
 	b.up("n-2-a")
@@ -226,7 +226,7 @@
 		return b.grant("run-1", "n-2-a", 1) == 1
 	}
 	b.wait(workerLease / 2)
-	b.renewers = []wire.Item{{Key: state.RenewerKey("c2", true), Version: 9}, {Key: state.RenewerKey("c2", false), Version: 9}}
+	b.renewers = []wire.KeyValue{{Key: state.ActiveRenewerKey("c2"), Version: 9}, {Key: state.LastRenewerKey("c2"), Version: 9}}
 	b.wait(workerLease)
 	b.want(lost(), false)
 	b.renewers = b.renewers[1:] // it has ended, but may have renewed until just now
@@ -244,7 +244,7 @@
 	b.placed()
 	b.m.LeaseRenewersRead(b.now, b.now, nil)
 	b.wait(workerLease + 2*micros.Second)
-	b.renewers = []wire.Item{{Key: state.RenewerKey("c2", false), Version: 9}}
+	b.renewers = []wire.KeyValue{{Key: state.LastRenewerKey("c2"), Version: 9}}
 	b.tick()
 	b.up("n-2-a")
 	b.want(b.grant("run-1", "n-2-a", 1), 0)
@@ -252,8 +252,8 @@
 
 // Silence of a machine that never had our token proves nothing, however long.
 func TestSilenceUnderAnotherTokenProvesNothing(t *testing.T) {
-	open := []wire.Item{item(state.OpenKey("run-1"), 5, record("run-1", 1, nil))}
-	chunks := []wire.Item{item(state.ProgressKey("run-1", 0), 6,
+	open := []wire.KeyValue{item(state.OpenJobKey("run-1"), 5, record("run-1", 1, nil))}
+	chunks := []wire.KeyValue{item(state.ProgressKey("run-1", 0), 6,
 		state.ProgressRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: 99, Incarnation: 1}}})}
 	b := newBench(t, open, chunks)
 	b.report("n-1-a", token-1, 1, "run-1/0 99 running")
@@ -279,7 +279,7 @@
 	b := newBench(t, nil, nil)
 	b.placed()
 	running := fmt.Sprintf("run-1/0 %d running", first)
-	b.m.CommandPushDone(b.now, b.m.CommandPushes(b.now, true)[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Seq: 51, FencingToken: token,
+	b.m.CommandPushDone(b.now, b.m.CommandPushes(b.now, true)[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Sequence: 51, FencingToken: token,
 		Tasks: []wire.TaskStatus{{Task: "run-1/0", Attempt: first, State: wire.TaskRunning}}})
 	b.want(b.reportAs(50, "n-1-a", token, 1), "")
 	b.want(b.reportAs(50, "n-1-a", token, 1), "dropped")
@@ -304,7 +304,7 @@
 	b.rev++
 	b.m.OpenRecordChanged(b.now, b.now, 0, rec, b.rev)
 	b.seq++
-	b.m.CommandPushDone(b.now, out[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Seq: b.seq, FencingToken: token,
+	b.m.CommandPushDone(b.now, out[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Sequence: b.seq, FencingToken: token,
 		Tasks: []wire.TaskStatus{{Task: "run-2/0", Attempt: first + 1, State: wire.TaskRunning}}})
 	b.want(len(b.m.machines["n-1-a"].attempts), 2)
 	b.report("n-1-a", token, 1, fmt.Sprintf("run-2/0 %d running", first+1))
@@ -331,7 +331,7 @@
 	d = b.m.CommandPushes(b.now, true)
 	b.want(len(d), 1)
 	b.seq++
-	b.m.CommandPushDone(b.now, d[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 3, Seq: b.seq, FencingToken: token})
+	b.m.CommandPushDone(b.now, d[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 3, Sequence: b.seq, FencingToken: token})
 	b.want(b.grant("run-1", "n-1-a", 1), 1)
 }
 
@@ -353,7 +353,7 @@
 // A late copy from a machine that was returned under an earlier leader brings neither it
 // nor its tasks back into the books of a new one.
 func TestCopyFromAMachineThatIsGone(t *testing.T) {
-	open := []wire.Item{item(state.OpenKey("run-1"), 5, record("run-1", 1, nil))}
+	open := []wire.KeyValue{item(state.OpenJobKey("run-1"), 5, record("run-1", 1, nil))}
 	b := newBench(t, open, nil)
 	b.want(b.report("n-9-a", token-1, 4, "run-1/0 99 running"), "")
 	b.want(len(b.m.Snapshot(b.now).Machines), 0)
@@ -364,7 +364,7 @@
 // A copy from a machine that we know of, but that has not heard us yet, shows nothing of
 // what runs there now.
 func TestCopyAdoptsNothing(t *testing.T) {
-	open := []wire.Item{item(state.OpenKey("run-1"), 5, record("run-1", 1, nil))}
+	open := []wire.KeyValue{item(state.OpenJobKey("run-1"), 5, record("run-1", 1, nil))}
 	b := newBench(t, open, nil)
 	b.m.MachinesListed(b.now, []wire.Machine{{ID: "n-9-a", Type: "small", Zone: "a", State: wire.MachineRunning}})
 	b.report("n-9-a", token-1, 4, "run-1/0 99 running")
@@ -544,7 +544,7 @@
 	zone := "b"
 	b.job("run-3", 1, func(j *wire.Job) { j.Zone = &zone })
 	b.want(b.grant("run-3", "n-3-a", 1), 0)
-	b.job("run-4", 1, func(j *wire.Job) { j.Types = []string{"large"} })
+	b.job("run-4", 1, func(j *wire.Job) { j.MachineTypes = []string{"large"} })
 	b.want(b.grant("run-4", "n-3-a", 1), 0)
 	b.job("run-5", 3, nil)
 	b.want(b.grant("run-5", "n-3-a", 3), 2) // no more room
@@ -568,7 +568,7 @@
 func TestNoticedMachineGetsNothingAndSaves(t *testing.T) {
 	b := newBench(t, nil, nil)
 	b.up("n-1-a")
-	b.job("run-1", 2, func(j *wire.Job) { j.CheckpointS, j.SaveS = 5, 2 })
+	b.job("run-1", 2, func(j *wire.Job) { j.CheckpointIntervalS, j.CheckpointSaveS = 5, 2 })
 	b.grant("run-1", "n-1-a", 1)
 	b.write()
 	b.report("n-1-a", token, 1)
@@ -576,7 +576,7 @@
 	b.report("n-1-a", token, 1, running)
 	b.seq++
 	soon := 4.0
-	b.m.Heartbeat(b.now, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Seq: b.seq, FencingToken: token, ReclaimInS: &soon,
+	b.m.Heartbeat(b.now, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Sequence: b.seq, FencingToken: token, ReclaimInS: &soon,
 		Tasks: []wire.TaskStatus{{Task: "run-1/0", Attempt: first, State: wire.TaskRunning}}}, "", true)
 	b.want(b.grant("run-1", "n-1-a", 1), 0)
 	b.m.Tick(b.now)
@@ -628,7 +628,7 @@
 func TestGuaranteeDisplaces(t *testing.T) {
 	b := newBench(t, nil, nil)
 	b.up("n-1-a")
-	b.job("run-1", 2, func(j *wire.Job) { j.CheckpointS, j.SaveS = 5, 1 })
+	b.job("run-1", 2, func(j *wire.Job) { j.CheckpointIntervalS, j.CheckpointSaveS = 5, 1 })
 	b.grant("run-1", "n-1-a", 2)
 	b.write()
 	b.report("n-1-a", token, 1)
@@ -680,12 +680,12 @@
 // A run that began under an earlier leader looks shorter than it was. It is no measure for
 // the runs after it, which would make their machine suspect.
 func TestRunsOfAnEarlierLeaderAreNoMeasure(t *testing.T) {
-	open := []wire.Item{item(state.OpenKey("run-1"), 5, record("run-1", 4, nil))}
+	open := []wire.KeyValue{item(state.OpenJobKey("run-1"), 5, record("run-1", 4, nil))}
 	var active []state.Placement
 	for i := range 2 {
 		active = append(active, state.Placement{Task: i, Machine: "n-1-a", Attempt: uint64(90 + i), Incarnation: 1})
 	}
-	b := newBench(t, open, []wire.Item{item(state.ProgressKey("run-1", 0), 6, state.ProgressRecord{Active: active})})
+	b := newBench(t, open, []wire.KeyValue{item(state.ProgressKey("run-1", 0), 6, state.ProgressRecord{Active: active})})
 	b.report("n-1-a", token, 1, "run-1/0 90 running", "run-1/1 91 running")
 	b.wait(micros.Second / 2)
 	b.report("n-1-a", token, 1, "run-1/0 90 ended done", "run-1/1 91 ended done")
@@ -722,7 +722,7 @@
 	b.up("n-1-a")
 	b.m.ReserveForWaitingJobs(b.now)
 	b.want(b.grant("run-1", "n-1-a", 2), 2)
-	b.job("run-2", 1, func(j *wire.Job) { j.Urgency = "high" })
+	b.job("run-2", 1, func(j *wire.Job) { j.PriorityName = "high" })
 	b.job("run-3", 2, nil)
 	b.up("n-2-a")
 	b.grant("run-3", "n-2-a", 2)
@@ -768,7 +768,7 @@
 	b.placed()
 	d := b.m.CommandPushes(b.now, true)[0]
 	b.seq++
-	b.m.CommandPushDone(b.now, d, PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Seq: b.seq, FencingToken: token,
+	b.m.CommandPushDone(b.now, d, PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Sequence: b.seq, FencingToken: token,
 		Tasks: []wire.TaskStatus{{Task: "run-1/0", Attempt: first, State: wire.TaskRunning}}})
 	b.want(b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d ended halted", first)), "")
 	b.want(b.grant("run-1", "n-1-a", 1), 1)
@@ -786,7 +786,7 @@
 		b.write()
 		d := b.m.CommandPushes(b.now, true)[0]
 		b.seq++
-		b.m.CommandPushDone(b.now, d, PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Seq: b.seq, FencingToken: token,
+		b.m.CommandPushDone(b.now, d, PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Sequence: b.seq, FencingToken: token,
 			Tasks: []wire.TaskStatus{{Task: "run-1/0", Attempt: first, State: wire.TaskRunning}, {Task: "run-1/1", Attempt: first + 1, State: wire.TaskRunning}}})
 		done := fmt.Sprintf("run-1/0 %d ended done", first)
 		b.report("n-1-a", token, 1, done, fmt.Sprintf("run-1/1 %d running", first+1))
@@ -806,7 +806,7 @@
 	b.up("n-1-a")
 	b.job("run-1", 4, nil)
 	b.grant("run-1", "n-1-a", 2)
-	b.job("run-2", 2, func(j *wire.Job) { j.Kind, j.Urgency = wire.KindGang, "high" })
+	b.job("run-2", 2, func(j *wire.Job) { j.Kind, j.PriorityName = wire.KindGang, "high" })
 	b.wait(micros.Second / 2)
 	b.m.cfg.Tuning.PreemptAfter = 0
 	b.m.Preempt(b.now, func() bool { return false })
@@ -848,7 +848,7 @@
 	b.placed()
 	passed := func(tasks ...wire.TaskStatus) string {
 		b.seq++
-		a, _ := b.m.Heartbeat(b.now, &wire.Heartbeat{Machine: "n-1-a", Addr: "10.1.0.1:9000", Type: "small", Zone: "a", Incarnation: 1, Seq: b.seq,
+		a, _ := b.m.Heartbeat(b.now, &wire.Heartbeat{Machine: "n-1-a", Addr: "10.1.0.1:9000", Type: "small", Zone: "a", Incarnation: 1, Sequence: b.seq,
 			FencingToken: token, Tasks: tasks}, "c1", true)
 		return orders(a.Commands)
 	}
@@ -870,7 +870,7 @@
 	d = b.m.CommandPushes(b.now, true)
 	b.want(len(d), 1)
 	b.seq++
-	b.m.CommandPushDone(b.now, d[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Seq: b.seq, FencingToken: token})
+	b.m.CommandPushDone(b.now, d[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Sequence: b.seq, FencingToken: token})
 	b.want(b.m.MayReturnToLeader(b.now, "n-1-a"), true)
 	// It is back with the other controller: our orders reach it, its reports don't reach us.
 	passed()
@@ -880,7 +880,7 @@
 // A late copy of a write may make a progress record anew after its job is over. It counts
 // for nothing, and the next leader deletes it.
 func TestOrphanedProgressIsDeleted(t *testing.T) {
-	b := newBench(t, nil, []wire.Item{item(state.ProgressKey("run-9", 0), 6,
+	b := newBench(t, nil, []wire.KeyValue{item(state.ProgressKey("run-9", 0), 6,
 		state.ProgressRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: 99, Incarnation: 1}}})})
 	w := b.m.NextWrite(b.now)
 	b.want(len(w.Changes), 1)
@@ -894,8 +894,8 @@
 // its tasks were placed; it may be with an earlier leader that is cut off from all but its
 // workers. The proof of its lease's end counts from when it had our token, not from before.
 func TestMachineThatDoesNotReportIsAsked(t *testing.T) {
-	open := []wire.Item{item(state.OpenKey("run-1"), 5, record("run-1", 1, nil))}
-	chunks := []wire.Item{item(state.ProgressKey("run-1", 0), 6,
+	open := []wire.KeyValue{item(state.OpenJobKey("run-1"), 5, record("run-1", 1, nil))}
+	chunks := []wire.KeyValue{item(state.ProgressKey("run-1", 0), 6,
 		state.ProgressRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: 99, Incarnation: 3}}})}
 	b := newBench(t, open, chunks)
 	b.m.MachinesListed(b.now, []wire.Machine{{ID: "n-1-a", Addr: "10.1.0.1:9000", Type: "small", Zone: "a", State: wire.MachineRunning}})
@@ -909,7 +909,7 @@
 	b.want(len(d[0].Body.Commands), 0)
 	// An earlier leader may have renewed its lease until now.
 	b.wait(9 * micros.Second)
-	b.m.CommandPushDone(b.now, d[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 3, Seq: 9, FencingToken: token,
+	b.m.CommandPushDone(b.now, d[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 3, Sequence: 9, FencingToken: token,
 		Tasks: []wire.TaskStatus{{Task: "run-1/0", Attempt: 99, State: wire.TaskRunning}}})
 	b.wait(workerLease)
 	b.tick()
@@ -932,7 +932,7 @@
 	out := b.m.CommandPushes(b.now, true)
 	b.want(len(out), 1)
 	b.seq++
-	b.m.CommandPushDone(b.now, out[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 2, Seq: b.seq, FencingToken: token})
+	b.m.CommandPushDone(b.now, out[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 2, Sequence: b.seq, FencingToken: token})
 	b.tick()
 	b.want(b.m.machines["n-1-a"].up, true)
 	b.wait(workerLease)
@@ -946,7 +946,7 @@
 	out = b.m.CommandPushes(b.now, true)
 	b.want(len(out), 1)
 	b.seq++
-	b.m.CommandPushDone(b.now, out[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 2, Seq: b.seq, FencingToken: token})
+	b.m.CommandPushDone(b.now, out[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 2, Sequence: b.seq, FencingToken: token})
 	b.want(len(b.m.CommandPushes(b.now, true)), 0)
 }
 
@@ -959,7 +959,7 @@
 	b.grant("run-1", "n-1-a", 1)
 	w := b.m.NextWrite(b.now)
 	b.want(len(w.OpenRecordConditions), 1)
-	b.want(w.OpenRecordConditions[0].Key, state.OpenKey("run-1"))
+	b.want(w.OpenRecordConditions[0].Key, state.OpenJobKey("run-1"))
 	b.want(w.OpenRecordConditions[0].Version, b.rev-1)
 	// It was cancelled through another controller: the write fails, and is not made again.
 	rec := record("run-1", 1, nil).Finalized(wire.JobCancelled)
--- a/internal/manager/moves.go
+++ b/internal/manager/moves.go
@@ -52,7 +52,7 @@
 }
 
 func (m *Manager) rebalanceMachine(now micros.Timestamp, mc *machine) rebalance.Machine {
-	r := rebalance.Machine{ID: mc.id, Capacity: resources.OfMachine(mc.spec), Free: m.free(mc),
+	r := rebalance.Machine{ID: mc.id, Capacity: resources.ForMachine(mc.spec), Free: m.free(mc),
 		Heartbeating: m.reports(now, mc), Usable: m.usable(now, mc) && mc.keep == "", Cordoned: m.cordons[mc.id],
 		FetchGBPS: mc.spec.FetchGBPS, Images: map[string]bool{}}
 	for name, im := range mc.images {
@@ -71,9 +71,9 @@
 
 func (m *Manager) rebalanceAttempt(now micros.Timestamp, a *attempt) rebalance.Attempt {
 	jb := &a.job.rec.Job
-	return rebalance.Attempt{Task: taskOf(a), Team: jb.Team, Resources: resources.OfTask(jb), Gang: a.job.gang != nil,
-		Stopping: m.leaving(a), Running: a.listed && a.state == wire.TaskRunning, Checkpoints: jb.CheckpointS > 0,
-		CheckpointTime: micros.Seconds(jb.SaveS), ExpectedEnd: m.expectedEnd(now, a), Image: jb.Image, ImageGB: jb.ImageGB}
+	return rebalance.Attempt{Task: taskOf(a), Team: jb.Team, Resources: resources.ForTask(jb), Gang: a.job.gang != nil,
+		Stopping: m.leaving(a), Running: a.listed && a.state == wire.TaskRunning, Checkpoints: jb.CheckpointIntervalS > 0,
+		CheckpointTime: micros.Seconds(jb.CheckpointSaveS), ExpectedEnd: m.expectedEnd(now, a), Image: jb.Image, ImageGB: jb.ImageGB}
 }
 
 // leaving tells whether an attempt is being stopped for whatever reason. The successor of one that was is not: it is load on
@@ -109,7 +109,7 @@
 	}
 	free := r.m.free(mc)
 	return !slices.ContainsFunc(r.waiting, func(other *job) bool {
-		return r.m.suits(mc, other) && free.Fits(resources.OfTask(&other.rec.Job))
+		return r.m.suits(mc, other) && free.Fits(resources.ForTask(&other.rec.Job))
 	})
 }
 
@@ -134,7 +134,7 @@
 
 // suitsMove tells whether a task of a job can be moved to a machine.
 func (m *Manager) suitsMove(now micros.Timestamp, mc *machine, j *job) bool {
-	return m.usable(now, mc) && !m.madeForOther(now, mc, j) && m.suits(mc, j) && m.free(mc).Fits(resources.OfTask(&j.rec.Job))
+	return m.usable(now, mc) && !m.madeForOther(now, mc, j) && m.suits(mc, j) && m.free(mc).Fits(resources.ForTask(&j.rec.Job))
 }
 
 // Move has a task leave its machine for another: room there is reserved, and the attempt is stopped once the move is durable.
--- a/internal/manager/moves_test.go
+++ b/internal/manager/moves_test.go
@@ -89,7 +89,7 @@
 }
 
 // cancelled is the record of a job that its user has cancelled.
-func cancelled(id string) state.OpenRecord {
+func cancelled(id string) state.OpenJobRecord {
 	rec := record(id, 1, savesProgress)
 	rec.FinalState = wire.JobCancelled
 	return rec
@@ -112,11 +112,11 @@
 	earlier.runningTask()
 	earlier.want(earlier.m.Move(earlier.now, task("run-1", 0), "n-2-a"), rebalance.Moved)
 	w, _ := earlier.nextWrite()
-	earlier.want(w.Changes[1].Value.(state.DisruptionRecord).Open[0].To, "n-2-a")
+	earlier.want(w.Changes[1].Value.(state.DisruptionRecord).Open[0].ReservedMachine, "n-2-a")
 
-	open := []wire.Item{item("open/run-1", 4, record("run-1", 1, savesProgress))}
-	chunks := []wire.Item{item("tasks/run-1/0", 6, state.ProgressRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: before, Incarnation: 1}}})}
-	disruptions := []wire.Item{item("disruption/run-1/0", 6, state.DisruptionRecord{Open: []state.OpenDisturbance{{Task: 0, Attempt: before, Cause: "rebalance", To: "n-2-a"}}})}
+	open := []wire.KeyValue{item("open/run-1", 4, record("run-1", 1, savesProgress))}
+	chunks := []wire.KeyValue{item("tasks/run-1/0", 6, state.ProgressRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: before, Incarnation: 1}}})}
+	disruptions := []wire.KeyValue{item("disruption/run-1/0", 6, state.DisruptionRecord{Open: []state.OpenDisruption{{Task: 0, Attempt: before, Cause: "rebalance", ReservedMachine: "n-2-a"}}})}
 	for _, there := range []bool{true, false} {
 		b := drainBench(t, open, chunks, disruptions)
 		b.want(b.disturbed(), "run-1/0 rebalance")
--- a/internal/manager/orders.go
+++ b/internal/manager/orders.go
@@ -26,12 +26,12 @@
 		if len(cmds) >= mostCommands {
 			break
 		}
-		id, n, ok := wire.SplitTask(tr.Task)
+		id, n, ok := wire.ParseTaskName(tr.Task)
 		j := m.jobs[id]
 		if tr.State == wire.TaskExited {
 			// Done tasks are durable before they are cleared. An attempt whose direct
 			// launch may yet arrive is not cleared, or that launch would start it again.
-			held := ok && j != nil && n < len(j.tasks) && j.over == "" && j.tasks[n] == taskDone && tr.ExitReason == wire.ExitDone
+			held := ok && j != nil && n < len(j.tasks) && j.over == "" && j.tasks[n] == taskDone && tr.ExitReason == wire.ExitCompleted
 			if !held && mc.mayClear(tr.Task, tr.Attempt) {
 				cmds = append(cmds, wire.Command{Op: wire.OpClear, Task: tr.Task, Attempt: tr.Attempt})
 			}
@@ -60,11 +60,11 @@
 			// its lease; and answers are dropped after 4 s.
 			if a.job.over == "" || now < a.job.overAt.Add(LaunchBeforeStopAfter(m.cfg.CancelTimeout)) {
 				mc.retained[retainedKey{name, a.id}] = retainedAttempt{job: a.job}
-				a.sentSeq = r.Seq
+				a.sentSeq = r.Sequence
 				cmds = append(cmds, wire.Command{Op: wire.OpStart, Task: name, Attempt: a.id}, wire.StopCommand(name, a.id, 0))
 			}
 		case !a.listed && !a.stop && a.ours && launch && mc.confirmed && !a.directOut && a.mayLaunch():
-			a.sentSeq = r.Seq
+			a.sentSeq = r.Sequence
 			cmds = append(cmds, wire.Command{Op: wire.OpStart, Task: name, Attempt: a.id})
 		}
 	}
--- a/internal/manager/preempt.go
+++ b/internal/manager/preempt.go
@@ -77,13 +77,13 @@
 			jb := &a.job.rec.Job
 			switch {
 			case a.stop, a.evicting:
-				place.room = place.room.Plus(resources.OfTask(jb), 1)
+				place.room = place.room.AddTasks(resources.ForTask(jb), 1)
 			case a.kept:
 				// It has waited long for this room.
 			case a.job.gang != nil && m.mayDisplaceGang(now, a.job):
 				place.victims = append(place.victims, a)
 			case a.job.gang != nil:
-			case a.state != wire.TaskRunning || jb.CheckpointS > 0: // else its work would be lost
+			case a.state != wire.TaskRunning || jb.CheckpointIntervalS > 0: // else its work would be lost
 				place.victims = append(place.victims, a)
 			}
 		}
@@ -98,11 +98,11 @@
 // none; it gives what is left of the budget.
 func (m *Manager) displace(now micros.Timestamp, j *job, targets []*target, promised map[string]resources.Vector, budget int) int {
 	jb := &j.rec.Job
-	need := resources.OfTask(jb)
+	need := resources.ForTask(jb)
 	mine := m.targetsFor(j, targets)
 	take := func(place *target) {
-		place.room = place.room.Plus(need, -1)
-		promised[jb.Team] = promised[jb.Team].Plus(need, 1)
+		place.room = place.room.AddTasks(need, -1)
+		promised[jb.Team] = promised[jb.Team].AddTasks(need, 1)
 	}
 	next := 0
 	for range min(j.waiting, m.room(j), 64) {
@@ -124,7 +124,7 @@
 				if a.job.gang != nil && !m.worthIt(now, j, a.job) {
 					continue
 				}
-				after := place.room.Plus(resources.OfTask(&a.job.rec.Job), place.freedBy(a))
+				after := place.room.AddTasks(resources.ForTask(&a.job.rec.Job), place.freedBy(a))
 				if loss := loss(a); loss < least && after.Fits(need) {
 					best, victim, least = place, a, loss
 				}
@@ -188,17 +188,17 @@
 			x.machine.madeFor, x.machine.madeUntil = by.rec.Job.ID, now.Add(micros.Seconds(grace)+taking)
 		}
 		if i := slices.IndexFunc(targets, func(place *target) bool { return place.mc == x.machine }); i >= 0 {
-			targets[i].room = targets[i].room.Plus(resources.OfTask(jb), 1)
+			targets[i].room = targets[i].room.AddTasks(resources.ForTask(jb), 1)
 		}
 	}
 }
 
 // saveGrace is the time in seconds that a task gets to save before it is stopped: none if it can't.
 func saveGrace(jb *wire.Job) float64 {
-	if jb.CheckpointS <= 0 {
+	if jb.CheckpointIntervalS <= 0 {
 		return 0
 	}
-	return jb.SaveS + 1
+	return jb.CheckpointSaveS + 1
 }
 
 // loss is the time that a task loses when it makes room; for one of a gang, what all of them
@@ -209,7 +209,7 @@
 		n, lost = micros.Duration(len(a.job.active)), micros.Second // all fetch and wait anew
 	}
 	if a.state == wire.TaskRunning {
-		lost = micros.Seconds(a.job.rec.Job.SaveS)
+		lost = micros.Seconds(a.job.rec.Job.CheckpointSaveS)
 	}
 	return n * lost
 }
--- a/internal/manager/reports.go
+++ b/internal/manager/reports.go
@@ -24,13 +24,13 @@
 	}
 	// A worker stays with a controller only while that one's answers reach it.
 	old := m.machines[r.Machine]
-	stays := via != "" && old != nil && old.via == via && old.session == r.Incarnation && old.seq+1 == r.Seq
+	stays := via != "" && old != nil && old.via == via && old.session == r.Incarnation && old.seq+1 == r.Sequence
 	mc := m.take(now, r, true)
 	overtaken := mc == nil && m.overtaken(r)
 	switch {
 	case overtaken:
 		mc = old
-		mc.reportSeq, mc.lastHeard = r.Seq, now
+		mc.reportSeq, mc.lastHeard = r.Sequence, now
 	case mc == nil:
 		return nil, false
 	}
@@ -60,7 +60,7 @@
 // report says is known better by now, so the answer carries no commands.
 func (m *Manager) overtaken(r *wire.Heartbeat) bool {
 	mc := m.machines[r.Machine]
-	return mc != nil && r.Incarnation == mc.session && r.Incarnation > mc.deadSession && r.Seq > mc.reportSeq && r.Seq < mc.seq
+	return mc != nil && r.Incarnation == mc.session && r.Incarnation > mc.deadSession && r.Sequence > mc.reportSeq && r.Sequence < mc.seq
 }
 
 // MayReturnToLeader tells whether a machine whose reports are passed on has heard an order of our own
@@ -84,7 +84,7 @@
 	mc := m.machine(now, r.Machine)
 	// Held-back reports arrive minutes late; their worker has given them up, so an
 	// answer would renew nothing, and their task list is old.
-	if r.Incarnation <= mc.deadSession || r.Incarnation < mc.session || r.Incarnation == mc.session && r.Seq <= mc.seq {
+	if r.Incarnation <= mc.deadSession || r.Incarnation < mc.session || r.Incarnation == mc.session && r.Sequence <= mc.seq {
 		return nil
 	}
 	if mc.session != 0 && r.Incarnation > mc.session {
@@ -114,12 +114,12 @@
 	case !heard:
 		m.unheard(now, mc)
 	}
-	mc.session, mc.seq = r.Incarnation, r.Seq
+	mc.session, mc.seq = r.Incarnation, r.Sequence
 	mc.addr, mc.typ, mc.zone, mc.spot = r.Addr, r.Type, r.Zone, r.Spot
 	mc.spec = m.types[mc.typ]
 	if unasked {
 		mc.lastHeard = now // one that reports to nobody is of no use, whatever it answers
-		mc.reportSeq = r.Seq
+		mc.reportSeq = r.Sequence
 	}
 	mc.directOK = mc.directOK || mc.via == "" || !unasked
 	mc.confirmed = r.FencingToken == m.cfg.FencingToken
@@ -153,7 +153,7 @@
 		a.listed = false
 	}
 	for _, tr := range r.Tasks {
-		id, n, ok := wire.SplitTask(tr.Task)
+		id, n, ok := wire.ParseTaskName(tr.Task)
 		j := m.jobs[id]
 		if !ok || j == nil || n >= len(j.tasks) {
 			if tr.State != wire.TaskExited {
@@ -213,7 +213,7 @@
 		if a.listed || a.session != r.Incarnation || !mc.confirmed || !a.durable {
 			continue
 		}
-		if unasked && a.ours && a.state == "" && a.sentSeq != 0 && a.sentSeq < r.Seq && !a.directOut {
+		if unasked && a.ours && a.state == "" && a.sentSeq != 0 && a.sentSeq < r.Sequence && !a.directOut {
 			m.unheard(now, mc) // the answer with its launch has not come through
 		}
 		// The worker has our token and does not know the attempt. An earlier leader's
@@ -233,7 +233,7 @@
 		return // booked before, and still listed because it is not cleared
 	}
 	mine := a != nil && a.id == tr.Attempt && a.machine == mc
-	if tr.ExitReason == wire.ExitDone {
+	if tr.ExitReason == wire.ExitCompleted {
 		// A result counts from whichever attempt it comes.
 		if j.tasks[n] < taskDone {
 			m.finish(now, j, n)
--- a/internal/manager/reservations.go
+++ b/internal/manager/reservations.go
@@ -67,8 +67,8 @@
 		switch {
 		case !disturbed || j == nil || now.Sub(m.born) > m.cfg.ReservationTTL:
 			delete(m.promisedTo, t)
-		case mc != nil && m.usable(now, mc) && m.free(mc).Fits(resources.OfTask(&j.rec.Job)):
-			m.reserve(now, t, mc, resources.OfTask(&j.rec.Job))
+		case mc != nil && m.usable(now, mc) && m.free(mc).Fits(resources.ForTask(&j.rec.Job)):
+			m.reserve(now, t, mc, resources.ForTask(&j.rec.Job))
 			delete(m.promisedTo, t)
 		}
 	}
@@ -96,7 +96,7 @@
 	room := map[string]resources.Vector{}
 	for t, r := range mc.reserved {
 		if m.claimable(r) {
-			room[t.Job] = room[t.Job].Plus(r.need, 1)
+			room[t.Job] = room[t.Job].AddTasks(r.need, 1)
 		}
 	}
 	out := make([]snapshot.Reservation, 0, len(room))
--- a/internal/manager/show.go
+++ b/internal/manager/show.go
@@ -233,7 +233,7 @@
 		if !ok {
 			i = len(mv.Leases)
 			groups[jb.ID] = i
-			mv.Leases = append(mv.Leases, snapshot.JobLeases{Job: jb.ID, Vector: resources.OfTask(jb)})
+			mv.Leases = append(mv.Leases, snapshot.JobLeases{Job: jb.ID, Vector: resources.ForTask(jb)})
 		}
 		mv.Leases[i].Leases = append(mv.Leases[i].Leases, snapshot.Lease{Attempt: a.id, Expiry: a.leaseEnd, Waiter: a.waiter,
 			WaiterUntil: a.waiterUntil, ExpectedEnd: m.expectedEnd(now, a)})
@@ -243,8 +243,8 @@
 
 func (m *Manager) showJob(j *job) *snapshot.Job {
 	jb := &j.rec.Job
-	jv := &snapshot.Job{ID: jb.ID, Class: jb.Class, Team: jb.Team, Priority: jb.Priority(), Vector: resources.OfTask(jb),
-		Image: jb.Image, ImageGB: jb.ImageGB, Types: jb.Types, Zone: jb.Zone, Spot: jb.Spot,
+	jv := &snapshot.Job{ID: jb.ID, Class: jb.Class, Team: jb.Team, Priority: jb.Priority(), Vector: resources.ForTask(jb),
+		Image: jb.Image, ImageGB: jb.ImageGB, Types: jb.MachineTypes, Zone: jb.Zone, Spot: jb.AllowSpot,
 		SameZone: jb.SameZone, Gang: j.gang != nil, Estimate: m.estimate(j), Waiting: j.waiting, Active: len(j.active),
 		Done: j.done, NotBefore: j.notBefore, AcceptedAt: j.born, Deadline: j.due, WaitingSince: j.waitSince, Arrival: j.arrival}
 	if jb.SpreadZones {
@@ -257,7 +257,7 @@
 		}
 	}
 	for _, a := range j.active {
-		if a.listed && a.state != wire.TaskFetching && a.state != wire.TaskWaiting {
+		if a.listed && a.state != wire.TaskFetching && a.state != wire.TaskWaitingForGang {
 			jv.Running++
 		}
 	}
--- a/internal/manager/writes.go
+++ b/internal/manager/writes.go
@@ -102,7 +102,7 @@
 	}
 	slices.Sort(b.open)
 	for _, id := range slices.Compact(b.open) {
-		w.OpenRecordConditions = append(w.OpenRecordConditions, RecordChange{Key: state.OpenKey(id), Version: m.jobs[id].version})
+		w.OpenRecordConditions = append(w.OpenRecordConditions, RecordChange{Key: state.OpenJobKey(id), Version: m.jobs[id].version})
 	}
 	m.writeNo++
 	b.began = now
@@ -133,13 +133,13 @@
 		j.finalOut = true
 		b.finals = append(b.finals, id)
 		b.open = append(b.open, id)
-		w.Changes = append(w.Changes, RecordChange{Key: state.StatusKey(id), Version: j.version, Value: state.StatusRecord{Status: wire.JobDone}})
+		w.Changes = append(w.Changes, RecordChange{Key: state.JobStatusKey(id), Version: j.version, Value: state.JobStatusRecord{State: wire.JobDone}})
 		if full {
-			w.Changes = append(w.Changes, RecordChange{Key: state.OpenKey(id), Version: j.version})
+			w.Changes = append(w.Changes, RecordChange{Key: state.OpenJobKey(id), Version: j.version})
 			w.Changes = append(w.Changes, deletions...)
 			b.closed = append(b.closed, id)
 		} else {
-			w.Changes = append(w.Changes, RecordChange{Key: state.OpenKey(id), Version: j.version, Value: j.rec.Finalized(wire.JobDone)})
+			w.Changes = append(w.Changes, RecordChange{Key: state.OpenJobKey(id), Version: j.version, Value: j.rec.Finalized(wire.JobDone)})
 		}
 	}
 }
@@ -161,7 +161,7 @@
 		if !j.deleteChunks(b, w, maxOps) || len(w.Changes) >= maxOps {
 			return
 		}
-		w.Changes = append(w.Changes, RecordChange{Key: state.OpenKey(id), Version: j.version})
+		w.Changes = append(w.Changes, RecordChange{Key: state.OpenJobKey(id), Version: j.version})
 		b.closed = append(b.closed, id)
 		m.cleanup = slices.Delete(m.cleanup, i, i+1)
 	}
@@ -307,7 +307,7 @@
 	base := d.chunk * j.rec.ShardSize
 	size := min(j.rec.ShardSize, len(j.tasks)-base)
 	rec := state.ProgressRecord{IdempotencyMark: mark}
-	rec.Done = state.EncodeDone(size, func(i int) bool { return j.tasks[base+i] >= taskDone })
+	rec.Done = state.EncodeDoneBitmap(size, func(i int) bool { return j.tasks[base+i] >= taskDone })
 	for i := range size {
 		t := base + i
 		if j.tasks[t] == taskDone {
--- a/internal/micros/micros.go
+++ b/internal/micros/micros.go
@@ -42,7 +42,7 @@
 func (s Duration) Seconds() float64 { return float64(s) / 1e6 }
 
 // Std converts to the standard library's type, for timers.
-func (s Duration) Std() time.Duration {
+func (s Duration) AsDuration() time.Duration {
 	if s > Forever/1000 {
 		s = Forever / 1000
 	}
@@ -69,4 +69,4 @@
 func (c Clock) Now() Timestamp { return Timestamp(time.Since(c.start).Microseconds()) }
 
 // Wall gives the time of day in microseconds since 1970.
-func (c Clock) Wall() int64 { return time.Now().UnixMicro() }
+func (c Clock) UnixMicro() int64 { return time.Now().UnixMicro() }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -41,7 +41,7 @@
 
 // newClient makes a client, by its generated constructor, for the service on a cluster address.
 func newClient[C any](construct func(connect.HTTPClient, string, ...connect.ClientOption) C, dial call.Dialer, addr string) (client C, closeIdle func()) {
-	transport := &http.Transport{DialContext: dial, Protocols: call.HTTP2()}
+	transport := &http.Transport{DialContext: dial, Protocols: call.UnencryptedHTTP2()}
 	httpClient := &http.Client{Transport: transport, Timeout: callTimeout}
 	return construct(httpClient, "http://"+addr, connect.WithGRPC()), transport.CloseIdleConnections
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -108,7 +108,7 @@
 		leader.LeaderAnnounced(req.Context(), a)
 	})
 	srv := &http.Server{Handler: r, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute,
-		BaseContext: func(net.Listener) context.Context { return ctx }, Protocols: call.HTTP2(), MaxHeaderBytes: 16 << 10}
+		BaseContext: func(net.Listener) context.Context { return ctx }, Protocols: call.UnencryptedHTTP2(), MaxHeaderBytes: 16 << 10}
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 	defer stop()
 	if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
@@ -166,7 +166,7 @@
 
 // NewClient makes a client; Close ends its connections.
 func NewClient(dial call.Dialer, addr, member string, token uint64) *Client {
-	tr := &http.Transport{DialContext: dial, Protocols: call.HTTP2(), IdleConnTimeout: 10 * time.Second}
+	tr := &http.Transport{DialContext: dial, Protocols: call.UnencryptedHTTP2(), IdleConnTimeout: 10 * time.Second}
 	return &Client{addr: addr, member: member, token: token, tr: tr, http: &http.Client{Transport: tr}}
 }
 
--- a/internal/rebalance/load.go
+++ b/internal/rebalance/load.go
@@ -19,13 +19,13 @@
 }
 
 func (u *usage) add(team string, need resources.Vector) {
-	u.all = u.all.Plus(need, 1)
-	u.teams[team] = u.teams[team].Plus(need, 1)
+	u.all = u.all.AddTasks(need, 1)
+	u.teams[team] = u.teams[team].AddTasks(need, 1)
 }
 
 func (u *usage) remove(team string, need resources.Vector) {
-	u.all = u.all.Plus(need, -1)
-	u.teams[team] = u.teams[team].Plus(need, -1)
+	u.all = u.all.AddTasks(need, -1)
+	u.teams[team] = u.teams[team].AddTasks(need, -1)
 }
 
 // load is the dominant share of all work on the machine.
--- a/internal/rebalance/plan.go
+++ b/internal/rebalance/plan.go
@@ -311,7 +311,7 @@
 func (r *round) book(m *Machine, a *Attempt, move Move) {
 	r.usage[m.ID].remove(a.Team, a.Resources)
 	r.usage[move.To].add(a.Team, a.Resources)
-	r.free[move.To] = r.free[move.To].Plus(a.Resources, -1)
+	r.free[move.To] = r.free[move.To].AddTasks(a.Resources, -1)
 	r.remaining[a.Team]--
 	r.movedTeams[a.Team] = true
 	r.reorder(move.To)
--- a/internal/rebalance/rebalance_test.go
+++ b/internal/rebalance/rebalance_test.go
@@ -34,7 +34,7 @@
 			Heartbeating: true, Usable: true, FetchGBPS: 0.5, Images: map[string]bool{}}
 		for n, team := range tasks {
 			need := resources.Vector{CPUs: 1, MemoryGB: 1}
-			m.Free = m.Free.Plus(need, -1)
+			m.Free = m.Free.AddTasks(need, -1)
 			m.Attempts = append(m.Attempts, Attempt{Task: disruption.Task{Job: fmt.Sprintf("%c%d", team, i), Index: n}, Team: string(team), Resources: need,
 				Running: true, Checkpoints: true, CheckpointTime: micros.Second, ExpectedEnd: start.Add(2000 * micros.Second), Image: "img", ImageGB: 1})
 		}
@@ -79,7 +79,7 @@
 	for i, a := range from.Attempts {
 		if a.Task == move.Task {
 			from.Attempts = append(from.Attempts[:i:i], from.Attempts[i+1:]...)
-			from.Free, to.Free = from.Free.Plus(a.Resources, 1), to.Free.Plus(a.Resources, -1)
+			from.Free, to.Free = from.Free.AddTasks(a.Resources, 1), to.Free.AddTasks(a.Resources, -1)
 			to.Attempts = append(to.Attempts[:len(to.Attempts):len(to.Attempts)], a)
 			return
 		}
@@ -97,7 +97,7 @@
 func (f *fleet) loads() []float64 {
 	var out []float64
 	for i := range f.machines {
-		out = append(out, f.machines[i].Capacity.Plus(f.machines[i].Free, -1).DominantShare(f.machines[i].Capacity))
+		out = append(out, f.machines[i].Capacity.AddTasks(f.machines[i].Free, -1).DominantShare(f.machines[i].Capacity))
 	}
 	return out
 }
--- a/internal/rebalance/solver_test.go
+++ b/internal/rebalance/solver_test.go
@@ -24,7 +24,7 @@
 			if !m.Free.Fits(need) {
 				continue
 			}
-			m.Free = m.Free.Plus(need, -1)
+			m.Free = m.Free.AddTasks(need, -1)
 			m.Attempts = append(m.Attempts, Attempt{Task: disruption.Task{Job: fmt.Sprint("r", i), Index: n}, Team: "r", Resources: need,
 				Running: true, Checkpoints: true, ExpectedEnd: start.Add(2000 * micros.Second), Image: "img"})
 		}
--- a/internal/resources/resources.go
+++ b/internal/resources/resources.go
@@ -11,13 +11,13 @@
 }
 
 // OfTask is what each task of a job takes.
-func OfTask(jb *wire.Job) Vector { return Vector{jb.CPUs, jb.GPUs, jb.MemoryGB} }
+func ForTask(jb *wire.Job) Vector { return Vector{jb.CPUs, jb.GPUs, jb.MemoryGB} }
 
 // OfMachine is the room on an empty machine of a type.
-func OfMachine(t *wire.MachineType) Vector { return Vector{t.CPUs, t.GPUs, t.MemoryGB} }
+func ForMachine(t *wire.MachineType) Vector { return Vector{t.CPUs, t.GPUs, t.MemoryGB} }
 
 // Plus gives the room with n tasks' worth more; n may be negative.
-func (s Vector) Plus(task Vector, n float64) Vector {
+func (s Vector) AddTasks(task Vector, n float64) Vector {
 	return Vector{s.CPUs + n*task.CPUs, s.GPUs + n*task.GPUs, s.MemoryGB + n*task.MemoryGB}
 }
 
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -46,7 +46,7 @@
 	t         testing.TB
 	now       micros.Timestamp
 	revision  uint64
-	records   map[string]wire.Item
+	records   map[string]wire.KeyValue
 	token     uint64
 	manager   *manager.Manager
 	scheduler *scheduler.Scheduler
@@ -63,7 +63,7 @@
 var machineType = wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 32, CacheGB: 50, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"a"}}
 
 func newCluster(t testing.TB, machines int) *cluster {
-	c := &cluster{t: t, now: 1_000_000, revision: 10, records: map[string]wire.Item{}, on: map[string]string{}, starts: map[string]int{}, taskRun: taskRun}
+	c := &cluster{t: t, now: 1_000_000, revision: 10, records: map[string]wire.KeyValue{}, on: map[string]string{}, starts: map[string]int{}, taskRun: taskRun}
 	for i := range machines {
 		c.workers = append(c.workers, &worker{id: fmt.Sprintf("n-%06d", i), session: 1, renewed: c.now,
 			running: map[taskAttempt]micros.Timestamp{}, ended: map[taskAttempt]string{}})
@@ -81,10 +81,10 @@
 func (c *cluster) lead() {
 	c.revision++
 	c.token = c.revision
-	var open, chunks []wire.Item
+	var open, chunks []wire.KeyValue
 	for key, item := range c.records {
 		switch {
-		case strings.HasPrefix(key, state.OpenPrefix):
+		case strings.HasPrefix(key, state.OpenJobPrefix):
 			open = append(open, item)
 		case strings.HasPrefix(key, state.ProgressPrefix):
 			chunks = append(chunks, item)
@@ -111,10 +111,10 @@
 
 func (c *cluster) submit(id string, tasks int) {
 	c.revision++
-	rec := state.OpenRecord{ShardSize: 90, AcceptedAt: int64(c.now), Job: wire.Job{ID: id, Class: "work", Team: "red", Kind: wire.KindArray, Urgency: "normal",
-		Tasks: tasks, CheckpointS: 5, SaveS: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, Spot: true, EstimateS: c.taskRun.Seconds()}}
-	c.put(state.StatusKey(id), state.StatusRecord{Status: wire.JobPending})
-	c.put(state.OpenKey(id), rec)
+	rec := state.OpenJobRecord{ShardSize: 90, AcceptedAt: int64(c.now), Job: wire.Job{ID: id, Class: "work", Team: "red", Kind: wire.KindArray, PriorityName: "normal",
+		Tasks: tasks, CheckpointIntervalS: 5, CheckpointSaveS: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, AllowSpot: true, EstimateS: c.taskRun.Seconds()}}
+	c.put(state.JobStatusKey(id), state.JobStatusRecord{State: wire.JobPending})
+	c.put(state.OpenJobKey(id), rec)
 	c.manager.OpenRecordChanged(c.now, c.now, int64(c.now), rec, c.revision)
 }
 
@@ -123,7 +123,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.records[key] = wire.Item{Key: key, Value: data, Version: c.revision}
+	c.records[key] = wire.KeyValue{Key: key, Value: data, Version: c.revision}
 }
 
 // write carries out what the manager has to write.
@@ -195,7 +195,7 @@
 		if c.now >= until {
 			delete(w.running, a)
 			delete(c.on, a.task)
-			w.ended[a] = wire.ExitDone
+			w.ended[a] = wire.ExitCompleted
 			w.nextReport = min(w.nextReport, c.now)
 		}
 	}
@@ -206,12 +206,12 @@
 
 func (c *cluster) describe(w *worker) *wire.Heartbeat {
 	w.seq++
-	r := &wire.Heartbeat{Machine: w.id, Addr: "10.1.0.1:9000", Type: machineType.Name, Zone: "a", Spot: true, Incarnation: w.session, Seq: w.seq, FencingToken: w.token}
+	r := &wire.Heartbeat{Machine: w.id, Addr: "10.1.0.1:9000", Type: machineType.Name, Zone: "a", Spot: true, Incarnation: w.session, Sequence: w.seq, FencingToken: w.token}
 	for a := range w.running {
 		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: a.task, Attempt: a.attempt, State: wire.TaskRunning})
 	}
 	for a, why := range w.ended {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: a.task, Attempt: a.attempt, State: wire.TaskExited, ExitReason: why, Saved: why == wire.ExitStopped})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: a.task, Attempt: a.attempt, State: wire.TaskExited, ExitReason: why, CheckpointSaved: why == wire.ExitStopped})
 	}
 	return r
 }
--- a/internal/scenario/steps.go
+++ b/internal/scenario/steps.go
@@ -30,7 +30,7 @@
 		return w.expect(http.MethodGet, f[1], "", f[2:], want)
 	case "withdraw": // ID [at MEMBER] => CODE or STATUS
 		w.referee.Asked(f[1])
-		return w.expect(http.MethodPost, f[1], "/"+wire.VerbCancel, f[2:], want)
+		return w.expect(http.MethodPost, f[1], "/"+wire.ActionCancel, f[2:], want)
 	case "ready": // all controllers can take requests
 		for _, m := range w.members {
 			if err := w.until(10*time.Second, []string{"healthy", m, "yes"}); err != nil {
@@ -51,7 +51,7 @@
 	case "cancel": // ID: a user cancels until it is confirmed
 		w.referee.Asked(f[1])
 		return w.insist(func(member string) error {
-			return w.expect(http.MethodPost, f[1], "/"+wire.VerbCancel, []string{"at", member}, wire.JobCancelled)
+			return w.expect(http.MethodPost, f[1], "/"+wire.ActionCancel, []string{"at", member}, wire.JobCancelled)
 		}, f[1])
 	case "looks": // SECONDS ID...
 		w.looks(seconds(number(f[1])), f[2:])
@@ -129,8 +129,8 @@
 
 // job reads a job's id and fields.
 func (w *world) job(f []string) (j wire.Job, run time.Duration, fails bool, err error) {
-	j = wire.Job{ID: f[0], Class: "work", Team: "red", Kind: wire.KindArray, Urgency: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1,
-		Image: "img", ImageGB: 1, Spot: true, EstimateS: 10}
+	j = wire.Job{ID: f[0], Class: "work", Team: "red", Kind: wire.KindArray, PriorityName: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1,
+		Image: "img", ImageGB: 1, AllowSpot: true, EstimateS: 10}
 	run = 10 * time.Second
 	for _, kv := range f[1:] {
 		k, v, _ := strings.Cut(kv, "=")
@@ -146,7 +146,7 @@
 		case "shape":
 			j.Kind = v
 		case "urgency":
-			j.Urgency = v
+			j.PriorityName = v
 		case "image":
 			j.Image = v
 		case "gb":
@@ -157,23 +157,23 @@
 		case "guess": // the owner's estimate, where the run takes another time
 			j.EstimateS = number(v)
 		case "save":
-			j.SaveS, j.CheckpointS = number(v), 5
+			j.CheckpointSaveS, j.CheckpointIntervalS = number(v), 5
 		case "zone":
 			j.Zone = &v
 		case "types":
-			j.Types = strings.Split(v, ",")
+			j.MachineTypes = strings.Split(v, ",")
 		case "together":
 			j.SameZone = true
 		case "scatter":
 			j.SpreadZones = true
 		case "ordinary":
-			j.Spot = false
+			j.AllowSpot = false
 		case "fails":
 			fails = true
 		case "long": // names that many bytes of machine types that there are not
-			j.Types = w.typeNames()
+			j.MachineTypes = w.typeNames()
 			for n := int(number(v)); n > 0; n -= 200 {
-				j.Types = append(j.Types, strings.Repeat("x", min(n, 190)))
+				j.MachineTypes = append(j.MachineTypes, strings.Repeat("x", min(n, 190)))
 			}
 		default:
 			return j, run, fails, fmt.Errorf("unknown field %q", k)
@@ -215,9 +215,9 @@
 	asked := time.Now()
 	code, st, err := w.ask(method, member, path, body)
 	if err == nil {
-		w.referee.Told(id, asked, code, st.Status)
+		w.referee.Told(id, asked, code, st.State)
 	}
-	return code, st.Status, err
+	return code, st.State, err
 }
 
 // insist repeats a request at one controller after another until it is carried out.
@@ -272,7 +272,7 @@
 			wait := time.Duration(i%5) * time.Second
 			time.AfterFunc(wait, func() {
 				for try := 0; try < 60 && w.ctx.Err() == nil; try++ {
-					if code, _, _ := w.poll(http.MethodPost, w.members[(i+try)%len(w.members)], id, "/"+wire.VerbCancel); code == http.StatusOK {
+					if code, _, _ := w.poll(http.MethodPost, w.members[(i+try)%len(w.members)], id, "/"+wire.ActionCancel); code == http.StatusOK {
 						return
 					}
 					time.Sleep(time.Second)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -404,7 +404,7 @@
 		return
 	}
 	c.m.dirty = true
-	c.m.left = c.m.left.Plus(j.Vector, -float64(sign*c.count))
+	c.m.left = c.m.left.AddTasks(j.Vector, -float64(sign*c.count))
 	if j.inZone != nil {
 		j.inZone[c.m.Zone] += sign * c.count
 	}
@@ -426,7 +426,7 @@
 	left := m.left
 	for _, r := range m.Reserved {
 		if r.Job == j.ID {
-			left = left.Plus(r.Vector, 1)
+			left = left.AddTasks(r.Vector, 1)
 		}
 	}
 	return left
@@ -594,7 +594,7 @@
 }
 
 func fitsAfter(j *queued, m *machine, l snapshot.JobLeases) bool {
-	return m.left.Plus(l.Vector, 1).Fits(j.Vector)
+	return m.left.AddTasks(l.Vector, 1).Fits(j.Vector)
 }
 
 // waits gives the leases on machines with the image that end before a cold fetch on the
--- a/internal/scheduler/spread.go
+++ b/internal/scheduler/spread.go
@@ -69,18 +69,18 @@
 // withinCap is how many tasks of a job a machine takes before the share of the job's team exceeds the cap.
 func (s *Scheduler) withinCap(j *queued, m *machine) int {
 	// What has been decided on this view may be other teams': then the preference ends a little early.
-	held := m.Vector.Plus(m.left, -1)
+	held := m.Vector.AddTasks(m.left, -1)
 	for _, g := range m.Leases {
 		if s.teams[g.Job] == j.Team {
 			for range g.Leases {
-				held = held.Plus(g.Vector, 1)
+				held = held.AddTasks(g.Vector, 1)
 			}
 		}
 	}
-	whole := resources.OfMachine(m.typ)
+	whole := resources.ForMachine(m.typ)
 	n := 0
 	for ; n < j.wants; n++ {
-		held = held.Plus(j.Vector, 1)
+		held = held.AddTasks(j.Vector, 1)
 		if held.DominantShare(whole) > s.tuning.Rebalancing.Policy.TeamCap {
 			break
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -362,7 +362,7 @@
 func (s *Settings) listableMachines() int {
 	const part = 4
 	pages := s.Deployment.Cloud.RPS * max(1, 2*s.Deployment.Cloud.ListLagS) / part
-	return wire.MachinePage * max(1, int(pages))
+	return wire.MachinePageSize * max(1, int(pages))
 }
 
 // memorableMachines is how many machines a leader can keep in its share of the memory.
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -164,7 +164,7 @@
 
 // Allows tells whether a task of the job may run on a machine of the type, in the zone.
 func (j *Job) Allows(t *wire.MachineType, zone string, spot bool) bool {
-	jb := wire.Job{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, Types: j.Types, Zone: j.Zone, Spot: j.Spot}
+	jb := wire.Job{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, MachineTypes: j.Types, Zone: j.Zone, AllowSpot: j.Spot}
 	return jb.Allows(t, zone, spot)
 }
 
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -175,7 +175,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.outage {
-		reply(w, http.StatusServiceUnavailable, wire.Error{Error: "trouble"})
+		reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "trouble"})
 		return
 	}
 	switch r.Method + " " + r.URL.Path {
@@ -183,7 +183,7 @@
 		reply(w, http.StatusOK, wire.MachineTypes{Types: c.types})
 	case "GET /machines":
 		const page = 500
-		l := wire.MachineList{Machines: []wire.Machine{}}
+		l := wire.MachinePage{Machines: []wire.Machine{}}
 		for _, id := range slices.Sorted(maps.Keys(c.machines)) {
 			m := c.machines[id]
 			age := time.Since(m.since)
@@ -200,17 +200,17 @@
 	case "POST /machines":
 		c.hire(w, r)
 	case "POST /machines/delete":
-		var n wire.MachineNames
-		if json.NewDecoder(r.Body).Decode(&n) != nil || len(n.Machines) > 100 {
-			reply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
+		var n wire.MachineIDs
+		if json.NewDecoder(r.Body).Decode(&n) != nil || len(n.IDs) > 100 {
+			reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
 			return
 		}
-		for _, id := range n.Machines {
+		for _, id := range n.IDs {
 			c.remove(id)
 		}
 		reply(w, http.StatusOK, struct{}{})
 	default:
-		reply(w, http.StatusNotFound, wire.Error{Error: "no such path"})
+		reply(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such path"})
 	}
 }
 
@@ -232,7 +232,7 @@
 func (c *Cloud) hire(w http.ResponseWriter, r *http.Request) {
 	var h wire.ScaleOutRequest
 	if json.NewDecoder(r.Body).Decode(&h) != nil || h.RequestID == "" || h.Count < 1 || h.Count > 50 {
-		reply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
+		reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
 		return
 	}
 	names, known := c.hires[h.RequestID]
@@ -240,7 +240,7 @@
 		left := c.places[placeKey(h.Type, h.Zone, h.Spot)]
 		n := min(h.Count, left)
 		if n == 0 {
-			reply(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
+			reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no capacity"})
 			return
 		}
 		boot := time.Minute
@@ -260,5 +260,5 @@
 		c.lose = false
 		panic(http.ErrAbortHandler)
 	}
-	reply(w, http.StatusOK, wire.MachineNames{Machines: names})
+	reply(w, http.StatusOK, wire.MachineIDs{IDs: names})
 }
--- a/internal/standin/gangs.go
+++ b/internal/standin/gangs.go
@@ -88,7 +88,7 @@
 }
 
 func (t *workerTask) checkpoint(progress time.Duration) time.Duration {
-	every := time.Duration(t.desc.CheckpointS * float64(time.Second))
+	every := time.Duration(t.desc.CheckpointIntervalS * float64(time.Second))
 	if every <= 0 {
 		return 0
 	}
@@ -138,8 +138,8 @@
 		}
 	}
 	switch {
-	case at.over == wire.ExitDone:
-		return gangFate{runs: true, exits: wire.ExitDone}
+	case at.over == wire.ExitCompleted:
+		return gangFate{runs: true, exits: wire.ExitCompleted}
 	case at.over == wire.ExitStopped && me.told:
 		return gangFate{runs: true, exits: wire.ExitStopped, saved: true}
 	case !at.lost.IsZero() && now.Sub(at.lost) >= g.peer/2:
@@ -147,8 +147,8 @@
 	case !at.stopped.IsZero():
 		return g.saving(t, at, now)
 	case at.lost.IsZero() && now.Sub(at.began) >= run-at.base:
-		at.over = wire.ExitDone
-		return gangFate{runs: true, exits: wire.ExitDone}
+		at.over = wire.ExitCompleted
+		return gangFate{runs: true, exits: wire.ExitCompleted}
 	}
 	return gangFate{runs: true}
 }
@@ -159,7 +159,7 @@
 	for _, m := range at.members {
 		all = all && m.told
 	}
-	save := time.Duration(t.desc.SaveS * float64(time.Second))
+	save := time.Duration(t.desc.CheckpointSaveS * float64(time.Second))
 	if all && at.lost.IsZero() && now.Sub(at.stopped) >= save {
 		at.over, at.finished = wire.ExitStopped, true
 		g.saved[t.job] = at.base + at.stopped.Sub(at.began)
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -17,12 +17,12 @@
 // State is a state service.
 type State struct {
 	mu       sync.Mutex
-	items    map[string]wire.Item
+	items    map[string]wire.KeyValue
 	revision uint64
 	leases   map[uint64]*time.Timer
 	lives    map[uint64]time.Duration
 	nextID   uint64
-	log      []wire.Event
+	log      []wire.WatchEvent
 	change   chan struct{}
 	outage   bool
 	refused  map[string]bool
@@ -46,7 +46,7 @@
 
 // NewState makes an empty service.
 func NewState() *State {
-	return &State{items: map[string]wire.Item{}, leases: map[uint64]*time.Timer{}, lives: map[uint64]time.Duration{},
+	return &State{items: map[string]wire.KeyValue{}, leases: map[uint64]*time.Timer{}, lives: map[uint64]time.Duration{},
 		change: make(chan struct{}), refused: map[string]bool{}}
 }
 
@@ -114,11 +114,11 @@
 func (s *State) Put(changes []wire.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.apply(wire.Txn{Then: changes})
+	s.apply(wire.Transaction{Then: changes})
 }
 
 // beyond gives the status by which a transaction beyond the limits is refused, or 0.
-func (s *State) beyond(t wire.Txn) int {
+func (s *State) beyond(t wire.Transaction) int {
 	l := s.limits
 	large := slices.ContainsFunc(t.Then, func(c wire.Change) bool { return l.ValueBytes > 0 && len(c.Value) > l.ValueBytes })
 	if large || l.Ops > 0 && (len(t.Then) > l.Ops || len(t.If) > 4*l.Ops) {
@@ -171,7 +171,7 @@
 func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	ip, _, _ := net.SplitHostPort(r.RemoteAddr)
 	if s.unavailable(ip) {
-		reply(w, http.StatusServiceUnavailable, wire.Error{Error: "outage"})
+		reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "outage"})
 		return
 	}
 	switch {
@@ -186,7 +186,7 @@
 	case strings.HasPrefix(r.URL.Path, "/grants"):
 		s.grants(w, r)
 	default:
-		reply(w, http.StatusBadRequest, wire.Error{Error: "no such path"})
+		reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: "no such path"})
 	}
 }
 
@@ -197,7 +197,7 @@
 		reply(w, http.StatusOK, it)
 		return
 	}
-	reply(w, http.StatusNotFound, wire.TxnResult{Revision: s.revision})
+	reply(w, http.StatusNotFound, wire.TransactionResult{Revision: s.revision})
 }
 
 func (s *State) list(w http.ResponseWriter, r *http.Request) {
@@ -208,7 +208,7 @@
 	if page <= 0 || page > 1000 {
 		page = 1000
 	}
-	l := wire.ItemList{Items: []wire.Item{}, Revision: s.revision}
+	l := wire.KeyValuePage{Entries: []wire.KeyValue{}, Revision: s.revision}
 	var keys []string
 	for k := range s.items {
 		if strings.HasPrefix(k, q.Get("prefix")) && k > q.Get("from") {
@@ -221,15 +221,15 @@
 			l.More = true
 			break
 		}
-		l.Items = append(l.Items, s.items[k])
+		l.Entries = append(l.Entries, s.items[k])
 	}
 	reply(w, http.StatusOK, l)
 }
 
 func (s *State) txn(w http.ResponseWriter, r *http.Request) {
-	var t wire.Txn
+	var t wire.Transaction
 	if json.NewDecoder(r.Body).Decode(&t) != nil {
-		reply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
+		reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
 		return
 	}
 	s.mu.Lock()
@@ -249,7 +249,7 @@
 		panic(http.ErrAbortHandler) // the answer is lost
 	}
 	if code := s.beyond(t); code != 0 {
-		reply(w, code, wire.Error{Error: "beyond the limits"})
+		reply(w, code, wire.ErrorResponse{Error: "beyond the limits"})
 		return
 	}
 	code, body := s.apply(t)
@@ -260,19 +260,19 @@
 	reply(w, code, body)
 }
 
-func (s *State) apply(t wire.Txn) (int, any) {
+func (s *State) apply(t wire.Transaction) (int, any) {
 	for _, c := range t.Then {
 		if _, ok := s.leases[c.Lease]; c.Lease != 0 && !ok {
-			return http.StatusBadRequest, wire.Error{Error: "no such lease"}
+			return http.StatusBadRequest, wire.ErrorResponse{Error: "no such lease"}
 		}
 	}
-	res := wire.TxnResult{}
+	res := wire.TransactionResult{}
 	for _, c := range t.If {
 		if s.items[c.Key].Version != c.Version {
-			res.Failed = append(res.Failed, c.Key)
+			res.FailedKeys = append(res.FailedKeys, c.Key)
 		}
 	}
-	if len(res.Failed) > 0 {
+	if len(res.FailedKeys) > 0 {
 		res.Revision = s.revision
 		return http.StatusConflict, res
 	}
@@ -284,8 +284,8 @@
 			s.remove(c.Delete)
 			continue
 		}
-		s.items[c.Put] = wire.Item{Key: c.Put, Value: c.Value, Version: s.revision, Lease: c.Lease}
-		s.log = append(s.log, wire.Event{Put: c.Put, Value: c.Value, Version: s.revision})
+		s.items[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, Version: s.revision, Lease: c.Lease}
+		s.log = append(s.log, wire.WatchEvent{Put: c.Put, Value: c.Value, Version: s.revision})
 	}
 	s.signal()
 	res.Revision = s.revision
@@ -295,7 +295,7 @@
 func (s *State) remove(key string) {
 	if _, ok := s.items[key]; ok {
 		delete(s.items, key)
-		s.log = append(s.log, wire.Event{Delete: key, Version: s.revision})
+		s.log = append(s.log, wire.WatchEvent{Delete: key, Version: s.revision})
 	}
 }
 
@@ -304,26 +304,26 @@
 	defer s.mu.Unlock()
 	parts := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
 	if len(parts) == 1 {
-		var ask wire.LeaseRequest
+		var ask wire.StoreLeaseRequest
 		if json.NewDecoder(r.Body).Decode(&ask) != nil || ask.TTLMillis < 100 {
-			reply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
+			reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
 			return
 		}
 		s.nextID++
 		id := s.nextID
 		s.lives[id] = time.Duration(ask.TTLMillis) * time.Millisecond
 		s.leases[id] = time.AfterFunc(s.lives[id], func() { s.expire(id) })
-		reply(w, http.StatusOK, wire.Lease{ID: id})
+		reply(w, http.StatusOK, wire.StoreLease{ID: id})
 		return
 	}
 	id, _ := strconv.ParseUint(parts[1], 10, 64)
 	t := s.leases[id]
 	if t == nil {
-		reply(w, http.StatusNotFound, wire.Error{Error: "no such lease"})
+		reply(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such lease"})
 		return
 	}
 	t.Reset(s.lives[id])
-	reply(w, http.StatusOK, wire.Lease{ID: id})
+	reply(w, http.StatusOK, wire.StoreLease{ID: id})
 }
 
 func (s *State) expire(id uint64) {
@@ -366,10 +366,10 @@
 	}
 }
 
-func (s *State) since(prefix string, from uint64) (wire.WatchResult, chan struct{}, time.Duration) {
+func (s *State) since(prefix string, from uint64) (wire.WatchResponse, chan struct{}, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	res := wire.WatchResult{Revision: s.revision, Events: []wire.Event{}}
+	res := wire.WatchResponse{Revision: s.revision, Events: []wire.WatchEvent{}}
 	for _, e := range s.log {
 		if e.Version > from && strings.HasPrefix(e.Put+e.Delete, prefix) {
 			res.Events = append(res.Events, e)
@@ -379,7 +379,7 @@
 }
 
 // Item gives a key's item.
-func (s *State) Item(key string) (wire.Item, bool) {
+func (s *State) Item(key string) (wire.KeyValue, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	it, ok := s.items[key]
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -280,7 +280,7 @@
 }
 
 func (w *Worker) exit(t *workerTask, why string, saved bool) {
-	w.leave(t, why == wire.ExitDone)
+	w.leave(t, why == wire.ExitCompleted)
 	t.state, t.why, t.saved = wire.TaskExited, why, saved
 	w.changed = true
 }
@@ -305,14 +305,14 @@
 			return
 		}
 		if t.gang() {
-			t.state, t.until = wire.TaskWaiting, now
+			t.state, t.until = wire.TaskWaitingForGang, now
 			w.cfg.Gangs.enter(t)
 		}
 	case wire.TaskRunning:
 		if !now.Before(t.until) {
-			w.exit(t, wire.ExitDone, false)
+			w.exit(t, wire.ExitCompleted, false)
 		}
-	case wire.TaskSaving:
+	case wire.TaskCheckpointing:
 		if !now.Before(t.until) {
 			w.exit(t, wire.ExitStopped, true)
 		}
@@ -323,7 +323,7 @@
 func (w *Worker) withMates(t *workerTask) {
 	_, run, _, _ := w.cfg.Referee.describe(t.job)
 	fate := w.cfg.Gangs.look(t, t.until, run)
-	if fate.runs && t.state == wire.TaskWaiting {
+	if fate.runs && t.state == wire.TaskWaitingForGang {
 		t.state = wire.TaskRunning
 		w.changed = true
 		w.cfg.Referee.runs(t.job, t.index, t.attempt)
@@ -355,13 +355,13 @@
 func (w *Worker) describe() []byte {
 	w.seq++
 	r := wire.Heartbeat{Machine: w.id, Addr: w.ip + ":9000", Type: w.typ, Zone: w.zone, Spot: w.spot, Incarnation: w.session,
-		Seq: w.seq, FencingToken: w.token, Tasks: []wire.TaskStatus{}}
+		Sequence: w.seq, FencingToken: w.token, Tasks: []wire.TaskStatus{}}
 	if !w.notice.IsZero() {
 		s := time.Until(w.notice).Seconds()
 		r.ReclaimInS = &s
 	}
 	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, ExitReason: t.why, Saved: t.saved})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, ExitReason: t.why, CheckpointSaved: t.saved})
 	}
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -476,12 +476,12 @@
 
 func (w *Worker) direct(rw http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != wire.PathCommands {
-		reply(rw, http.StatusNotFound, wire.Error{Error: "no such path"})
+		reply(rw, http.StatusNotFound, wire.ErrorResponse{Error: "no such path"})
 		return
 	}
 	var d wire.CommandPush
 	if json.NewDecoder(r.Body).Decode(&d) != nil || d.FencingToken == 0 || d.Incarnation == 0 {
-		reply(rw, http.StatusBadRequest, wire.Error{Error: "malformed"})
+		reply(rw, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
 		return
 	}
 	w.orders.Add(1)
@@ -542,12 +542,12 @@
 
 func (w *Worker) launch(c wire.Command) {
 	w.changed = true
-	id, n, _ := wire.SplitTask(c.Task)
+	id, n, _ := wire.ParseTaskName(c.Task)
 	t := &workerTask{name: c.Task, job: id, index: n, attempt: c.Attempt, state: wire.TaskFetching}
 	w.tasks = append(w.tasks, t)
 	desc, _, _, known := w.cfg.Referee.describe(id)
 	if !known {
-		w.exit(t, wire.ExitUnknown, false)
+		w.exit(t, wire.ExitUnknownTask, false)
 		return
 	}
 	t.desc = desc
@@ -557,14 +557,14 @@
 			continue
 		}
 		if o.name == t.name {
-			w.exit(t, wire.ExitBusy, false)
+			w.exit(t, wire.ExitConflictingAttempt, false)
 			return
 		}
 		cpus, mem = cpus+o.desc.CPUs, mem+o.desc.MemoryGB
 	}
 	spec := w.cfg.Types[w.typ]
 	if cpus+desc.CPUs > spec.CPUs+1e-9 || mem+desc.MemoryGB > spec.MemoryGB+1e-9 {
-		w.exit(t, wire.ExitNoRoom, false)
+		w.exit(t, wire.ExitInsufficientResources, false)
 		return
 	}
 	if _, ok := w.images[desc.Image]; !ok {
@@ -580,16 +580,16 @@
 	if t.on {
 		w.cfg.Referee.stopOrdered(w, t.job, t.index)
 	}
-	if t.state == wire.TaskRunning && t.desc.CheckpointS > 0 && grace >= t.desc.SaveS {
-		t.state = wire.TaskSaving
+	if t.state == wire.TaskRunning && t.desc.CheckpointIntervalS > 0 && grace >= t.desc.CheckpointSaveS {
+		t.state = wire.TaskCheckpointing
 		if t.gang() {
 			w.cfg.Gangs.told(t)
 		}
-		t.until = time.Now().Add(w.takes(time.Duration(t.desc.SaveS * float64(time.Second))))
+		t.until = time.Now().Add(w.takes(time.Duration(t.desc.CheckpointSaveS * float64(time.Second))))
 		w.changed = true
 		return
 	}
-	if t.state != wire.TaskSaving || grace == 0 {
+	if t.state != wire.TaskCheckpointing || grace == 0 {
 		w.exit(t, wire.ExitStopped, false)
 	}
 }
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -14,11 +14,11 @@
 // that has been touched. Status and open record always change together, so that
 // they have the same version.
 const (
-	LeaderKey    = "leader"
-	TypesKey     = "types"
-	OpenPrefix   = "open/"
-	statusPrefix = "job/"
-	chunkPrefix  = "tasks/"
+	LeaderKey       = "leader"
+	MachineTypesKey = "types"
+	OpenJobPrefix   = "open/"
+	statusPrefix    = "job/"
+	chunkPrefix     = "tasks/"
 	// RenewerPrefix lists who renews, or has renewed, worker leases in the leader's stead.
 	RenewerPrefix = "care/"
 	// ProgressPrefix lists all progress records.
@@ -26,27 +26,25 @@
 )
 
 // StatusKey names a job's status record.
-func StatusKey(id string) string { return statusPrefix + id }
+func JobStatusKey(id string) string { return statusPrefix + id }
 
 // OpenKey names a job's open record.
-func OpenKey(id string) string { return OpenPrefix + id }
+func OpenJobKey(id string) string { return OpenJobPrefix + id }
 
 // ProgressKey names the progress record of a chunk of a job's tasks.
 func ProgressKey(id string, chunk int) string { return chunkPrefix + id + "/" + strconv.Itoa(chunk) }
 
-// RenewerKey names the record that a controller renews worker leases in the leader's stead:
-// one that ends with its permit, and one that stays and tells when it began last.
-func RenewerKey(member string, now bool) string {
-	if now {
-		return renewerNow + member
-	}
-	return RenewerPrefix + "last/" + member
-}
+// ActiveRenewerKey returns the key that exists, attached to the member's lease, while the member renews worker leases
+// in the leader's stead.
+func ActiveRenewerKey(member string) string { return activeRenewerPrefix + member }
+
+// LastRenewerKey returns the key that stays: its version says when the member last began to renew worker leases.
+func LastRenewerKey(member string) string { return RenewerPrefix + "last/" + member }
 
-const renewerNow = RenewerPrefix + "now/"
+const activeRenewerPrefix = RenewerPrefix + "now/"
 
 // IsActiveRenewerKey tells whether a record says that a controller renews now.
-func IsActiveRenewerKey(key string) bool { return strings.HasPrefix(key, renewerNow) }
+func IsActiveRenewerKey(key string) bool { return strings.HasPrefix(key, activeRenewerPrefix) }
 
 // ParseProgressKey takes the name of a progress record apart.
 func ParseProgressKey(key string) (id string, chunk int, ok bool) {
@@ -54,7 +52,7 @@
 	if !found {
 		return "", 0, false
 	}
-	return wire.SplitTask(rest)
+	return wire.ParseTaskName(rest)
 }
 
 // RecordError says which record can't be used.
@@ -69,7 +67,7 @@
 func (e *RecordError) Unwrap() error { return e.Err }
 
 // DecodeRecord reads a record's value; an error names its key.
-func DecodeRecord(it wire.Item, into any) error {
+func DecodeRecord(it wire.KeyValue, into any) error {
 	if err := json.Unmarshal(it.Value, into); err != nil {
 		return &RecordError{it.Key, err}
 	}
@@ -84,12 +82,12 @@
 }
 
 // StatusRecord is what users are told of a job.
-type StatusRecord struct {
-	Status string `json:"status"` // pending, done or cancelled, as on the wire
+type JobStatusRecord struct {
+	State string `json:"status"` // pending, done or cancelled, as on the wire
 }
 
 // OpenRecord describes a job that is not over yet, or whose tasks may still exist.
-type OpenRecord struct {
+type OpenJobRecord struct {
 	Job        wire.Job `json:"job"`
 	AcceptedAt int64    `json:"accepted"` // time of day, microseconds
 	ShardSize  int      `json:"chunk"`    // tasks in a progress record
@@ -99,9 +97,9 @@
 // Finalized is the record of a job that is over: what must be known until its last task is
 // gone, and no more. The description may have been kept under a higher limit than there is
 // now, and must not have to be written at that size again.
-func (r OpenRecord) Finalized(status string) OpenRecord {
+func (r OpenJobRecord) Finalized(status string) OpenJobRecord {
 	j := r.Job
-	r.Job = wire.Job{ID: j.ID, Team: j.Team, Kind: j.Kind, Urgency: j.Urgency, Tasks: j.Tasks,
+	r.Job = wire.Job{ID: j.ID, Team: j.Team, Kind: j.Kind, PriorityName: j.PriorityName, Tasks: j.Tasks,
 		CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, SameZone: j.SameZone, SpreadZones: j.SpreadZones}
 	r.FinalState = status
 	return r
@@ -124,14 +122,14 @@
 }
 
 // Size is how many bytes the placement takes in its record.
-func (p Placement) Size() (int, error) {
+func (p Placement) EncodedSize() (int, error) {
 	data, err := json.Marshal(p)
 	return len(data) + len(","), err
 }
 
 // ProgressOverhead is how many bytes a progress record of so many tasks takes, at the most,
 // beside its placements.
-func ProgressOverhead(tasks int) int {
+func ProgressRecordOverhead(tasks int) int {
 	const frame, mark = len(`{"d":"","a":[],"w":""}`), 2*13 + len(".") // two numbers to the base of 36
 	return frame + mark + 2*((tasks+7)/8)
 }
@@ -143,16 +141,16 @@
 func ProgressShardSize(kind string, valueKB float64) int {
 	const bytesPerTask = 80
 	if kind == wire.KindGang {
-		valueKB = LeastValueKB
+		valueKB = MinValueKB
 	}
 	return min(256, max(4, int(valueKB*1024-200)/bytesPerTask))
 }
 
 // LeastValueKB is the lowest limit of a value, in KiB, with which the service can do.
-const LeastValueKB = 1
+const MinValueKB = 1
 
 // EncodeDone makes a bitmap of done tasks.
-func EncodeDone(n int, done func(i int) bool) string {
+func EncodeDoneBitmap(n int, done func(i int) bool) string {
 	bits := make([]byte, (n+7)/8)
 	some := false
 	for i := range n {
@@ -168,7 +166,7 @@
 }
 
 // DecodeDone calls f for each done task of a bitmap.
-func DecodeDone(s string, f func(i int)) error {
+func DecodeDoneBitmap(s string, f func(i int)) error {
 	bits, err := hex.DecodeString(s)
 	if err != nil {
 		return err
@@ -219,7 +217,7 @@
 	if !found {
 		return "", 0, false
 	}
-	return wire.SplitTask(rest)
+	return wire.ParseTaskName(rest)
 }
 
 // ParseDrainMachinesKey takes the name of a page of a list of machines apart.
@@ -237,32 +235,32 @@
 type DrainRecord struct {
 	Name            string            `json:"name"`
 	State           string            `json:"state"`
-	Request         string            `json:"request"` // by which a repeated start is known
+	RequestID       string            `json:"request"` // by which a repeated start is known
 	Step            int               `json:"step"`
-	Started         int64             `json:"started"`            // time of day, microseconds
+	StartedAt       int64             `json:"started"`            // time of day, microseconds
 	Deadline        int64             `json:"deadline,omitempty"` // time of day, microseconds; 0: none
 	EvictAtDeadline bool              `json:"evict,omitempty"`
 	Budgets         map[string]string `json:"budgets,omitempty"`
 	// Zone and Type name what is vacated as a whole: nothing is rented there that can be elsewhere.
-	Zone     string `json:"zone,omitempty"`
-	Type     string `json:"type,omitempty"`
-	List     string `json:"list"` // of its machines
-	Pages    int    `json:"pages"`
-	Machines int    `json:"machines"`
+	Zone          string `json:"zone,omitempty"`
+	Type          string `json:"type,omitempty"`
+	MachineListID string `json:"list"` // of its machines
+	MachinePages  int    `json:"pages"`
+	MachineCount  int    `json:"machines"`
 }
 
 // DisruptionRecord holds the disturbed tasks of a chunk.
 type DisruptionRecord struct {
-	Open []OpenDisturbance `json:"o"`
+	Open []OpenDisruption `json:"o"`
 	// IdempotencyMark names the write, as in a progress record.
 	IdempotencyMark string `json:"w"`
 }
 
 // OpenDisturbance is a task that is disturbed. It takes no more bytes than a placement.
-type OpenDisturbance struct {
+type OpenDisruption struct {
 	Task    int    `json:"t"`
 	Attempt uint64 `json:"n"`
 	Cause   string `json:"c"`
 	// To is the machine where room is reserved for the successor, if some is.
-	To string `json:"m,omitempty"`
+	ReservedMachine string `json:"m,omitempty"`
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -31,9 +31,9 @@
 var errTooMany = fmt.Errorf("%w: too many requests or changes a second", ErrUnavailable)
 
 // Conflict says which conditions of a transaction failed.
-type Conflict struct{ Failed []string }
+type ConflictError struct{ FailedKeys []string }
 
-func (c *Conflict) Error() string { return fmt.Sprintf("conditions failed: %v", c.Failed) }
+func (c *ConflictError) Error() string { return fmt.Sprintf("conditions failed: %v", c.FailedKeys) }
 
 // Client talks to the state service within a share of its limits.
 type Client struct {
@@ -69,7 +69,7 @@
 
 // SetWriteShare says how many changes a second, beside the urgent ones, this controller may
 // make.
-func (c *Client) SetWriteShare(writeRPS float64) {
+func (c *Client) SetWriteRate(writeRPS float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.share = writeRPS
@@ -128,8 +128,8 @@
 }
 
 // Get reads a key; nil means that it does not exist.
-func (c *Client) Get(ctx context.Context, key string) (*wire.Item, error) {
-	var it wire.Item
+func (c *Client) Get(ctx context.Context, key string) (*wire.KeyValue, error) {
+	var it wire.KeyValue
 	code, err := c.do(ctx, 1500*time.Millisecond, http.MethodGet, "/kv/"+key, nil, &it)
 	switch {
 	case err != nil:
@@ -144,8 +144,8 @@
 
 // List reads all keys with a prefix. The revision is that of the first page, so a
 // watch from there misses nothing.
-func (c *Client) List(ctx context.Context, prefix string) ([]wire.Item, uint64, error) {
-	var items []wire.Item
+func (c *Client) List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error) {
+	var items []wire.KeyValue
 	var first uint64
 	from := ""
 	for page := 0; ; page++ {
@@ -153,7 +153,7 @@
 		if from != "" {
 			q.Set("from", from)
 		}
-		var l wire.ItemList
+		var l wire.KeyValuePage
 		code, err := c.do(ctx, 3*time.Second, http.MethodGet, "/kv?"+q.Encode(), nil, &l)
 		if err != nil {
 			return nil, 0, err
@@ -164,22 +164,22 @@
 		if page == 0 {
 			first = l.Revision
 		}
-		items = append(items, l.Items...)
-		if !l.More || len(l.Items) == 0 {
+		items = append(items, l.Entries...)
+		if !l.More || len(l.Entries) == 0 {
 			return items, first, nil
 		}
-		from = l.Items[len(l.Items)-1].Key
+		from = l.Entries[len(l.Entries)-1].Key
 	}
 }
 
 // CompareAndSwap runs a transaction that somebody waits for, and returns its revision. A *Conflict means
 // that nothing was changed; ErrUnavailable and ErrRefused likewise.
-func (c *Client) CompareAndSwap(ctx context.Context, t wire.Txn) (uint64, error) {
+func (c *Client) CompareAndSwap(ctx context.Context, t wire.Transaction) (uint64, error) {
 	return c.txn(ctx, c.urgent, t)
 }
 
 // CompareAndSwapDeferrable runs a transaction that can wait for those.
-func (c *Client) CompareAndSwapDeferrable(ctx context.Context, t wire.Txn) (uint64, error) {
+func (c *Client) CompareAndSwapDeferrable(ctx context.Context, t wire.Transaction) (uint64, error) {
 	revision, err := c.txn(ctx, c.writes, t)
 	switch {
 	case err == nil:
@@ -190,7 +190,7 @@
 	return revision, err
 }
 
-func (c *Client) txn(ctx context.Context, limit *rate.Limiter, t wire.Txn) (uint64, error) {
+func (c *Client) txn(ctx context.Context, limit *rate.Limiter, t wire.Transaction) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	// A transaction with more changes than a burst takes its place in parts.
@@ -201,13 +201,13 @@
 		}
 		n -= part
 	}
-	var r wire.TxnResult
+	var r wire.TransactionResult
 	code, err := c.do(ctx, 1500*time.Millisecond, http.MethodPost, "/txn", t, &r)
 	switch {
 	case err != nil:
 		return 0, err
 	case code == http.StatusConflict:
-		return 0, &Conflict{Failed: r.Failed}
+		return 0, &ConflictError{FailedKeys: r.FailedKeys}
 	case code == http.StatusBadRequest:
 		for _, ch := range t.Then {
 			if ch.Lease != 0 {
@@ -223,8 +223,8 @@
 
 // GrantLease obtains a permit.
 func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
-	var l wire.Lease
-	code, err := c.do(ctx, time.Second, http.MethodPost, "/grants", wire.LeaseRequest{TTLMillis: life.Milliseconds()}, &l)
+	var l wire.StoreLease
+	code, err := c.do(ctx, time.Second, http.MethodPost, "/grants", wire.StoreLeaseRequest{TTLMillis: life.Milliseconds()}, &l)
 	if err != nil {
 		return 0, err
 	}
@@ -249,7 +249,7 @@
 }
 
 // Watch waits for changes of keys with the prefix after a revision.
-func (c *Client) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (*wire.WatchResult, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (*wire.WatchResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, block+3*time.Second)
 	defer cancel()
 	if err := c.reqs.Wait(ctx); err != nil {
@@ -257,7 +257,7 @@
 	}
 	q := url.Values{"prefix": {prefix}, "from": {strconv.FormatUint(from, 10)},
 		"block_ms": {strconv.FormatInt(block.Milliseconds(), 10)}}
-	var r wire.WatchResult
+	var r wire.WatchResponse
 	code, err := c.call(ctx, c.watch, http.MethodGet, "/watch?"+q.Encode(), nil, &r)
 	switch {
 	case err != nil:
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -51,8 +51,8 @@
 var kinds = map[string]struct{ now, old func() any }{
 	"leader":       {func() any { return new(state.LeaderRecord) }, func() any { return new(oldLeader) }},
 	"care":         {func() any { return new(state.LeaderRecord) }, func() any { return new(oldLeader) }},
-	"status":       {func() any { return new(state.StatusRecord) }, func() any { return new(oldStatus) }},
-	"open":         {func() any { return new(state.OpenRecord) }, func() any { return new(oldOpen) }},
+	"status":       {func() any { return new(state.JobStatusRecord) }, func() any { return new(oldStatus) }},
+	"open":         {func() any { return new(state.OpenJobRecord) }, func() any { return new(oldOpen) }},
 	"chunk":        {func() any { return new(state.ProgressRecord) }, func() any { return new(oldChunk) }},
 	"types":        {func() any { return new([]wire.MachineType) }, func() any { return new([]wire.MachineType) }},
 	"update":       {func() any { return new(snapshot.Update) }, func() any { return new(oldUpdate) }},
@@ -121,7 +121,7 @@
 
 // The keys that production uses are ours.
 func TestKeys(t *testing.T) {
-	want := map[string]string{"leader": state.LeaderKey, "types": state.TypesKey}
+	want := map[string]string{"leader": state.LeaderKey, "types": state.MachineTypesKey}
 	for _, e := range production(t) {
 		switch e.Kind {
 		case "status", "open", "chunk":
@@ -132,12 +132,16 @@
 			} else {
 				id = e.Key[len(e.Key)-len("run-000001"):]
 			}
-			want := map[string]string{"status": state.StatusKey(id), "open": state.OpenKey(id), "chunk": state.ProgressKey(id, n)}[e.Kind]
+			want := map[string]string{"status": state.JobStatusKey(id), "open": state.OpenJobKey(id), "chunk": state.ProgressKey(id, n)}[e.Kind]
 			if e.Key != want {
 				t.Errorf("%s has the key %s, ours is %s", e.Kind, e.Key, want)
 			}
 		case "care":
-			if e.Key != state.RenewerKey("c2", state.IsActiveRenewerKey(e.Key)) {
+			want := state.LastRenewerKey("c2")
+			if state.IsActiveRenewerKey(e.Key) {
+				want = state.ActiveRenewerKey("c2")
+			}
+			if e.Key != want {
 				t.Errorf("care has the key %s", e.Key)
 			}
 		case "leader", "types":
@@ -150,7 +154,7 @@
 
 const token = 52
 
-func newManager(t *testing.T, limits settings.StoreLimits, open, chunks []wire.Item) *manager.Manager {
+func newManager(t *testing.T, limits settings.StoreLimits, open, chunks []wire.KeyValue) *manager.Manager {
 	m, err := manager.New(1000, manager.Config{FencingToken: token, Teams: []settings.Team{{Name: "red", CPUsMax: 40}, {Name: "blue", CPUs: 4}},
 		WorkerLease: 10 * micros.Second, HeartbeatInterval: 2 * micros.Second, LeaseMargin: micros.Second, CancelTimeout: 30 * micros.Second, ListLag: 3 * micros.Second,
 		Tuning: settings.Tuning{FirstLease: 100 * micros.Second}, MaxCommandPushes: 20, StoreLimits: limits}, 1764600000000000, open, chunks)
@@ -167,16 +171,16 @@
 	var out []example
 	put := func(kind, key string, v any) { out = append(out, example{kind, key, encode(t, v)}) }
 	m := newManager(t, settings.StoreLimits{TxnOps: 4, ValueKB: 2}, nil, nil)
-	gang := wire.Job{ID: "run-000002", Class: "sync", Team: "red", Kind: wire.KindGang, Urgency: "normal", Tasks: 12, CPUs: 1, MemoryGB: 1,
-		Image: "y", ImageGB: 1, SameZone: true, EstimateS: 30, CheckpointS: 20, SaveS: 3}
-	rec := state.OpenRecord{Job: gang, AcceptedAt: 1764600000000000, ShardSize: state.ProgressShardSize(gang.Kind, 2)}
-	put("open", state.OpenKey(gang.ID), rec)
-	put("open", state.OpenKey(gang.ID), rec.Finalized(wire.JobCancelled))
+	gang := wire.Job{ID: "run-000002", Class: "sync", Team: "red", Kind: wire.KindGang, PriorityName: "normal", Tasks: 12, CPUs: 1, MemoryGB: 1,
+		Image: "y", ImageGB: 1, SameZone: true, EstimateS: 30, CheckpointIntervalS: 20, CheckpointSaveS: 3}
+	rec := state.OpenJobRecord{Job: gang, AcceptedAt: 1764600000000000, ShardSize: state.ProgressShardSize(gang.Kind, 2)}
+	put("open", state.OpenJobKey(gang.ID), rec)
+	put("open", state.OpenJobKey(gang.ID), rec.Finalized(wire.JobCancelled))
 	m.OpenRecordChanged(1000, 1000, 1764600000000000, rec, 60)
 	seq := uint64(0)
 	report := func(id string, tasks ...wire.TaskStatus) {
 		seq++
-		r := &wire.Heartbeat{Machine: id, Addr: "10.1.0.2:9000", Type: "small", Zone: "a", Incarnation: 1, Seq: seq, FencingToken: token, Tasks: tasks}
+		r := &wire.Heartbeat{Machine: id, Addr: "10.1.0.2:9000", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: token, Tasks: tasks}
 		m.Heartbeat(1000, r, "", true)
 		put("relay", "", peer.RelayedHeartbeat{Member: "c2", FencingToken: token, Heartbeat: r})
 	}
@@ -226,14 +230,14 @@
 }
 
 // items gives production's records of a kind as the state service would list them.
-func items(t *testing.T, kind string) []wire.Item {
-	newest := map[string]wire.Item{}
+func items(t *testing.T, kind string) []wire.KeyValue {
+	newest := map[string]wire.KeyValue{}
 	for i, e := range production(t) {
 		if e.Kind == kind {
-			newest[e.Key] = wire.Item{Key: e.Key, Value: e.Value, Version: uint64(i + 1)}
+			newest[e.Key] = wire.KeyValue{Key: e.Key, Value: e.Value, Version: uint64(i + 1)}
 		}
 	}
-	var out []wire.Item
+	var out []wire.KeyValue
 	for _, it := range newest {
 		out = append(out, it)
 	}
@@ -251,7 +255,7 @@
 	seq := uint64(100)
 	report := func(id string, tasks ...wire.TaskStatus) []wire.Command {
 		seq++
-		a, _ := m.Heartbeat(1000, &wire.Heartbeat{Machine: id, Addr: "10.1.0.2:9000", Type: "small", Zone: id[len(id)-1:], Incarnation: 1, Seq: seq, FencingToken: token, Tasks: tasks}, "", true)
+		a, _ := m.Heartbeat(1000, &wire.Heartbeat{Machine: id, Addr: "10.1.0.2:9000", Type: "small", Zone: id[len(id)-1:], Incarnation: 1, Sequence: seq, FencingToken: token, Tasks: tasks}, "", true)
 		return a.Commands
 	}
 	report("n-000009a")
@@ -290,7 +294,7 @@
 	if g := m.Grant(1000, whole).Granted[0]; g != 0 {
 		t.Error("the gang is granted while a task of it may run")
 	}
-	cmds := report("n-000003a", wire.TaskStatus{Task: "run-000002/2", Attempt: attempt, State: wire.TaskWaiting})
+	cmds := report("n-000003a", wire.TaskStatus{Task: "run-000002/2", Attempt: attempt, State: wire.TaskWaitingForGang})
 	if fmt.Sprint(len(cmds)) != "1" || cmds[0].Op != wire.OpStop {
 		t.Errorf("orders %v", cmds)
 	}
@@ -304,7 +308,7 @@
 func TestServesProductionsAsks(t *testing.T) {
 	m := newManager(t, settings.StoreLimits{TxnOps: 8, ValueKB: 4}, items(t, "open"), nil)
 	for i, id := range []string{"n-000001a", "n-000002b", "n-000003a"} {
-		m.Heartbeat(1000, &wire.Heartbeat{Machine: id, Addr: "10.1.0.2:9000", Type: "small", Zone: id[len(id)-1:], Incarnation: 1, Seq: uint64(i + 1), FencingToken: token}, "", true)
+		m.Heartbeat(1000, &wire.Heartbeat{Machine: id, Addr: "10.1.0.2:9000", Type: "small", Zone: id[len(id)-1:], Incarnation: 1, Sequence: uint64(i + 1), FencingToken: token}, "", true)
 	}
 	for _, e := range production(t) {
 		if e.Kind != "asks" {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -47,7 +47,7 @@
 			_ = json.NewEncoder(w).Encode(wire.Redirect{Leader: leader})
 		default:
 			w.WriteHeader(http.StatusServiceUnavailable)
-			_ = json.NewEncoder(w).Encode(wire.Error{Error: "no leader"})
+			_ = json.NewEncoder(w).Encode(wire.ErrorResponse{Error: "no leader"})
 		}
 	})
 }
--- a/lease_renewer.go
+++ b/lease_renewer.go
@@ -91,7 +91,7 @@
 
 // begin makes the record that the leader looks for.
 func (c *leaseRenewer) begin(ctx context.Context) (uint64, error) {
-	permit, err := c.n.state.GrantLease(ctx, renewalLife.Std())
+	permit, err := c.n.state.GrantLease(ctx, renewalLife.AsDuration())
 	if err != nil {
 		return 0, err
 	}
@@ -99,9 +99,9 @@
 	if err != nil {
 		return 0, err
 	}
-	_, err = c.n.state.CompareAndSwap(ctx, wire.Txn{If: []wire.Condition{{Key: state.LeaderKey, Version: c.token}}, Then: []wire.Change{
-		{Put: state.RenewerKey(c.n.set.Member, true), Value: value, Lease: permit},
-		{Put: state.RenewerKey(c.n.set.Member, false), Value: value}}})
+	_, err = c.n.state.CompareAndSwap(ctx, wire.Transaction{If: []wire.Condition{{Key: state.LeaderKey, Version: c.token}}, Then: []wire.Change{
+		{Put: state.ActiveRenewerKey(c.n.set.Member), Value: value, Lease: permit},
+		{Put: state.LastRenewerKey(c.n.set.Member), Value: value}}})
 	if err != nil {
 		return 0, err
 	}
@@ -112,7 +112,7 @@
 func (c *leaseRenewer) learn(ctx context.Context) (stop context.CancelFunc, err error) {
 	all := openNews{asked: c.n.clock.Now()}
 	var from uint64
-	if all.records, from, err = c.n.state.List(ctx, state.OpenPrefix); err != nil {
+	if all.records, from, err = c.n.state.List(ctx, state.OpenJobPrefix); err != nil {
 		return func() {}, err
 	}
 	c.mu.Lock()
@@ -155,7 +155,7 @@
 		if rec.Over == "" {
 			continue
 		}
-		id := it.Key[len(state.OpenPrefix):]
+		id := it.Key[len(state.OpenJobPrefix):]
 		over = append(over, id)
 		since, known := c.since(id)
 		for known {
@@ -189,7 +189,7 @@
 }
 
 // find gives by machine the attempts in a progress record of a job that was cancelled at the given time at the earliest.
-func (c *leaseRenewer) find(found map[string][]placed, id string, chunk wire.Item, since micros.Timestamp) {
+func (c *leaseRenewer) find(found map[string][]placed, id string, chunk wire.KeyValue, since micros.Timestamp) {
 	var rec state.ProgressRecord
 	if err := json.Unmarshal(chunk.Value, &rec); err != nil {
 		c.n.log.Error("a progress record can't be read", "key", chunk.Key, "err", err)
@@ -210,7 +210,7 @@
 	}
 	a := &wire.HeartbeatResponse{FencingToken: c.token, Commands: []wire.Command{}}
 	for _, t := range r.Tasks {
-		if id, _, ok := wire.SplitTask(t.Task); ok && c.over[id] && t.State != wire.TaskExited {
+		if id, _, ok := wire.ParseTaskName(t.Task); ok && c.over[id] && t.State != wire.TaskExited {
 			a.Commands = append(a.Commands, wire.StopCommand(t.Task, t.Attempt, 0))
 		}
 	}
--- a/node.go
+++ b/node.go
@@ -154,12 +154,12 @@
 	const calls = 0.7
 	d := &n.set.Deployment
 	if leading {
-		n.state.SetWriteShare(d.State.Effective().WriteRPS * (1 - urgentWrites))
-		n.cloud.SetShare(d.Cloud.RPS * calls)
+		n.state.SetWriteRate(d.State.Effective().WriteRPS * (1 - urgentWrites))
+		n.cloud.SetRate(d.Cloud.RPS * calls)
 		return
 	}
-	n.state.SetWriteShare(0)
-	n.cloud.SetShare(n.set.PerController(d.Cloud.RPS) / 3)
+	n.state.SetWriteRate(0)
+	n.cloud.SetRate(n.set.PerController(d.Cloud.RPS) / 3)
 }
 
 func (n *Node) start(f func()) {
@@ -183,7 +183,7 @@
 	r := httprouter.New()
 	// Users do not follow redirects.
 	r.RedirectTrailingSlash, r.RedirectFixedPath = false, false
-	api.New(n.state, n, n.set, n.log, n.clock.Wall).Register(r)
+	api.New(n.state, n, n.set, n.log, n.clock.UnixMicro).Register(r)
 	worker.Register(r, n)
 	// What the controller opens itself comes out of the same limit.
 	own := 40 + n.set.Deployment.Limits.MaxConnections/8
@@ -301,7 +301,7 @@
 
 // sleep waits, and tells whether it was not cut short.
 func sleep(ctx context.Context, s micros.Duration) bool {
-	t := time.NewTimer(s.Std())
+	t := time.NewTimer(s.AsDuration())
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -316,12 +316,12 @@
 func (n *Node) learnTypes(ctx context.Context) {
 	for n.Types() == nil {
 		var types []wire.MachineType
-		it, err := n.state.Get(ctx, state.TypesKey)
+		it, err := n.state.Get(ctx, state.MachineTypesKey)
 		if err == nil && it != nil {
 			err = json.Unmarshal(it.Value, &types)
 		}
 		if err != nil || len(types) == 0 {
-			types, err = n.cloud.Types(ctx)
+			types, err = n.cloud.MachineTypes(ctx)
 		}
 		if err == nil && len(types) > 0 {
 			n.types.CompareAndSwap(nil, &types)
--- a/records.go
+++ b/records.go
@@ -18,7 +18,7 @@
 // known. Writes follow one another, so at most one has an unknown outcome.
 func (t *term) write(ctx context.Context, w *manager.WriteBatch) {
 	n := t.n
-	txn := wire.Txn{If: []wire.Condition{{Key: state.LeaderKey, Version: t.token}}}
+	txn := wire.Transaction{If: []wire.Condition{{Key: state.LeaderKey, Version: t.token}}}
 	// A record that changes is conditioned on its version in any case.
 	for _, c := range slices.Concat(w.Changes, w.OpenRecordConditions) {
 		cond := wire.Condition{Key: c.Key, Version: c.Version}
@@ -43,14 +43,14 @@
 	}
 	for wait := 20 * micros.Millisecond; ; wait = min(2*wait, 500*micros.Millisecond) {
 		revision, err := n.state.CompareAndSwapDeferrable(ctx, txn)
-		var conflict *state.Conflict
+		var conflict *state.ConflictError
 		switch {
 		case err == nil:
 			n.served()
 			t.post(ctx, func(now micros.Timestamp) { t.mgr.WriteCommitted(now, w.ID, revision) })
 			return
 		case errors.As(err, &conflict):
-			if slices.Contains(conflict.Failed, state.LeaderKey) {
+			if slices.Contains(conflict.FailedKeys, state.LeaderKey) {
 				t.depose("the leader's key has changed")
 				return
 			}
@@ -93,13 +93,13 @@
 		if version == c.Version {
 			continue
 		}
-		var done state.StatusRecord
+		var done state.JobStatusRecord
 		var chunk state.ProgressRecord
 		switch {
 		case c.IdempotencyMark != "" && it != nil && json.Unmarshal(it.Value, &chunk) == nil && chunk.IdempotencyMark == c.IdempotencyMark,
 			c.Value == nil && it == nil,
-			c.Value == any(state.StatusRecord{Status: wire.JobDone}) && it != nil &&
-				json.Unmarshal(it.Value, &done) == nil && done.Status == wire.JobDone:
+			c.Value == any(state.JobStatusRecord{State: wire.JobDone}) && it != nil &&
+				json.Unmarshal(it.Value, &done) == nil && done.State == wire.JobDone:
 			if it == nil {
 				// A deletion leaves no version behind; any later one will do.
 				version = c.Version + 1
@@ -136,7 +136,7 @@
 // applyNews takes what the watch of the open records has brought.
 func (t *term) applyNews(ctx context.Context, u openNews) {
 	type changed struct {
-		rec     state.OpenRecord
+		rec     state.OpenJobRecord
 		version uint64
 	}
 	changes := make([]changed, 0, len(u.records))
@@ -150,7 +150,7 @@
 	}
 	t.post(ctx, func(now micros.Timestamp) {
 		for _, c := range changes {
-			t.mgr.OpenRecordChanged(now, t.resolved.at, t.n.clock.Wall(), c.rec, c.version)
+			t.mgr.OpenRecordChanged(now, t.resolved.at, t.n.clock.UnixMicro(), c.rec, c.version)
 		}
 		for _, id := range u.removed {
 			t.mgr.OpenRecordRemoved(id)
@@ -176,7 +176,7 @@
 	if err != nil || float64(len(value)) > t.n.set.Deployment.State.Effective().ValueKB*1024 {
 		return true // too many to store: the cloud has to be asked
 	}
-	_, err = t.n.state.CompareAndSwap(ctx, wire.Txn{If: []wire.Condition{{Key: state.LeaderKey, Version: t.token}},
-		Then: []wire.Change{{Put: state.TypesKey, Value: value}}})
+	_, err = t.n.state.CompareAndSwap(ctx, wire.Transaction{If: []wire.Condition{{Key: state.LeaderKey, Version: t.token}},
+		Then: []wire.Change{{Put: state.MachineTypesKey, Value: value}}})
 	return err == nil
 }
--- a/renting.go
+++ b/renting.go
@@ -17,7 +17,7 @@
 // requests that the cloud allows: rentals and deletions go through the same limit.
 func listPause(machines int, rps float64) micros.Duration {
 	const part = 4
-	pages := 1 + machines/wire.MachinePage
+	pages := 1 + machines/wire.MachinePageSize
 	return max(micros.Second, micros.Seconds(part*float64(pages)/rps))
 }
 
@@ -25,7 +25,7 @@
 func (t *term) watchCloud(ctx context.Context) {
 	machines := 0
 	for {
-		list, err := t.n.cloud.List(ctx)
+		list, err := t.n.cloud.ListMachines(ctx)
 		if err == nil {
 			machines = len(list)
 			t.post(ctx, func(now micros.Timestamp) { t.mgr.MachinesListed(now, list) })
@@ -49,7 +49,7 @@
 	n := t.n
 	stored := false
 	for {
-		types, err := n.cloud.Types(ctx)
+		types, err := n.cloud.MachineTypes(ctx)
 		if err == nil && len(types) > 0 {
 			n.types.Store(&types)
 			t.post(ctx, func(micros.Timestamp) {
--- a/resolved.go
+++ b/resolved.go
@@ -27,7 +27,7 @@
 type openNews struct {
 	asked   micros.Timestamp
 	whole   uint64 // records are all that there were at this revision, 0: what has changed
-	records []wire.Item
+	records []wire.KeyValue
 	removed []string // jobs
 }
 
@@ -35,20 +35,20 @@
 func (n *Node) watchOpen(ctx context.Context, from uint64, applyNews func(openNews)) {
 	for ctx.Err() == nil {
 		u := openNews{asked: n.clock.Now()}
-		r, err := n.state.Watch(ctx, state.OpenPrefix, from, settings.WatchTimeout.Std())
+		r, err := n.state.Watch(ctx, state.OpenJobPrefix, from, settings.WatchTimeout.AsDuration())
 		switch {
 		case err == nil:
 			n.served()
 			from = r.Revision
 			for _, ev := range r.Events {
 				if ev.Delete != "" {
-					u.removed = append(u.removed, ev.Delete[len(state.OpenPrefix):])
+					u.removed = append(u.removed, ev.Delete[len(state.OpenJobPrefix):])
 				} else {
-					u.records = append(u.records, wire.Item{Key: ev.Put, Value: ev.Value, Version: ev.Version})
+					u.records = append(u.records, wire.KeyValue{Key: ev.Put, Value: ev.Value, Version: ev.Version})
 				}
 			}
 		case errors.Is(err, state.ErrCompacted):
-			u.records, from, err = n.state.List(ctx, state.OpenPrefix)
+			u.records, from, err = n.state.List(ctx, state.OpenJobPrefix)
 			u.whole = from
 		}
 		if err == nil {
--- a/spread.go
+++ b/spread.go
@@ -98,7 +98,7 @@
 }
 
 // settle finds out what has become of a write, if one is given, and takes what is durable.
-func (s *spreader) settle(ctx context.Context, txn *wire.Txn) {
+func (s *spreader) settle(ctx context.Context, txn *wire.Transaction) {
 	_ = s.lock.holding(ctx, func() error { return s.t.settle(ctx, txn, s.reload) })
 }
 
--- a/term.go
+++ b/term.go
@@ -76,7 +76,7 @@
 	n.start(func() { t.watchCloud(ctx) })
 	n.start(func() { t.readRenewers(ctx) })
 	n.start(func() { t.watchPrices(ctx) })
-	tick := time.NewTicker(tickEvery.Std())
+	tick := time.NewTicker(tickEvery.AsDuration())
 	defer tick.Stop()
 	show := time.NewTimer(0)
 	defer show.Stop()
@@ -103,7 +103,7 @@
 			if now.Sub(t.shown) >= showEvery {
 				t.show(ctx, now)
 			} else {
-				show.Reset((showEvery - now.Sub(t.shown)).Std())
+				show.Reset((showEvery - now.Sub(t.shown)).AsDuration())
 			}
 		}
 		t.flush(ctx, now)
@@ -116,8 +116,8 @@
 	d := &n.set.Deployment
 	for {
 		asked := n.clock.Now()
-		open, revision, err := n.state.List(ctx, state.OpenPrefix)
-		var chunks []wire.Item
+		open, revision, err := n.state.List(ctx, state.OpenJobPrefix)
+		var chunks []wire.KeyValue
 		if err == nil {
 			chunks, _, err = n.state.List(ctx, state.ProgressPrefix)
 		}
@@ -134,7 +134,7 @@
 			t.mgr, err = manager.New(now, manager.Config{FencingToken: t.token, Teams: d.Teams, WorkerLease: n.set.WorkerLease(),
 				HeartbeatInterval: micros.Seconds(d.Workers.ReportS), LeaseMargin: micros.Second, CancelTimeout: micros.Seconds(d.Workers.CancelS), GangWaitTimeout: n.set.GangWaitTimeout(), GangPeerTimeout: n.set.GangPeerTimeout(), ListLag: micros.Seconds(d.Cloud.ListLagS),
 				Tuning: n.set.Tuning, TrackDisruptions: n.set.Tuning.Drains.Enabled, ReservationTTL: n.set.Tuning.Drains.ReservationTTL, MaxCommandPushes: max(4, d.Limits.MaxConnections/16), StoreLimits: d.State.Effective()},
-				n.clock.Wall(), open, chunks)
+				n.clock.UnixMicro(), open, chunks)
 			if err == nil {
 				err = t.restoreDrains(now, drains)
 			}
--- a/wire/validate.go
+++ b/wire/validate.go
@@ -58,7 +58,7 @@
 	if j.Kind != KindArray && j.Kind != KindGang && j.Kind != KindService {
 		return errors.New(`field "shape" is invalid`)
 	}
-	if _, ok := priorities[j.Urgency]; !ok {
+	if _, ok := priorities[j.PriorityName]; !ok {
 		return errors.New(`field "urgency" is invalid`)
 	}
 	if j.Tasks < 1 || j.Tasks > MaxTasks {
@@ -67,10 +67,10 @@
 	if j.Zone != nil && (*j.Zone == "" || len(*j.Zone) > 200) {
 		return errors.New(`field "yard" is invalid`)
 	}
-	if len(j.Types) > 100 {
+	if len(j.MachineTypes) > 100 {
 		return errors.New(`field "builds" is too long`)
 	}
-	for _, t := range j.Types {
+	for _, t := range j.MachineTypes {
 		if t == "" || len(t) > 200 {
 			return errors.New(`field "builds" is invalid`)
 		}
@@ -79,7 +79,7 @@
 		field string
 		v     float64
 	}{{"cores", j.CPUs}, {"cards", j.GPUs}, {"memory_gb", j.MemoryGB}, {"size_gb", j.ImageGB},
-		{"guess_s", j.EstimateS}, {"snapshot_s", j.CheckpointS}, {"stash_s", j.SaveS}}
+		{"guess_s", j.EstimateS}, {"snapshot_s", j.CheckpointIntervalS}, {"stash_s", j.CheckpointSaveS}}
 	if j.DeadlineS != nil {
 		amounts = append(amounts, struct {
 			field string
@@ -112,7 +112,7 @@
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
 // SplitTask takes a task's name apart.
-func SplitTask(name string) (job string, index int, ok bool) {
+func ParseTaskName(name string) (job string, index int, ok bool) {
 	job, num, found := strings.Cut(name, "/")
 	if !found || !ValidJobID(job) {
 		return "", 0, false
@@ -127,14 +127,14 @@
 // Allows tells whether the job's tasks may be on a machine of this type, zone and
 // kind, and fit on it when it is empty.
 func (j *Job) Allows(t *MachineType, zone string, spot bool) bool {
-	return (j.Spot || !spot) && (j.Zone == nil || *j.Zone == zone) && j.Fits(t)
+	return (j.AllowSpot || !spot) && (j.Zone == nil || *j.Zone == zone) && j.Fits(t)
 }
 
 // Fits tells whether one task fits an empty machine of an allowed type.
 func (j *Job) Fits(t *MachineType) bool {
-	if j.Types != nil {
+	if j.MachineTypes != nil {
 		found := false
-		for _, name := range j.Types {
+		for _, name := range j.MachineTypes {
 			found = found || name == t.Name
 		}
 		if !found {
--- a/wire/validate_test.go
+++ b/wire/validate_test.go
@@ -51,11 +51,11 @@
 }
 
 func TestSplitTask(t *testing.T) {
-	if id, n, ok := SplitTask("run-000412/3"); !ok || id != "run-000412" || n != 3 {
+	if id, n, ok := ParseTaskName("run-000412/3"); !ok || id != "run-000412" || n != 3 {
 		t.Errorf("got %q %d %v", id, n, ok)
 	}
 	for _, s := range []string{"run-000412", "run-000412/", "run-000412/-1", "job/1", "run-000412/100000"} {
-		if _, _, ok := SplitTask(s); ok {
+		if _, _, ok := ParseTaskName(s); ok {
 			t.Errorf("accepted %q", s)
 		}
 	}
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -6,7 +6,7 @@
 import "encoding/json"
 
 // MaxBody is the largest request body, in bytes.
-const MaxBody = 64 << 10
+const MaxBodyBytes = 64 << 10
 
 // Paths of the service's own interface.
 const (
@@ -14,7 +14,7 @@
 	PathHealth    = "/healthz"
 	PathHeartbeat = "/hello"
 	PathCommands  = "/do"
-	VerbCancel    = "withdraw"
+	ActionCancel  = "withdraw"
 )
 
 // Job states as users see them.
@@ -27,23 +27,23 @@
 
 // Task states as workers report them.
 const (
-	TaskFetching = "fetching"
-	TaskWaiting  = "waiting" // task of a gang: for the others of its attempt
-	TaskRunning  = "running"
-	TaskSaving   = "saving"
-	TaskExited   = "ended"
+	TaskFetching       = "fetching"
+	TaskWaitingForGang = "waiting" // task of a gang: for the others of its attempt
+	TaskRunning        = "running"
+	TaskCheckpointing  = "saving"
+	TaskExited         = "ended"
 )
 
 // Reasons why a task exited.
 const (
-	ExitDone         = "done"
-	ExitStopped      = "halted"
-	ExitError        = "error"
-	ExitNoRoom       = "no_room"
-	ExitBusy         = "in_use"
-	ExitUnknown      = "unknown"
-	ExitGangPeerGone = "mates_gone" // task of a gang: another is gone
-	ExitGangTimeout  = "alone"      // task of a gang: it was not complete in time
+	ExitCompleted             = "done"
+	ExitStopped               = "halted"
+	ExitError                 = "error"
+	ExitInsufficientResources = "no_room"
+	ExitConflictingAttempt    = "in_use"
+	ExitUnknownTask           = "unknown"
+	ExitGangPeerGone          = "mates_gone" // task of a gang: another is gone
+	ExitGangTimeout           = "alone"      // task of a gang: it was not complete in time
 )
 
 // Commands to workers.
@@ -76,41 +76,41 @@
 
 // Job is a submission.
 type Job struct {
-	ID          string   `json:"id"`
-	Class       string   `json:"lane"`
-	Team        string   `json:"owner"`
-	Kind        string   `json:"shape"`
-	Urgency     string   `json:"urgency"`
-	Tasks       int      `json:"pieces"`
-	CPUs        float64  `json:"cores"`
-	GPUs        float64  `json:"cards"`
-	MemoryGB    float64  `json:"memory_gb"`
-	Image       string   `json:"bundle"`
-	ImageGB     float64  `json:"size_gb"`
-	Types       []string `json:"builds"`
-	Zone        *string  `json:"yard"`
-	SameZone    bool     `json:"together"`
-	SpreadZones bool     `json:"scatter"`
-	Spot        bool     `json:"loaners"`
-	EstimateS   float64  `json:"guess_s"`
-	CheckpointS float64  `json:"snapshot_s"`
-	SaveS       float64  `json:"stash_s"`
-	DeadlineS   *float64 `json:"due_s"`
+	ID                  string   `json:"id"`
+	Class               string   `json:"lane"`
+	Team                string   `json:"owner"`
+	Kind                string   `json:"shape"`
+	PriorityName        string   `json:"urgency"`
+	Tasks               int      `json:"pieces"`
+	CPUs                float64  `json:"cores"`
+	GPUs                float64  `json:"cards"`
+	MemoryGB            float64  `json:"memory_gb"`
+	Image               string   `json:"bundle"`
+	ImageGB             float64  `json:"size_gb"`
+	MachineTypes        []string `json:"builds"`
+	Zone                *string  `json:"yard"`
+	SameZone            bool     `json:"together"`
+	SpreadZones         bool     `json:"scatter"`
+	AllowSpot           bool     `json:"loaners"`
+	EstimateS           float64  `json:"guess_s"`
+	CheckpointIntervalS float64  `json:"snapshot_s"`
+	CheckpointSaveS     float64  `json:"stash_s"`
+	DeadlineS           *float64 `json:"due_s"`
 }
 
 // Priority gives the job's urgency as a number.
-func (j *Job) Priority() Priority { return priorities[j.Urgency] }
+func (j *Job) Priority() Priority { return priorities[j.PriorityName] }
 
 // JobStatus answers users.
 type JobStatus struct {
-	ID      string `json:"id"`
-	Status  string `json:"status"`
-	Done    *int   `json:"done,omitempty"`
-	Running *int   `json:"running,omitempty"`
+	ID           string `json:"id"`
+	State        string `json:"status"`
+	DoneTasks    *int   `json:"done,omitempty"`
+	RunningTasks *int   `json:"running,omitempty"`
 }
 
 // Error is the body of an answer that refuses something.
-type Error struct {
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
@@ -122,7 +122,7 @@
 	Zone         string       `json:"yard"`
 	Spot         bool         `json:"loaners"`
 	Incarnation  uint64       `json:"shift"`
-	Seq          uint64       `json:"tick"`
+	Sequence     uint64       `json:"tick"`
 	FencingToken uint64       `json:"baton"`
 	ReclaimInS   *float64     `json:"recall_s"`
 	Tasks        []TaskStatus `json:"pieces"`
@@ -130,11 +130,11 @@
 
 // TaskStatus is a task as its worker sees it.
 type TaskStatus struct {
-	Task       string `json:"piece"`
-	Attempt    uint64 `json:"try"`
-	State      string `json:"status"`
-	ExitReason string `json:"cause,omitempty"`
-	Saved      bool   `json:"saved,omitempty"`
+	Task            string `json:"piece"`
+	Attempt         uint64 `json:"try"`
+	State           string `json:"status"`
+	ExitReason      string `json:"cause,omitempty"`
+	CheckpointSaved bool   `json:"saved,omitempty"`
 }
 
 // Command is an order to a worker.
@@ -197,8 +197,8 @@
 }
 
 // MachineNames lists machines: the answer to a hire and the request of a deletion.
-type MachineNames struct {
-	Machines []string `json:"boxes"`
+type MachineIDs struct {
+	IDs []string `json:"boxes"`
 }
 
 // Machine is a machine as the cloud lists it.
@@ -213,16 +213,16 @@
 }
 
 // MachinePage is how many machines the cloud lists in one answer.
-const MachinePage = 500
+const MachinePageSize = 500
 
 // MachineList is a page of the cloud's list.
-type MachineList struct {
+type MachinePage struct {
 	Machines []Machine `json:"boxes"`
 	More     bool      `json:"truncated"`
 }
 
 // Item is a key of the state service.
-type Item struct {
+type KeyValue struct {
 	Key     string          `json:"k"`
 	Value   json.RawMessage `json:"value"`
 	Version uint64          `json:"stamp"`
@@ -230,10 +230,10 @@
 }
 
 // ItemList is a page of keys.
-type ItemList struct {
-	Items    []Item `json:"entries"`
-	More     bool   `json:"truncated"`
-	Revision uint64 `json:"ledger"`
+type KeyValuePage struct {
+	Entries  []KeyValue `json:"entries"`
+	More     bool       `json:"truncated"`
+	Revision uint64     `json:"ledger"`
 }
 
 // Condition demands that a key has a version; 0: that it does not exist.
@@ -251,29 +251,29 @@
 }
 
 // Txn is a conditional transaction.
-type Txn struct {
+type Transaction struct {
 	If   []Condition `json:"when"`
 	Then []Change    `json:"then,omitempty"`
 }
 
 // TxnResult answers a transaction.
-type TxnResult struct {
-	Revision uint64   `json:"ledger"`
-	Failed   []string `json:"failed,omitempty"`
+type TransactionResult struct {
+	Revision   uint64   `json:"ledger"`
+	FailedKeys []string `json:"failed,omitempty"`
 }
 
 // LeaseRequest asks for a permit.
-type LeaseRequest struct {
+type StoreLeaseRequest struct {
 	TTLMillis int64 `json:"life_ms"`
 }
 
 // Lease is a permit.
-type Lease struct {
+type StoreLease struct {
 	ID uint64 `json:"permit"`
 }
 
 // Event is a change seen by a watch.
-type Event struct {
+type WatchEvent struct {
 	Put     string          `json:"set,omitempty"`
 	Value   json.RawMessage `json:"value,omitempty"`
 	Delete  string          `json:"delete,omitempty"`
@@ -281,7 +281,7 @@
 }
 
 // WatchResult answers a watch.
-type WatchResult struct {
-	Revision uint64  `json:"ledger"`
-	Events   []Event `json:"log"`
+type WatchResponse struct {
+	Revision uint64       `json:"ledger"`
+	Events   []WatchEvent `json:"log"`
 }
