--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -5,82 +5,103 @@
 	"testing"
 )
 
-// Each line tells a gang of three what happens, and after "=" the phase and, if there is
-// something to do, what.
-var lives = []string{
-	"placed placed placed = granted; recorded recorded = granted; recorded = launched launch",
-	"whole; runs = running; done = complete finish; done = complete; gone gone gone = complete",
-	// A task gone before the start, or while all run: the rest is ended, and a new attempt
-	// waits for the last of them.
-	"whole; gone = ending end; gone = ending; gone = apart",
-	"whole; runs; gone = ending end; saves = ending; gone gone = apart; placed = granted",
-	"placed placed placed recorded; gone = ending end; recorded = ending; gone gone = apart",
-	// An orderly stop: safe once one has saved; not if one is gone before.
-	"whole; runs; stop = stopping save; stop = stopping; gone! = stopping; gone = stopping; gone = apart",
-	"whole; runs; stop = stopping save; gone = ending end; gone gone = apart",
-	"whole; stop = ending end",
-	"stop = apart",
-	// A new leader finds all, a part, or one that saves already.
-	"found found found; rebuilt = launched; runs = running",
-	"found found; rebuilt = ending end; gone gone = apart",
-	"rebuilt = apart",
-	"found found found; rebuilt; runs; saves = stopping save; saves = stopping; gone! gone gone = apart",
-	"found found found; rebuilt; saves = stopping save",
-	"found found found; rebuilt; gone = ending end; done = complete finish",
-	// Cancelled.
-	"whole; runs; end = ending end; end = ending; gone gone gone = apart",
-	"whole; runs; stop; end = ending end",
+// TestLifeCycle plays events on a gang of three tasks. Each script is a list of events; after "=" stand the phase and, if
+// the last event requires one, the action.
+func TestLifeCycle(t *testing.T) {
+	for _, test := range []struct{ name, script string }{
+		{"launched once all placements are durable",
+			"placed placed placed = granted; durable durable = granted; durable = launched launch"},
+		{"one task done completes the gang",
+			"launched; running = running; done = complete finish; done = complete; gone gone gone = complete"},
+		{"a task gone before the start ends the attempt",
+			"launched; gone = ending stop; gone = ending; gone = idle"},
+		{"a task gone while all run ends the attempt, and a new one waits for the last task",
+			"launched; running; gone = ending stop; checkpointing = ending; gone gone = idle; placed = granted"},
+		{"a task gone before all placements are durable ends the attempt",
+			"placed placed placed durable; gone = ending stop; durable = ending; gone gone = idle"},
+		{"preemption is safe once one task has saved",
+			"launched; running; preempt = checkpointing checkpoint; preempt = checkpointing; " +
+				"gone-saved = checkpointing; gone = checkpointing; gone = idle"},
+		{"preemption fails if a task is gone before any has saved",
+			"launched; running; preempt = checkpointing checkpoint; gone = ending stop; gone gone = idle"},
+		{"preemption before the start is an abort",
+			"launched; preempt = ending stop"},
+		{"preemption of an idle gang does nothing",
+			"preempt = idle"},
+		{"a new leader recovers all tasks",
+			"recovered recovered recovered; recovery-done = launched; running = running"},
+		{"a new leader recovers a part of the tasks",
+			"recovered recovered; recovery-done = ending stop; gone gone = idle"},
+		{"a new leader recovers nothing",
+			"recovery-done = idle"},
+		{"a new leader recovers a gang that runs and is asked to checkpoint",
+			"recovered recovered recovered; recovery-done; running; checkpointing = checkpointing checkpoint; " +
+				"checkpointing = checkpointing; gone-saved gone gone = idle"},
+		{"a new leader recovers a gang that checkpoints already",
+			"recovered recovered recovered; recovery-done; checkpointing = checkpointing checkpoint"},
+		{"a task done after another is gone still completes the gang",
+			"recovered recovered recovered; recovery-done; gone = ending stop; done = complete finish"},
+		{"cancelled while it runs",
+			"launched; running; abort = ending stop; abort = ending; gone gone gone = idle"},
+		{"cancelled while it checkpoints",
+			"launched; running; preempt; abort = ending stop"},
+	} {
+		t.Run(test.name, func(t *testing.T) { play(t, test.script) })
+	}
 }
 
-func TestLives(t *testing.T) {
-	for _, life := range lives {
-		g := New(3)
-		for _, part := range strings.Split(life, ";") {
-			words, want, checked := strings.Cut(part, "=")
-			next := None
-			for _, w := range strings.Fields(words) {
-				next = tell(t, g, w)
-			}
-			got := strings.TrimSpace(g.Phase().String() + " " + [...]string{"", "launch", "end", "save", "finish"}[next])
-			if checked && got != strings.TrimSpace(want) {
-				t.Errorf("%q: after %q: %s, want %s", life, strings.TrimSpace(words), got, strings.TrimSpace(want))
-			}
+// play applies the events of a script and checks what stands after "=".
+func play(t *testing.T, script string) {
+	t.Helper()
+	gang := New(3)
+	for step := range strings.SplitSeq(script, ";") {
+		events, want, checked := strings.Cut(step, "=")
+		action := None
+		for _, event := range strings.Fields(events) {
+			action = apply(t, gang, event)
 		}
-		if may := g.MayLaunch(); may != (g.Phase() == Launched) {
-			t.Errorf("%q: may launch: %v", life, may)
+		actionName := [...]string{"", "launch", "stop", "checkpoint", "finish"}[action]
+		got := strings.TrimSpace(gang.Phase().String() + " " + actionName)
+		if want = strings.TrimSpace(want); checked && got != want {
+			t.Errorf("after %q: %s, want %s", strings.TrimSpace(events), got, want)
 		}
 	}
+	if may := gang.MayLaunch(); may != (gang.Phase() == Launched) {
+		t.Errorf("may launch in phase %s: %v", gang.Phase(), may)
+	}
 }
 
-func tell(t *testing.T, g *Gang, word string) Action {
-	switch word {
+// apply applies one event; "launched" stands for all events up to that phase.
+func apply(t *testing.T, gang *Gang, event string) Action {
+	t.Helper()
+	switch event {
 	case "placed":
-		g.TaskPlaced()
-	case "recorded":
-		return g.PlacementDurable()
-	case "whole":
+		gang.TaskPlaced()
+	case "durable":
+		return gang.PlacementDurable()
+	case "launched":
 		for range 3 {
-			g.TaskPlaced()
-			g.PlacementDurable()
+			gang.TaskPlaced()
+			gang.PlacementDurable()
 		}
-	case "found":
-		g.TaskRecovered()
-	case "rebuilt":
-		return g.RecoveryDone()
-	case "runs":
-		g.TaskRunning()
-	case "saves":
-		return g.TaskCheckpointing()
-	case "stop":
-		return g.Preempt()
-	case "end":
-		return g.Abort()
+	case "recovered":
+		gang.TaskRecovered()
+	case "recovery-done":
+		return gang.RecoveryDone()
+	case "running":
+		gang.TaskRunning()
+	case "checkpointing":
+		return gang.TaskCheckpointing()
+	case "preempt":
+		return gang.Preempt()
+	case "abort":
+		return gang.Abort()
 	case "done":
-		return g.TaskDone()
-	case "gone", "gone!":
-		return g.TaskGone(word == "gone!")
+		return gang.TaskDone()
+	case "gone", "gone-saved":
+		return gang.TaskGone(event == "gone-saved")
 	default:
-		t.Fatalf("unknown word %q", word)
+		t.Fatalf("unknown event %q", event)
 	}
 	return None
 }
