--- a/elect.go
+++ b/elect.go
@@ -131,51 +131,61 @@
 	var c *state.ConflictError
 	switch {
 	case err == nil:
-		return election.OK
+		return election.Succeeded
 	case errors.As(err, &c):
 		return election.Conflict
 	case errors.Is(err, state.ErrLeaseExpired):
 		return election.LeaseExpired
 	}
-	return election.Unknown
+	return election.OutcomeUnknown
 }
 
-func (d *elector) carryOut(ctx context.Context, e election.Effect) {
+// carryOut carries out an effect of the election; requests to the store run in goroutines of their own.
+func (d *elector) carryOut(ctx context.Context, effect election.Effect) {
 	n := d.n
-	asked := n.clock.Now()
-	switch {
-	case e.Read:
+	sentAt := n.clock.Now()
+	switch effect := effect.(type) {
+	case election.ReadLeader:
 		n.start(func() { _, _ = d.read(ctx) })
-	case e.GrantLease:
+	case election.GrantLease:
 		n.start(func() {
-			permit, err := n.state.GrantLease(ctx, d.life.AsDuration())
+			lease, err := n.state.GrantLease(ctx, d.life.AsDuration())
 			d.post(ctx, func(now micros.Timestamp) []election.Effect {
-				return d.e.LeaseGranted(now, asked, permit, outcome(err))
+				return d.e.LeaseGranted(now, sentAt, lease, outcome(err))
 			})
 		})
-	case e.Claim != nil:
+	case election.ClaimLeadership:
 		n.start(func() {
-			value, err := json.Marshal(e.Claim.Record)
-			var version uint64
-			if err == nil {
-				version, err = n.state.CompareAndSwap(ctx, wire.Transaction{If: []wire.Condition{{Key: state.LeaderKey, Version: e.Claim.Version}},
-					Then: []wire.Change{{Put: state.LeaderKey, Value: value, Lease: e.Claim.Lease}}})
-			}
-			d.post(ctx, func(now micros.Timestamp) []election.Effect { return d.e.LeadershipClaimed(now, version, outcome(err)) })
+			version, err := d.claim(ctx, effect)
+			d.post(ctx, func(now micros.Timestamp) []election.Effect {
+				return d.e.LeadershipClaimed(now, version, outcome(err))
+			})
 		})
-	case e.RenewLease != 0:
+	case election.RenewLease:
 		n.start(func() {
-			err := n.state.RenewLease(ctx, e.RenewLease)
+			err := n.state.RenewLease(ctx, effect.Lease)
 			if err == nil {
 				n.served()
 			}
-			d.post(ctx, func(now micros.Timestamp) []election.Effect { return d.e.LeaseRenewed(now, asked, outcome(err)) })
+			d.post(ctx, func(now micros.Timestamp) []election.Effect { return d.e.LeaseRenewed(now, sentAt, outcome(err)) })
 		})
-	case e.StartTerm != 0:
-		n.log.Info("leading", "token", e.StartTerm)
-	case e.StepDown != "":
-		n.log.Info("no longer leading", "why", e.StepDown)
+	case election.StartTerm:
+		n.log.Info("leading", "token", effect.FencingToken)
+	case election.StepDown:
+		n.log.Info("no longer leading", "why", effect.Reason)
+	}
+}
+
+// claim writes the leader's key and returns its new version, which is the fencing token.
+func (d *elector) claim(ctx context.Context, claim election.ClaimLeadership) (version uint64, err error) {
+	value, err := json.Marshal(claim.Record)
+	if err != nil {
+		return 0, err
 	}
+	return d.n.state.CompareAndSwap(ctx, wire.Transaction{
+		If:   []wire.Condition{{Key: state.LeaderKey, Version: claim.ReplacedVersion}},
+		Then: []wire.Change{{Put: state.LeaderKey, Value: value, Lease: claim.Lease}},
+	})
 }
 
 // served notes that the state service has served this controller.
@@ -185,7 +195,7 @@
 func (d *elector) read(ctx context.Context) (uint64, bool) {
 	items, revision, err := d.n.state.List(ctx, state.LeaderKey)
 	if err != nil {
-		d.post(ctx, func(now micros.Timestamp) []election.Effect { return d.e.LeaderObserved(now, nil, 0, false) })
+		d.post(ctx, func(now micros.Timestamp) []election.Effect { return d.e.LeaderReadFailed(now) })
 		return 0, false
 	}
 	d.n.served()
@@ -209,7 +219,7 @@
 }
 
 func (d *elector) seen(ctx context.Context, rec *state.LeaderRecord, version uint64) {
-	d.post(ctx, func(now micros.Timestamp) []election.Effect { return d.e.LeaderObserved(now, rec, version, true) })
+	d.post(ctx, func(now micros.Timestamp) []election.Effect { return d.e.LeaderObserved(now, rec, version) })
 }
 
 // watch follows the leader's key.
--- a/internal/ingress/limit.go
+++ b/internal/ingress/limit.go
@@ -9,7 +9,7 @@
 
 // Limit keeps a server's connections below a limit: at the limit, the connection that has been idle longest makes
 // room; if none is idle, the new one is closed.
-type Limit struct {
+type ConnLimiter struct {
 	mu   sync.Mutex
 	most int
 	// idleSince holds the open connections; zero: at work.
@@ -17,10 +17,12 @@
 }
 
 // NewLimit makes a limit of so many connections.
-func NewLimit(most int) *Limit { return &Limit{most: most, idleSince: map[net.Conn]time.Time{}} }
+func NewConnLimiter(most int) *ConnLimiter {
+	return &ConnLimiter{most: most, idleSince: map[net.Conn]time.Time{}}
+}
 
 // ConnState is a hook for http.Server.
-func (l *Limit) ConnState(conn net.Conn, s http.ConnState) {
+func (l *ConnLimiter) ConnState(conn net.Conn, s http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch s {
@@ -38,7 +40,7 @@
 	}
 }
 
-func (l *Limit) evict(newest net.Conn) {
+func (l *ConnLimiter) evict(newest net.Conn) {
 	victim := newest
 	var longest time.Time
 	for conn, since := range l.idleSince {
--- a/internal/ingress/limit_test.go
+++ b/internal/ingress/limit_test.go
@@ -22,7 +22,7 @@
 func TestLongestIdleMakesRoom(t *testing.T) { synctest.Test(t, longestIdleMakesRoom) }
 
 func longestIdleMakesRoom(t *testing.T) {
-	l := NewLimit(2)
+	l := NewConnLimiter(2)
 	a, b, c, d := &closing{}, &closing{}, &closing{}, &closing{}
 	l.ConnState(a, http.StateNew)
 	l.ConnState(b, http.StateNew)
--- a/node.go
+++ b/node.go
@@ -187,7 +187,7 @@
 	worker.Register(r, n)
 	// What the controller opens itself comes out of the same limit.
 	own := 40 + n.set.Deployment.Limits.MaxConnections/8
-	limit := ingress.NewLimit(max(16, n.set.Deployment.Limits.MaxConnections-own))
+	limit := ingress.NewConnLimiter(max(16, n.set.Deployment.Limits.MaxConnections-own))
 	admission := ingress.NewAdmission(reportBatch*runtime.GOMAXPROCS(0), reportPatience)
 	n.start(func() { admission.Run(ctx) })
 	srv := &http.Server{Handler: r, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 20 * time.Second,
