--- a/internal/manager/bench_test.go
+++ b/internal/manager/bench_test.go
@@ -40,10 +40,10 @@
 	}
 	i := 0
 	next = func() *wire.Heartbeat {
-		r := reports[i%machines]
+		heartbeat := reports[i%machines]
 		i++
-		r.Sequence++
-		return r
+		heartbeat.Sequence++
+		return heartbeat
 	}
 	for range machines {
 		m.Heartbeat(*now, next(), "", true)
@@ -58,18 +58,18 @@
 		}
 	}
 	for rev := uint64(1000); ; rev++ {
-		w := m.NextWrite(*now)
-		if w == nil {
+		batch := m.NextWrite(*now)
+		if batch == nil {
 			break
 		}
-		m.WriteCommitted(*now, w.ID, rev)
+		m.WriteCommitted(*now, batch.ID, rev)
 	}
-	for _, r := range reports {
-		for _, a := range sorted(m.machines[r.Machine].attempts) {
-			r.Tasks = append(r.Tasks, wire.TaskStatus{Task: a.name, Attempt: a.id, State: wire.TaskRunning})
+	for _, heartbeat := range reports {
+		for _, attempt := range attemptsByID(m.machines[heartbeat.Machine].attempts) {
+			heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: attempt.taskName, Attempt: attempt.id, State: wire.TaskRunning})
 		}
-		r.Sequence++
-		m.Heartbeat(*now, r, "", true)
+		heartbeat.Sequence++
+		m.Heartbeat(*now, heartbeat, "", true)
 	}
 	m.Snapshot(*now)
 	b.ReportAllocs()
@@ -96,8 +96,8 @@
 			for range machines / 20 {
 				m.Heartbeat(*now, next(), "", true)
 			}
-			v := m.Snapshot(*now)
-			m.SnapshotUpdate(*now, v.Version-1)
+			snapshot := m.Snapshot(*now)
+			m.SnapshotUpdate(*now, snapshot.Version-1)
 		}
 	})
 }
@@ -108,8 +108,8 @@
 		m, now, next := largeFleet(b, machines)
 		var list []wire.Machine
 		for range len(m.machines) {
-			r := next()
-			list = append(list, wire.Machine{ID: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, State: wire.MachineRunning})
+			heartbeat := next()
+			list = append(list, wire.Machine{ID: heartbeat.Machine, Addr: heartbeat.Addr, Type: heartbeat.Type, Zone: heartbeat.Zone, State: wire.MachineRunning})
 		}
 		for b.Loop() {
 			m.MachinesListed(*now, list)
@@ -165,9 +165,9 @@
 func BenchmarkDirectsAllOut(b *testing.B) {
 	bySize(b, func(b *testing.B, machines int) {
 		m, now, _ := largeFleet(b, machines)
-		m.directs = m.cfg.MaxCommandPushes
+		m.pushesInFlight = m.cfg.MaxCommandPushes
 		for id := range m.machines {
-			m.direct[id] = true
+			m.pushCandidates[id] = true
 		}
 		for b.Loop() {
 			m.CommandPushes(*now, true)
@@ -180,8 +180,8 @@
 func BenchmarkKeepRoom(b *testing.B) {
 	bySize(b, func(b *testing.B, machines int) {
 		m, now, next := largeFleet(b, machines)
-		for j := range keepFor {
-			rec := record(fmt.Sprintf("run-%06d", 900+j), 100, func(jb *wire.Job) { jb.CPUs = 32 })
+		for j := range maxReservingJobs {
+			rec := record(fmt.Sprintf("run-%06d", 900+j), 100, func(spec *wire.Job) { spec.CPUs = 32 })
 			m.OpenRecordChanged(*now, *now, 0, rec, uint64(5000+j))
 		}
 		*now = now.Add(micros.Minute)
@@ -191,8 +191,8 @@
 		b.ResetTimer()
 		for b.Loop() {
 			m.ReserveForWaitingJobs(*now)
-			for _, mc := range m.machines {
-				mc.keep = ""
+			for _, machine := range m.machines {
+				machine.reservedForJob = ""
 			}
 		}
 	})
--- a/internal/manager/disruptions.go
+++ b/internal/manager/disruptions.go
@@ -19,41 +19,43 @@
 	writing string // its entries in the write that is out
 }
 
-func taskOf(a *attempt) disruption.Task { return disruption.Task{Job: a.job.rec.Job.ID, Index: a.task} }
+func taskID(attempt *taskAttempt) disruption.Task {
+	return disruption.Task{Job: attempt.job.record.Job.ID, Index: attempt.taskIndex}
+}
 
 // launched tells whether the worker may know of an attempt.
-func (a *attempt) launched() bool {
-	return !a.ours || a.sentSeq != 0 || a.directOut || a.directLost || a.listed
+func (attempt *taskAttempt) launched() bool {
+	return !attempt.grantedThisTerm || attempt.launchSentSeq != 0 || attempt.pushInFlight || attempt.pushOutcomeUnknown || attempt.listed
 }
 
 // disturb notes that an attempt which may run is stopped or lost. The job's own end is no disturbance, nor is that of an
 // attempt which has given its result.
-func (m *Manager) disturb(now micros.Timestamp, a *attempt, cause disruption.Cause) {
-	j := a.job
-	if m.ledger == nil || j.over != "" || j.tasks[a.task] != taskActive || !a.launched() || a.refused {
+func (m *Manager) beginDisturbance(now micros.Timestamp, attempt *taskAttempt, cause disruption.Cause) {
+	job := attempt.job
+	if m.ledger == nil || job.finalState != "" || job.taskStates[attempt.taskIndex] != taskActive || !attempt.launched() || attempt.failed {
 		return
 	}
-	if m.ledger.Begin(disruption.Disruption{Task: taskOf(a), Team: j.rec.Job.Team, Attempt: a.id, Cause: cause, Since: now}) {
-		m.touch(now, j, a.task, false)
-		m.note("work is disturbed", "task", a.name, "attempt", a.id, "team", j.rec.Job.Team, "cause", string(cause), "machine", a.machine.id)
+	if m.ledger.Begin(disruption.Disruption{Task: taskID(attempt), Team: job.record.Job.Team, Attempt: attempt.id, Cause: cause, Since: now}) {
+		m.markShardDirty(now, job, attempt.taskIndex, false)
+		m.event("work is disturbed", "task", attempt.taskName, "attempt", attempt.id, "team", job.record.Job.Team, "cause", string(cause), "machine", attempt.machine.id)
 	}
 }
 
 // runs notes that an attempt is reported running, which ends the disturbance of its task. Where it is the very attempt that
 // was to be stopped, an earlier leader has decided so and not carried it out, and won't any more: the worker has our token.
-func (m *Manager) runs(now micros.Timestamp, a *attempt) {
-	d, ok := m.ledger.Get(taskOf(a))
-	if !ok || d.Attempt == a.id && (a.stop || a.evicting) {
+func (m *Manager) endDisturbanceIfRunning(now micros.Timestamp, attempt *taskAttempt) {
+	d, ok := m.ledger.Get(taskID(attempt))
+	if !ok || d.Attempt == attempt.id && (attempt.stopping || attempt.evictionPending) {
 		return
 	}
-	m.endDisturbance(now, a.job, a.task)
+	m.endDisturbance(now, attempt.job, attempt.taskIndex)
 }
 
 // endDisturbance notes that a task runs again, or need not any more.
-func (m *Manager) endDisturbance(now micros.Timestamp, j *job, task int) {
-	if d, ok := m.ledger.End(disruption.Task{Job: j.rec.Job.ID, Index: task}); ok {
-		m.touch(now, j, task, false)
-		m.note("work is disturbed no longer", "task", d.Task.String(), "team", d.Team, "cause", string(d.Cause), "after_s", now.Sub(d.Since).Seconds())
+func (m *Manager) endDisturbance(now micros.Timestamp, job *jobState, task int) {
+	if d, ok := m.ledger.End(disruption.Task{Job: job.record.Job.ID, Index: task}); ok {
+		m.markShardDirty(now, job, task, false)
+		m.event("work is disturbed no longer", "task", d.Task.String(), "team", d.Team, "cause", string(d.Cause), "after_s", now.Sub(d.Since).Seconds())
 	}
 }
 
@@ -64,9 +66,9 @@
 	}
 	for _, it := range items {
 		id, n, ok := state.ParseDisruptionKey(it.Key)
-		j := m.jobs[id]
-		if !ok || j == nil {
-			m.orphans = append(m.orphans, RecordChange{Key: it.Key, Version: it.Version})
+		job := m.jobs[id]
+		if !ok || job == nil {
+			m.orphanRecords = append(m.orphanRecords, RecordChange{Key: it.Key, Version: it.Version})
 			continue
 		}
 		var rec state.DisruptionRecord
@@ -77,15 +79,15 @@
 		if err != nil {
 			return &state.RecordError{Key: it.Key, Err: err}
 		}
-		j.chunk(n).disruption = disruptionRecord{version: it.Version, stored: stored}
+		job.shard(n).disruptions = disruptionRecord{version: it.Version, stored: stored}
 		for _, o := range rec.Open {
-			if o.Task < 0 || o.Task >= len(j.tasks) || j.tasks[o.Task] >= taskDone || j.over != "" {
+			if o.Task < 0 || o.Task >= len(job.taskStates) || job.taskStates[o.Task] >= taskDone || job.finalState != "" {
 				continue
 			}
 			task := disruption.Task{Job: id, Index: o.Task}
-			m.ledger.Begin(disruption.Disruption{Task: task, Team: j.rec.Job.Team, Attempt: o.Attempt, Cause: disruption.Cause(o.Cause), Since: now})
+			m.ledger.Begin(disruption.Disruption{Task: task, Team: job.record.Job.Team, Attempt: o.Attempt, Cause: disruption.Cause(o.Cause), Since: now})
 			if o.ReservedMachine != "" {
-				m.promisedTo[task] = o.ReservedMachine
+				m.inheritedReservations[task] = o.ReservedMachine
 			}
 		}
 	}
@@ -101,16 +103,16 @@
 }
 
 // disturbances gives the entries of the ledger that belong to a progress record.
-func (m *Manager) disturbances(j *job, chunk int) []state.OpenDisruption {
+func (m *Manager) openDisturbances(job *jobState, chunk int) []state.OpenDisruption {
 	var open []state.OpenDisruption
-	for _, task := range m.ledger.TasksOfJob(j.rec.Job.ID) {
-		if task/j.rec.ShardSize != chunk {
+	for _, task := range m.ledger.TasksOfJob(job.record.Job.ID) {
+		if task/job.record.ShardSize != chunk {
 			continue
 		}
-		if d, ok := m.ledger.Get(disruption.Task{Job: j.rec.Job.ID, Index: task}); ok {
+		if d, ok := m.ledger.Get(disruption.Task{Job: job.record.Job.ID, Index: task}); ok {
 			o := state.OpenDisruption{Task: task, Attempt: d.Attempt, Cause: string(d.Cause)}
-			if r := m.reservations[d.Task]; r != nil {
-				o.ReservedMachine = r.machine.id
+			if held := m.reservations[d.Task]; held != nil {
+				o.ReservedMachine = held.machine.id
 			}
 			open = append(open, o)
 		}
@@ -119,18 +121,18 @@
 }
 
 // disruptionChange gives the change of the record beside a progress record, if it has to change with that.
-func (m *Manager) disruptionChange(j *job, chunk int, mark string) (RecordChange, bool) {
+func (m *Manager) disruptionChange(job *jobState, chunk int, mark string) (RecordChange, bool) {
 	if m.ledger == nil {
 		return RecordChange{}, false
 	}
-	r := &j.chunks[chunk].disruption
-	open := m.disturbances(j, chunk)
+	r := &job.shards[chunk].disruptions
+	open := m.openDisturbances(job, chunk)
 	encoded, err := encodeDisturbances(open)
 	if err != nil || encoded == r.stored {
 		return RecordChange{}, false
 	}
 	r.writing = encoded
-	change := RecordChange{Key: state.DisruptionKey(j.rec.Job.ID, chunk), Version: r.version}
+	change := RecordChange{Key: state.DisruptionKey(job.record.Job.ID, chunk), Version: r.version}
 	if len(open) > 0 {
 		change.Value, change.IdempotencyMark = state.DisruptionRecord{Open: open, IdempotencyMark: mark}, mark
 	}
@@ -138,7 +140,7 @@
 }
 
 // written takes the outcome of a change that disruptionChange gave.
-func (r *disruptionRecord) written(revision uint64) {
+func (r *disruptionRecord) committed(revision uint64) {
 	r.stored, r.version = r.writing, revision
 	if r.stored == "" {
 		r.version = 0
@@ -146,15 +148,15 @@
 }
 
 // evicting gives the attempts of a progress record whose eviction is being recorded.
-func (m *Manager) evicting(j *job, chunk int) []*attempt {
+func (m *Manager) evictionsRecordedIn(job *jobState, chunk int) []*taskAttempt {
 	if m.ledger == nil {
 		return nil
 	}
-	var out []*attempt
-	first := chunk * j.rec.ShardSize
-	for task := first; task < min(first+j.rec.ShardSize, len(j.tasks)); task++ {
-		if a := j.active[task]; a != nil && a.evicting {
-			out = append(out, a)
+	var out []*taskAttempt
+	first := chunk * job.record.ShardSize
+	for task := first; task < min(first+job.record.ShardSize, len(job.taskStates)); task++ {
+		if attempt := job.active[task]; attempt != nil && attempt.evictionPending {
+			out = append(out, attempt)
 		}
 	}
 	return out
--- a/internal/manager/evictions.go
+++ b/internal/manager/evictions.go
@@ -16,167 +16,167 @@
 
 // SetCordons says which machines take nothing new, and where nothing is rented that can be elsewhere. What was granted on one of them and has not been launched is withdrawn.
 func (m *Manager) SetCordons(now micros.Timestamp, cordons map[string]bool, vacated []drain.VacatedPool) {
-	m.vacated = vacated
+	m.vacating = vacated
 	before := m.cordons
 	m.cordons = cordons
 	for id := range before {
-		if mc := m.machines[id]; mc != nil && !cordons[id] {
-			m.touchMachine(mc)
+		if machine := m.machines[id]; machine != nil && !cordons[id] {
+			m.markMachineChanged(machine)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(cordons)) {
-		if mc := m.machines[id]; mc != nil && !before[id] {
-			m.withdrawUnlaunched(now, mc)
-			m.touchMachine(mc)
+		if machine := m.machines[id]; machine != nil && !before[id] {
+			m.withdrawUnlaunched(now, machine)
+			m.markMachineChanged(machine)
 		}
 	}
 }
 
 // withdrawUnlaunched takes back what was granted on a machine and never launched.
-func (m *Manager) withdrawUnlaunched(now micros.Timestamp, mc *machine) {
-	for _, a := range sorted(mc.attempts) {
+func (m *Manager) withdrawUnlaunched(now micros.Timestamp, machine *machineState) {
+	for _, attempt := range attemptsByID(machine.attempts) {
 		switch {
-		case a.launched():
-		case a.job.gang != nil:
-			m.follow(now, a.job, a.job.gang.Abort(), disruption.Drain)
+		case attempt.launched():
+		case attempt.job.gang != nil:
+			m.applyGangAction(now, attempt.job, attempt.job.gang.Abort(), disruption.Drain)
 		default:
-			m.stop(now, a, 0, disruption.Drain)
+			m.stopAttempt(now, attempt, 0, disruption.Drain)
 		}
 	}
 }
 
 // DrainSnapshot shows cordoned machines, and how much of the teams' work runs and is disturbed.
 func (m *Manager) DrainSnapshot(now micros.Timestamp) drain.Snapshot {
-	s := drain.Snapshot{Now: now, Machines: map[string]drain.Machine{}, Teams: m.TeamUsage(now), MachinesListed: m.listedAll && now.Sub(m.born) > lateLists*m.cfg.ListLag}
+	status := drain.Snapshot{Now: now, Machines: map[string]drain.Machine{}, Teams: m.TeamUsage(now), MachinesListed: m.machinesListed && now.Sub(m.termStart) > lateListFactor*m.cfg.ListLag}
 	for id := range m.cordons {
-		if mc := m.machines[id]; mc != nil {
-			s.Machines[id] = m.drainMachine(now, mc)
+		if machine := m.machines[id]; machine != nil {
+			status.Machines[id] = m.drainMachine(now, machine)
 		}
 	}
-	return s
+	return status
 }
 
 // TeamUsage gives how much of each team's work runs and is disturbed.
 func (m *Manager) TeamUsage(now micros.Timestamp) map[string]drain.TeamUsage {
 	work := map[string]drain.TeamUsage{}
-	for _, t := range m.teams {
-		work[t.Name] = drain.TeamUsage{Disrupted: m.ledger.CountForTeam(t.Name), Running: m.ledger.CountForTeam(t.Name)}
+	for _, team := range m.teams {
+		work[team.Name] = drain.TeamUsage{Disrupted: m.ledger.CountForTeam(team.Name), Running: m.ledger.CountForTeam(team.Name)}
 	}
-	for _, mc := range m.machines {
-		m.countWork(now, mc, work)
+	for _, machine := range m.machines {
+		m.countTeamWork(now, machine, work)
 	}
 	return work
 }
 
 // lateLists is how many lags of the cloud's list it takes, in a new term, until a machine that is not listed is gone: a list
 // may lag by twice the usual time and be older than the one before.
-const lateLists = 4
+const lateListFactor = 4
 
 // countWork adds to the teams' work what is on a machine. Work on a machine that is not heard of may be lost already, so it
 // counts as disturbed until more is known.
-func (m *Manager) countWork(now micros.Timestamp, mc *machine, teams map[string]drain.TeamUsage) {
-	heard := m.reports(now, mc)
-	for _, a := range mc.attempts {
-		if _, open := m.ledger.Get(taskOf(a)); open || !a.launched() || a.job.over != "" {
+func (m *Manager) countTeamWork(now micros.Timestamp, machine *machineState, teams map[string]drain.TeamUsage) {
+	heard := m.known(now, machine)
+	for _, attempt := range machine.attempts {
+		if _, open := m.ledger.Get(taskID(attempt)); open || !attempt.launched() || attempt.job.finalState != "" {
 			continue
 		}
-		use := teams[a.job.rec.Job.Team]
+		use := teams[attempt.job.record.Job.Team]
 		use.Running++
-		if !heard || !a.listed {
+		if !heard || !attempt.listed {
 			use.Disrupted++
 		}
-		teams[a.job.rec.Job.Team] = use
+		teams[attempt.job.record.Job.Team] = use
 	}
 }
 
-func (m *Manager) drainMachine(now micros.Timestamp, mc *machine) drain.Machine {
-	d := drain.Machine{ID: mc.id, Heartbeating: m.reports(now, mc), Deleting: mc.deleting,
-		Empty: len(mc.attempts) == 0 && len(mc.strays) == 0 && m.settled(mc)}
-	for _, a := range sorted(mc.attempts) {
-		d.Attempts = append(d.Attempts, m.drainAttempt(now, a))
+func (m *Manager) drainMachine(now micros.Timestamp, machine *machineState) drain.Machine {
+	status := drain.Machine{ID: machine.id, Heartbeating: m.known(now, machine), Deleting: machine.deleting,
+		Empty: len(machine.attempts) == 0 && len(machine.orphanTasks) == 0 && m.resultsDurable(machine)}
+	for _, attempt := range attemptsByID(machine.attempts) {
+		status.Attempts = append(status.Attempts, m.drainAttempt(now, attempt))
 	}
-	return d
+	return status
 }
 
-func (m *Manager) drainAttempt(now micros.Timestamp, a *attempt) drain.Attempt {
-	jb := &a.job.rec.Job
-	d := drain.Attempt{Task: taskOf(a), Team: jb.Team, DisruptedTasks: 1, ExpectedEnd: m.expectedEnd(now, a),
-		Stopping: !m.evictable(a),
+func (m *Manager) drainAttempt(now micros.Timestamp, attempt *taskAttempt) drain.Attempt {
+	spec := &attempt.job.record.Job
+	status := drain.Attempt{Task: taskID(attempt), Team: spec.Team, DisruptedTasks: 1, ExpectedEnd: m.expectedEnd(now, attempt),
+		Stopping: !m.evictable(attempt),
 		// One that is reported fetching may run by now.
-		Checkpoints: jb.CheckpointIntervalS > 0}
-	if g := a.job.gang; g != nil {
-		d.Gang, d.DisruptedTasks = true, len(a.job.active)
-		d.Stopping = d.Stopping || g.Phase() == gang.Checkpointing || g.Phase() == gang.Ending || g.Phase() == gang.Complete
-		d.Checkpoints = d.Checkpoints && (g.Phase() == gang.Launched || m.savesInTime(now, a.job))
+		Checkpoints: spec.CheckpointIntervalS > 0}
+	if peers := attempt.job.gang; peers != nil {
+		status.Gang, status.DisruptedTasks = true, len(attempt.job.active)
+		status.Stopping = status.Stopping || peers.Phase() == gang.Checkpointing || peers.Phase() == gang.Ending || peers.Phase() == gang.Complete
+		status.Checkpoints = status.Checkpoints && (peers.Phase() == gang.Launched || m.savesInTime(now, attempt.job))
 	}
-	return d
+	return status
 }
 
 // evictable tells whether an attempt may be stopped for a drain or a move: it is not being stopped already, its task is not
 // disturbed, and its job is not over.
-func (m *Manager) evictable(a *attempt) bool {
-	_, disturbed := m.ledger.Get(taskOf(a))
-	return !disturbed && !m.leaving(a)
+func (m *Manager) evictable(attempt *taskAttempt) bool {
+	_, disturbed := m.ledger.Get(taskID(attempt))
+	return !disturbed && !m.leaving(attempt)
 }
 
 // settled tells whether all results that came from a machine are durable: it may be deleted then.
-func (m *Manager) settled(mc *machine) bool {
-	mc.results = slices.DeleteFunc(mc.results, func(d doneTask) bool {
-		return m.jobs[d.job.rec.Job.ID] != d.job || d.job.tasks[d.task] == taskDurable || d.job.over != ""
+func (m *Manager) resultsDurable(machine *machineState) bool {
+	machine.unwrittenResults = slices.DeleteFunc(machine.unwrittenResults, func(completed completedTask) bool {
+		return m.jobs[completed.job.record.Job.ID] != completed.job || completed.job.taskStates[completed.task] == taskDurable || completed.job.finalState != ""
 	})
-	return len(mc.results) == 0
+	return len(machine.unwrittenResults) == 0
 }
 
 // Evict has a task, or the gang that it belongs to, leave its machine: room for the successor is reserved, and the attempt is
 // stopped once the disturbance is durable. If there is no room, nothing is done.
-func (m *Manager) Evict(now micros.Timestamp, t disruption.Task) drain.EvictionOutcome {
-	j := m.jobs[t.Job]
-	if j == nil || j.active[t.Index] == nil {
+func (m *Manager) Evict(now micros.Timestamp, task disruption.Task) drain.EvictionOutcome {
+	job := m.jobs[task.Job]
+	if job == nil || job.active[task.Index] == nil {
 		return drain.AttemptEnded
 	}
-	evicted := []*attempt{j.active[t.Index]}
-	if j.gang != nil {
-		evicted = sorted(j.active)
+	evicted := []*taskAttempt{job.active[task.Index]}
+	if job.gang != nil {
+		evicted = attemptsByID(job.active)
 	}
-	places, ok := m.placesFor(now, j, evicted)
+	places, ok := m.successorMachines(now, job, evicted)
 	if !ok {
 		return drain.NoCapacity
 	}
-	for i, a := range evicted {
-		m.evict(now, a, places[i], disruption.Drain)
+	for i, attempt := range evicted {
+		m.beginEviction(now, attempt, places[i], disruption.Drain)
 	}
 	return drain.Evicted
 }
 
 // evict reserves room for an attempt's successor and has the eviction recorded.
-func (m *Manager) evict(now micros.Timestamp, a *attempt, place *machine, cause disruption.Cause) {
-	m.reserve(now, taskOf(a), place, resources.ForTask(&a.job.rec.Job))
-	m.disturb(now, a, cause)
-	a.evicting, a.evictedFor = true, cause
-	m.touch(now, a.job, a.task, true)
+func (m *Manager) beginEviction(now micros.Timestamp, attempt *taskAttempt, place *machineState, cause disruption.Cause) {
+	m.reserveForSuccessor(now, taskID(attempt), place, resources.ForTask(&attempt.job.record.Job))
+	m.beginDisturbance(now, attempt, cause)
+	attempt.evictionPending, attempt.evictionCause = true, cause
+	m.markShardDirty(now, attempt.job, attempt.taskIndex, true)
 }
 
 // placesFor finds a machine for the successor of each attempt. What the attempts hold on machines that are not cordoned is
 // room for a gang's own successors.
-func (m *Manager) placesFor(now micros.Timestamp, j *job, evicted []*attempt) ([]*machine, bool) {
-	need := resources.ForTask(&j.rec.Job)
-	own := map[*machine]int{}
-	if j.gang != nil {
-		for _, a := range evicted {
-			own[a.machine]++
+func (m *Manager) successorMachines(now micros.Timestamp, job *jobState, evicted []*taskAttempt) ([]*machineState, bool) {
+	need := resources.ForTask(&job.record.Job)
+	own := map[*machineState]int{}
+	if job.gang != nil {
+		for _, attempt := range evicted {
+			own[attempt.machine]++
 		}
 	}
-	candidates := m.destinations(now, j, own)
-	if !j.rec.Job.SameZone || j.gang == nil {
-		places := fill(candidates, need, own, m.free, len(evicted))
+	candidates := m.evictionDestinations(now, job, own)
+	if !job.record.Job.SameZone || job.gang == nil {
+		places := fillMachines(candidates, need, own, m.freeResources, len(evicted))
 		return places, len(places) == len(evicted)
 	}
-	zones := map[string][]*machine{}
-	for _, mc := range candidates {
-		zones[mc.zone] = append(zones[mc.zone], mc)
+	zones := map[string][]*machineState{}
+	for _, machine := range candidates {
+		zones[machine.zone] = append(zones[machine.zone], machine)
 	}
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		if places := fill(zones[zone], need, own, m.free, len(evicted)); len(places) == len(evicted) {
+		if places := fillMachines(zones[zone], need, own, m.freeResources, len(evicted)); len(places) == len(evicted) {
 			return places, true
 		}
 	}
@@ -184,36 +184,36 @@
 }
 
 // fill gives a place on the machines, in their order, for each of so many tasks, as far as there is room.
-func fill(machines []*machine, need resources.Vector, own map[*machine]int, free func(*machine) resources.Vector, tasks int) []*machine {
-	var places []*machine
-	for _, mc := range machines {
-		room := free(mc).AddTasks(need, float64(own[mc]))
+func fillMachines(machines []*machineState, need resources.Vector, own map[*machineState]int, free func(*machineState) resources.Vector, tasks int) []*machineState {
+	var places []*machineState
+	for _, machine := range machines {
+		room := free(machine).AddTasks(need, float64(own[machine]))
 		for range room.MaxTasks(need, tasks-len(places)) {
-			places = append(places, mc)
+			places = append(places, machine)
 		}
 	}
 	return places
 }
 
 // destinations gives the machines that have room for a task of a job, those with its image first.
-func (m *Manager) destinations(now micros.Timestamp, j *job, own map[*machine]int) []*machine {
-	need := resources.ForTask(&j.rec.Job)
+func (m *Manager) evictionDestinations(now micros.Timestamp, job *jobState, own map[*machineState]int) []*machineState {
+	need := resources.ForTask(&job.record.Job)
 	type candidate struct {
-		mc   *machine
+		mc   *machineState
 		warm bool
 		free float64
 	}
 	var found []candidate
-	for _, mc := range m.machines {
-		if mc.keep != "" || !m.usable(now, mc) || !j.rec.Job.Allows(mc.spec, mc.zone, mc.spot) || j.failed[mc.id] > 0 {
+	for _, machine := range m.machines {
+		if machine.reservedForJob != "" || !m.usable(now, machine) || !job.record.Job.Allows(machine.machineType, machine.zone, machine.spot) || job.failuresByMachine[machine.id] > 0 {
 			continue
 		}
-		if j.gang == nil && !m.zoneAllows(j, mc.zone) {
+		if job.gang == nil && !m.zoneAllows(job, machine.zone) {
 			continue
 		}
-		if room := m.free(mc); room.AddTasks(need, float64(own[mc])).Fits(need) {
-			im := mc.images[j.rec.Job.Image]
-			found = append(found, candidate{mc, im != nil && im.ready, room.CPUs})
+		if room := m.freeResources(machine); room.AddTasks(need, float64(own[machine])).Fits(need) {
+			image := machine.images[job.record.Job.Image]
+			found = append(found, candidate{machine, image != nil && image.ready, room.CPUs})
 		}
 	}
 	slices.SortFunc(found, func(a, b candidate) int {
@@ -225,7 +225,7 @@
 		}
 		return cmp.Or(cmp.Compare(a.free, b.free), cmp.Compare(a.mc.id, b.mc.id))
 	})
-	machines := make([]*machine, len(found))
+	machines := make([]*machineState, len(found))
 	for i, c := range found {
 		machines[i] = c.mc
 	}
@@ -233,33 +233,33 @@
 }
 
 // carryOut stops the attempts whose eviction has become durable.
-func (m *Manager) carryOut(now micros.Timestamp, evictions []*attempt) {
-	for _, a := range evictions {
-		j := a.job
-		if !a.evicting || j.active[a.task] != a {
+func (m *Manager) executeEvictions(now micros.Timestamp, evictions []*taskAttempt) {
+	for _, attempt := range evictions {
+		job := attempt.job
+		if !attempt.evictionPending || job.active[attempt.taskIndex] != attempt {
 			continue
 		}
-		a.evicting = false
+		attempt.evictionPending = false
 		switch {
-		case j.over != "" || j.tasks[a.task] != taskActive:
-		case a.evictedFor == disruption.Rebalance && !m.destinationStands(now, a):
-			m.abandonMove(now, a)
-		case j.gang != nil:
-			m.follow(now, j, j.gang.Preempt(), a.evictedFor)
+		case job.finalState != "" || job.taskStates[attempt.taskIndex] != taskActive:
+		case attempt.evictionCause == disruption.Rebalance && !m.destinationUsable(now, attempt):
+			m.abandonMove(now, attempt)
+		case job.gang != nil:
+			m.applyGangAction(now, job, job.gang.Preempt(), attempt.evictionCause)
 		default:
-			m.stop(now, a, saveGrace(&j.rec.Job), a.evictedFor)
+			m.stopAttempt(now, attempt, checkpointGraceS(&job.record.Job), attempt.evictionCause)
 		}
 	}
 }
 
 // showReplacements gives the fleet the tasks that can't leave their machines for lack of room elsewhere.
-func (m *Manager) showReplacements() []*snapshot.Job {
+func (m *Manager) publishedReplacements() []*snapshot.Job {
 	var out []*snapshot.Job
 	for _, id := range slices.Sorted(maps.Keys(m.replacements)) {
-		if j := m.jobs[id]; j != nil && j.over == "" {
-			jv := m.showJob(j)
-			jv.Waiting = m.replacements[id]
-			out = append(out, jv)
+		if job := m.jobs[id]; job != nil && job.finalState == "" {
+			published := m.publishedJob(job)
+			published.Waiting = m.replacements[id]
+			out = append(out, published)
 		}
 	}
 	return out
@@ -268,11 +268,11 @@
 // SetReplacements says which tasks are to be evicted once there is room for them elsewhere; a gang as a whole.
 func (m *Manager) SetReplacements(tasks []disruption.Task) {
 	clear(m.replacements)
-	for _, t := range tasks {
-		if j := m.jobs[t.Job]; j != nil && j.gang != nil {
-			m.replacements[t.Job] = len(j.active)
-		} else if j != nil {
-			m.replacements[t.Job]++
+	for _, task := range tasks {
+		if job := m.jobs[task.Job]; job != nil && job.gang != nil {
+			m.replacements[task.Job] = len(job.active)
+		} else if job != nil {
+			m.replacements[task.Job]++
 		}
 	}
 }
@@ -281,9 +281,9 @@
 func (m *Manager) KnownMachines(now micros.Timestamp) []drain.KnownMachine {
 	var out []drain.KnownMachine
 	for _, id := range slices.Sorted(maps.Keys(m.machines)) {
-		mc := m.machines[id]
-		if !mc.deleting && mc.state != wire.MachineFailed {
-			out = append(out, drain.KnownMachine{ID: id, Zone: mc.zone, Type: mc.typ, Age: now.Sub(mc.born)})
+		machine := m.machines[id]
+		if !machine.deleting && machine.cloudState != wire.MachineFailed {
+			out = append(out, drain.KnownMachine{ID: id, Zone: machine.zone, Type: machine.typeName, Age: now.Sub(machine.registeredAt)})
 		}
 	}
 	return out
--- a/internal/manager/evictions_test.go
+++ b/internal/manager/evictions_test.go
@@ -48,20 +48,20 @@
 }
 
 // nextWrite gives the keys of the next write, which is left out.
-func (b *bench) nextWrite() (w *WriteBatch, keys string) {
-	w = b.m.NextWrite(b.now)
-	if w == nil {
+func (b *bench) nextWrite() (batch *WriteBatch, keys string) {
+	batch = b.m.NextWrite(b.now)
+	if batch == nil {
 		return nil, ""
 	}
 	var out []string
-	for _, c := range w.Changes {
+	for _, c := range batch.Changes {
 		key := c.Key
 		if c.Value == nil {
 			key = "-" + key
 		}
 		out = append(out, key)
 	}
-	return w, strings.Join(out, " ")
+	return batch, strings.Join(out, " ")
 }
 
 // A task is stopped only once it is durable that it is disturbed, together with its progress record; its successor goes where
@@ -74,12 +74,12 @@
 	b.want(b.disturbed(), "run-1/0 drain")
 	// The machine with the reserved room is not idle.
 	b.want(b.m.Snapshot(b.now).Machines[1].ProvenIdle(), false)
-	w, keys := b.nextWrite()
+	batch, keys := b.nextWrite()
 	b.want(keys, "tasks/run-1/0 disruption/run-1/0")
 	b.want(b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d running", first)), "")
 	b.want(len(b.m.CommandPushes(b.now, true)), 0)
 	b.rev++
-	b.m.WriteCommitted(b.now, w.ID, b.rev)
+	b.m.WriteCommitted(b.now, batch.ID, b.rev)
 	b.want(b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d running", first)), fmt.Sprintf("stop run-1/0 %d", first))
 	b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d ended halted", first))
 	b.want(b.grant("run-1", "n-1-a", 1), 0)
@@ -103,14 +103,14 @@
 	b.runningTask()
 	b.m.SetCordons(b.now, map[string]bool{"n-1-a": true}, nil)
 	b.m.Evict(b.now, task("run-1", 0))
-	w, _ := b.nextWrite()
+	batch, _ := b.nextWrite()
 	rec := record("run-1", 1, savesProgress)
 	rec.FinalState = wire.JobCancelled
 	b.rev++
 	b.m.OpenRecordChanged(b.now, b.now, 0, rec, b.rev)
 	b.want(b.disturbed(), "")
 	b.rev++
-	b.m.WriteCommitted(b.now, w.ID, b.rev)
+	b.m.WriteCommitted(b.now, batch.ID, b.rev)
 	b.want(b.disturbed(), "")
 	b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d ended halted", first))
 	_, keys := b.nextWrite()
@@ -203,9 +203,9 @@
 	b.wait(micros.Minute)
 	b.up("n-2-a")
 	b.m.ReserveForWaitingJobs(b.now)
-	for _, mv := range b.m.Snapshot(b.now).Machines {
-		if mv.Usable || mv.ExpectedSoon || mv.ReservedForJob != "" {
-			t.Errorf("%+v", mv)
+	for _, published := range b.m.Snapshot(b.now).Machines {
+		if published.Usable || published.ExpectedSoon || published.ReservedForJob != "" {
+			t.Errorf("%+v", published)
 		}
 	}
 	b.m.SetCordons(b.now, map[string]bool{}, nil)
@@ -251,7 +251,7 @@
 func TestReclaimedMachineCounts(t *testing.T) {
 	b := drainBench(t, nil, nil, nil)
 	b.runningTask()
-	b.m.machines["n-1-a"].notice = b.now.Add(3 * micros.Second)
+	b.m.machines["n-1-a"].reclaimAt = b.now.Add(3 * micros.Second)
 	b.tick()
 	b.want(b.disturbed(), "run-1/0 reclaimed")
 }
@@ -290,16 +290,16 @@
 func TestLedgerInSmallTransactions(t *testing.T) {
 	b := drainBench(t, nil, nil, nil)
 	b.runningTask()
-	b.m.limits.ops = 2
+	b.m.limits.maxOps = 2
 	b.job("run-2", 1, nil)
 	b.grant("run-2", "n-2-a", 1)
 	b.m.SetCordons(b.now, map[string]bool{"n-1-a": true}, nil)
 	b.m.Evict(b.now, task("run-1", 0))
 	var all []string
-	for w, keys := b.nextWrite(); w != nil; w, keys = b.nextWrite() {
+	for batch, keys := b.nextWrite(); batch != nil; batch, keys = b.nextWrite() {
 		all = append(all, keys)
 		b.rev++
-		b.m.WriteCommitted(b.now, w.ID, b.rev)
+		b.m.WriteCommitted(b.now, batch.ID, b.rev)
 	}
 	slices.Sort(all)
 	b.want(strings.Join(all, "; "), "tasks/run-1/0 disruption/run-1/0; tasks/run-2/0")
--- a/internal/manager/grants.go
+++ b/internal/manager/grants.go
@@ -8,181 +8,181 @@
 )
 
 // Grant serves a lease request atomically.
-func (m *Manager) Grant(now micros.Timestamp, req lease.Transaction) lease.Result {
-	res := lease.Result{Granted: make([]int, len(req.Requests))}
-	var made []*attempt
-	if j := m.gangOf(req); j != nil && !m.mayGrant(j, req) {
-		return res
-	}
-	if len(req.Requests) > 0 {
-		if j := m.jobs[req.Requests[0].Job]; j != nil && m.backlogged(now, j) {
-			return res
+func (m *Manager) Grant(now micros.Timestamp, transaction lease.Transaction) lease.Result {
+	result := lease.Result{Granted: make([]int, len(transaction.Requests))}
+	var made []*taskAttempt
+	if job := m.gangOf(transaction); job != nil && !m.mayGrantGang(job, transaction) {
+		return result
+	}
+	if len(transaction.Requests) > 0 {
+		if job := m.jobs[transaction.Requests[0].Job]; job != nil && m.backlogged(now, job) {
+			return result
 		}
 	}
-	for i, ask := range req.Requests {
-		if ask.WaitFor != 0 {
-			if m.grantWait(now, ask) {
-				res.Granted[i] = 1
+	for i, request := range transaction.Requests {
+		if request.WaitFor != 0 {
+			if m.grantWait(now, request) {
+				result.Granted[i] = 1
 			}
 			continue
 		}
-		for range min(ask.Count, wire.MaxTasks) {
-			a := m.grantOne(now, ask, made)
-			if a == nil {
+		for range min(request.Count, wire.MaxTasks) {
+			attempt := m.grantOne(now, request, made)
+			if attempt == nil {
 				break
 			}
-			made = append(made, a)
-			res.Granted[i]++
+			made = append(made, attempt)
+			result.Granted[i]++
 		}
-		if req.AllOrNothing && res.Granted[i] < ask.Count {
-			for _, a := range made {
-				m.drop(now, a)
+		if transaction.AllOrNothing && result.Granted[i] < request.Count {
+			for _, attempt := range made {
+				m.releaseAttempt(now, attempt)
 			}
-			clear(res.Granted)
-			return res
+			clear(result.Granted)
+			return result
 		}
 	}
-	for _, a := range made {
-		a.job.waitSince = now
+	for _, attempt := range made {
+		attempt.job.waitingSince = now
 	}
-	return res
+	return result
 }
 
-func (m *Manager) grantWait(now micros.Timestamp, ask lease.Request) bool {
-	mc := m.machines[ask.Machine]
-	if mc == nil || m.cordons[mc.id] {
+func (m *Manager) grantWait(now micros.Timestamp, request lease.Request) bool {
+	machine := m.machines[request.Machine]
+	if machine == nil || m.cordons[machine.id] {
 		return false
 	}
-	var a *attempt
-	for _, x := range mc.attempts {
-		if x.id == ask.WaitFor {
+	var a *taskAttempt
+	for _, x := range machine.attempts {
+		if x.id == request.WaitFor {
 			a = x
 		}
 	}
-	if a == nil || a.waiter != "" && a.waiter != ask.Job && now < a.waiterUntil {
+	if a == nil || a.waiter != "" && a.waiter != request.Job && now < a.waiterUntil {
 		return false
 	}
-	a.waiter = ask.Job
-	a.waiterUntil = max(now, a.leaseEnd).Add(m.cfg.Tuning.LeaseGrace)
-	m.touchMachine(mc)
+	a.waiter = request.Job
+	a.waiterUntil = max(now, a.leaseExpiry).Add(m.cfg.Tuning.LeaseGrace)
+	m.markMachineChanged(machine)
 	return true
 }
 
 // grantOne grants a lease for a task; made are those that the request has been granted already.
-func (m *Manager) grantOne(now micros.Timestamp, ask lease.Request, made []*attempt) *attempt {
-	j, mc := m.jobs[ask.Job], m.machines[ask.Machine]
-	if j == nil || mc == nil || j.over != "" || j.waiting == 0 || now < j.notBefore || !m.usable(now, mc) ||
-		mc.keep != "" && mc.keep != ask.Job || m.madeForOther(now, mc, j) {
+func (m *Manager) grantOne(now micros.Timestamp, request lease.Request, made []*taskAttempt) *taskAttempt {
+	job, machine := m.jobs[request.Job], m.machines[request.Machine]
+	if job == nil || machine == nil || job.finalState != "" || job.waiting == 0 || now < job.backoffUntil || !m.usable(now, machine) ||
+		machine.reservedForJob != "" && machine.reservedForJob != request.Job || m.preemptedForOther(now, machine, job) {
 		return nil
 	}
-	jb := &j.rec.Job
-	if !jb.Allows(mc.spec, mc.zone, mc.spot) || !m.zoneAllows(j, mc.zone) || m.room(j) < 1 {
+	spec := &job.record.Job
+	if !spec.Allows(machine.machineType, machine.zone, machine.spot) || !m.zoneAllows(job, machine.zone) || m.quotaHeadroom(job) < 1 {
 		return nil
 	}
-	free, need := m.free(mc), resources.ForTask(jb)
-	claim := m.claim(j, mc)
+	free, need := m.freeResources(machine), resources.ForTask(spec)
+	claim := m.claim(job, machine)
 	if claim != nil {
 		free = free.AddTasks(claim.need, 1)
 	}
 	if !free.Fits(need) {
 		return nil
 	}
-	if m.next+1 >= 1<<attemptBits {
+	if m.lastAttemptNumber+1 >= 1<<attemptBits {
 		return nil
 	}
-	a := &attempt{job: j, id: m.cfg.FencingToken<<attemptBits | m.next + 1, machine: mc, session: mc.session,
-		ours: true, kept: mc.keep == ask.Job, leaseEnd: now.Add(ask.Duration)}
-	if j.gang != nil && len(made) > 0 {
-		a.id = made[0].id // its tasks know one another by their attempt
+	attempt := &taskAttempt{job: job, id: m.cfg.FencingToken<<attemptBits | m.lastAttemptNumber + 1, machine: machine, incarnation: machine.incarnation,
+		grantedThisTerm: true, usedReservation: machine.reservedForJob == request.Job, leaseExpiry: now.Add(request.Duration)}
+	if job.gang != nil && len(made) > 0 {
+		attempt.id = made[0].id // its tasks know one another by their attempt
 	}
-	if !m.nextTask(a, claim) {
+	if !m.chooseTask(attempt, claim) {
 		return nil
 	}
-	m.next++
-	m.place(a)
-	m.touch(now, j, a.task, true)
+	m.lastAttemptNumber++
+	m.registerAttempt(attempt)
+	m.markShardDirty(now, job, attempt.taskIndex, true)
 	// Room was kept for the job until the machine had as many of its tasks as it takes.
-	if mc.keep == ask.Job && !free.AddTasks(need, -1).Fits(need) {
-		mc.keep = ""
+	if machine.reservedForJob == request.Job && !free.AddTasks(need, -1).Fits(need) {
+		machine.reservedForJob = ""
 	}
-	return a
+	return attempt
 }
 
 // madeForOther tells whether the room on a machine was made for a more urgent gang that has
 // still to take it. It needs all of it at once: a task that is back on one machine before the
 // gang's scheduler has seen the room spoils it on all.
-func (m *Manager) madeForOther(now micros.Timestamp, mc *machine, j *job) bool {
-	if now >= mc.madeUntil || mc.madeFor == j.rec.Job.ID {
+func (m *Manager) preemptedForOther(now micros.Timestamp, machine *machineState, job *jobState) bool {
+	if now >= machine.preemptedUntil || machine.preemptedForJob == job.record.Job.ID {
 		return false
 	}
-	o := m.jobs[mc.madeFor]
-	return o != nil && o.over == "" && o.waiting > 0 && o.rec.Job.Priority() > j.rec.Job.Priority()
+	other := m.jobs[machine.preemptedForJob]
+	return other != nil && other.finalState == "" && other.waiting > 0 && other.record.Job.Priority() > job.record.Job.Priority()
 }
 
 // nextTask gives an attempt the first of its job's waiting tasks whose record has room for
 // its placement: that for which the room is reserved, then those that were disturbed, then the others.
-func (m *Manager) nextTask(a *attempt, claim *reservation) bool {
-	j := a.job
+func (m *Manager) chooseTask(attempt *taskAttempt, claim *reservation) bool {
+	job := attempt.job
 	if claim != nil {
-		a.task = claim.task.Index
-		return m.limits.takes(j, a.task, placementSize(a.placement()))
+		attempt.taskIndex = claim.task.Index
+		return m.limits.hasRoom(job, attempt.taskIndex, placementSize(attempt.placement()))
 	}
-	for _, t := range m.ledger.TasksOfJob(j.rec.Job.ID) {
-		a.task = t
-		if j.tasks[t] == taskWaiting && m.limits.takes(j, t, placementSize(a.placement())) {
+	for _, t := range m.ledger.TasksOfJob(job.record.Job.ID) {
+		attempt.taskIndex = t
+		if job.taskStates[t] == taskWaiting && m.limits.hasRoom(job, t, placementSize(attempt.placement())) {
 			return true
 		}
 	}
-	for j.cursor < len(j.tasks) && j.tasks[j.cursor] != taskWaiting {
-		j.cursor++
+	for job.firstWaiting < len(job.taskStates) && job.taskStates[job.firstWaiting] != taskWaiting {
+		job.firstWaiting++
 	}
-	for t := j.cursor; t < len(j.tasks); t++ {
-		if j.tasks[t] != taskWaiting {
+	for t := job.firstWaiting; t < len(job.taskStates); t++ {
+		if job.taskStates[t] != taskWaiting {
 			continue
 		}
-		a.task = t
-		if m.limits.takes(j, t, placementSize(a.placement())) {
+		attempt.taskIndex = t
+		if m.limits.hasRoom(job, t, placementSize(attempt.placement())) {
 			return true
 		}
-		t += j.rec.ShardSize - t%j.rec.ShardSize - 1 // on to the next record
+		t += job.record.ShardSize - t%job.record.ShardSize - 1 // on to the next record
 	}
 	return false
 }
 
 // AttemptNumbersExhausted says that the term has no attempt numbers left.
-func (m *Manager) AttemptNumbersExhausted() bool { return m.next+1 >= 1<<attemptBits }
+func (m *Manager) AttemptNumbersExhausted() bool { return m.lastAttemptNumber+1 >= 1<<attemptBits }
 
 // room is how many more tasks the team's limit allows, counting every attempt that
 // may still exist.
-func (m *Manager) room(j *job) int {
-	t := m.teams[j.rec.Job.Team]
-	if t == nil {
+func (m *Manager) quotaHeadroom(job *jobState) int {
+	team := m.teams[job.record.Job.Team]
+	if team == nil {
 		return 0
 	}
 	n := wire.MaxTasks
-	if t.CPUsMax > 0 {
-		n = resources.FitCount(n, t.CPUsMax-t.cpus, j.rec.Job.CPUs)
+	if team.CPUsMax > 0 {
+		n = resources.FitCount(n, team.CPUsMax-team.usedCPUs, job.record.Job.CPUs)
 	}
-	if t.GPUsMax > 0 {
-		n = resources.FitCount(n, t.GPUsMax-t.gpus, j.rec.Job.GPUs)
+	if team.GPUsMax > 0 {
+		n = resources.FitCount(n, team.GPUsMax-team.usedGPUs, job.record.Job.GPUs)
 	}
 	return max(0, n)
 }
 
 // zoneAllows keeps `together` and `scatter`, counting every attempt that may exist.
-func (m *Manager) zoneAllows(j *job, zone string) bool {
-	jb := &j.rec.Job
-	if !jb.SameZone && !jb.SpreadZones {
+func (m *Manager) zoneAllows(job *jobState, zone string) bool {
+	spec := &job.record.Job
+	if !spec.SameZone && !spec.SpreadZones {
 		return true
 	}
 	inZone := 0
-	for _, a := range j.active {
+	for _, attempt := range job.active {
 		switch {
-		case a.machine.zone == zone:
+		case attempt.machine.zone == zone:
 			inZone++
-		case a.machine.zone == "" || jb.SameZone:
+		case attempt.machine.zone == "" || spec.SameZone:
 			return false // elsewhere, or not known where
 		}
 	}
-	return !jb.SpreadZones || inZone < (jb.Tasks+1)/2
+	return !spec.SpreadZones || inZone < (spec.Tasks+1)/2
 }
--- a/internal/manager/keep.go
+++ b/internal/manager/keep.go
@@ -12,7 +12,7 @@
 
 // keepFor bounds how many jobs have room kept for them at once, and keepShare the part
 // of the machines in use that may be kept.
-const keepFor, keepShare = 8, 4
+const maxReservingJobs, reservableFraction = 8, 4
 
 // ReserveForWaitingJobs keeps machines free for the jobs that have waited longest without one of
 // their tasks being placed: nothing else is placed there, so that small tasks that fit
@@ -22,152 +22,152 @@
 func (m *Manager) ReserveForWaitingJobs(now micros.Timestamp) {
 	kept, usable := 0, 0
 	mine := map[string]int{}
-	for _, mc := range m.machines {
-		ok := m.usable(now, mc)
+	for _, machine := range m.machines {
+		ok := m.usable(now, machine)
 		if ok {
 			usable++
 		}
-		if mc.keep == "" {
+		if machine.reservedForJob == "" {
 			continue
 		}
-		if j := m.jobs[mc.keep]; j == nil || j.over != "" || j.waiting == 0 || !ok {
-			mc.keep = ""
-			m.touchMachine(mc)
+		if job := m.jobs[machine.reservedForJob]; job == nil || job.finalState != "" || job.waiting == 0 || !ok {
+			machine.reservedForJob = ""
+			m.markMachineChanged(machine)
 			continue
 		}
 		kept++
-		mine[mc.keep] += mc.holds(m.jobs[mc.keep])
+		mine[machine.reservedForJob] += machine.tasksWhenEmpty(m.jobs[machine.reservedForJob])
 	}
 	starved := m.waitingFor(now, m.cfg.Tuning.ReserveAfter)
-	slices.SortStableFunc(starved, func(a, b *job) int { return cmp.Compare(a.waitSince, b.waitSince) })
+	slices.SortStableFunc(starved, func(a, b *jobState) int { return cmp.Compare(a.waitingSince, b.waitingSince) })
 	gangs := 0
-	for _, j := range starved[:min(len(starved), keepFor)] {
-		if j.gang != nil {
+	for _, job := range starved[:min(len(starved), maxReservingJobs)] {
+		if job.gang != nil {
 			// Two that each have half of what they need would wait for ever for the other's.
 			if gangs++; gangs == 1 {
-				kept += m.keepForGang(now, j, mine[j.rec.Job.ID])
+				kept += m.reserveForGang(now, job, mine[job.record.Job.ID])
 			}
 			continue
 		}
-		most, wanted := max(1, usable/keepShare), min(j.waiting, m.room(j))
-		if kept >= most || mine[j.rec.Job.ID] >= wanted {
+		most, wanted := max(1, usable/reservableFraction), min(job.waiting, m.quotaHeadroom(job))
+		if kept >= most || mine[job.record.Job.ID] >= wanted {
 			continue
 		}
-		for _, mc := range m.soonest(now, j, "") {
-			m.keep(mc, j)
-			mine[mc.keep] += mc.holds(j)
+		for _, machine := range m.machinesBySoonestRoom(now, job, "") {
+			m.reserveMachine(machine, job)
+			mine[machine.reservedForJob] += machine.tasksWhenEmpty(job)
 			kept++
-			if kept >= most || mine[mc.keep] >= wanted {
+			if kept >= most || mine[machine.reservedForJob] >= wanted {
 				break
 			}
 		}
 	}
 }
 
-func (m *Manager) keep(mc *machine, j *job) {
-	mc.keep = j.rec.Job.ID
-	m.touchMachine(mc)
-	m.note("room is kept for a job that has waited long", "job", mc.keep, "machine", mc.id)
+func (m *Manager) reserveMachine(machine *machineState, job *jobState) {
+	machine.reservedForJob = job.record.Job.ID
+	m.markMachineChanged(machine)
+	m.event("room is kept for a job that has waited long", "job", machine.reservedForJob, "machine", machine.id)
 }
 
 // keepForGang keeps as many machines as the whole gang takes, in one zone if it must be, also
 // beyond the share that others may have, and gives their number. Where no zone has enough
 // nothing is kept: the fleet has to grow first.
-func (m *Manager) keepForGang(now micros.Timestamp, j *job, mine int) (kept int) {
-	if mine >= j.waiting || m.room(j) < j.waiting {
+func (m *Manager) reserveForGang(now micros.Timestamp, job *jobState, mine int) (kept int) {
+	if mine >= job.waiting || m.quotaHeadroom(job) < job.waiting {
 		return 0
 	}
 	holds, free := map[string]int{}, map[string]int{}
-	for _, mc := range m.machines {
-		if mc.keep != "" && mc.keep != j.rec.Job.ID || !m.takes(now, mc, j) {
+	for _, machine := range m.machines {
+		if machine.reservedForJob != "" && machine.reservedForJob != job.record.Job.ID || !m.mayHostWhenFree(now, machine, job) {
 			continue
 		}
 		zone := ""
-		if j.rec.Job.SameZone {
-			zone = mc.zone
+		if job.record.Job.SameZone {
+			zone = machine.zone
 		}
-		holds[zone] += mc.holds(j)
-		free[zone] += m.free(mc).MaxTasks(resources.ForTask(&j.rec.Job), wire.MaxTasks)
-		if mc.keep != "" {
+		holds[zone] += machine.tasksWhenEmpty(job)
+		free[zone] += m.freeResources(machine).MaxTasks(resources.ForTask(&job.record.Job), wire.MaxTasks)
+		if machine.reservedForJob != "" {
 			free[zone] += wire.MaxTasks // it stays where it has begun
 		}
 	}
 	best, found := "", false
 	for _, zone := range slices.Sorted(maps.Keys(holds)) {
-		if holds[zone] >= j.waiting && (!found || free[zone] > free[best]) {
+		if holds[zone] >= job.waiting && (!found || free[zone] > free[best]) {
 			best, found = zone, true
 		}
 	}
 	if !found {
 		return 0
 	}
-	for _, mc := range m.soonest(now, j, best) {
-		if mine >= j.waiting {
+	for _, machine := range m.machinesBySoonestRoom(now, job, best) {
+		if mine >= job.waiting {
 			break
 		}
-		m.keep(mc, j)
-		mine += mc.holds(j)
+		m.reserveMachine(machine, job)
+		mine += machine.tasksWhenEmpty(job)
 		kept++
 	}
 	return kept
 }
 
 // takes tells whether a machine may take a job's tasks once there is room.
-func (m *Manager) takes(now micros.Timestamp, mc *machine, j *job) bool {
-	return m.usable(now, mc) && m.suits(mc, j)
+func (m *Manager) mayHostWhenFree(now micros.Timestamp, machine *machineState, job *jobState) bool {
+	return m.usable(now, machine) && m.suits(machine, job)
 }
 
 // suits tells whether a job's tasks may be on a machine that takes new ones.
-func (m *Manager) suits(mc *machine, j *job) bool {
-	return j.rec.Job.Allows(mc.spec, mc.zone, mc.spot) && m.zoneAllows(j, mc.zone) && j.failed[mc.id] == 0
+func (m *Manager) suits(machine *machineState, job *jobState) bool {
+	return job.record.Job.Allows(machine.machineType, machine.zone, machine.spot) && m.zoneAllows(job, machine.zone) && job.failuresByMachine[machine.id] == 0
 }
 
 // holds is how many tasks of a job the machine takes when it is empty.
-func (mc *machine) holds(j *job) int {
-	return resources.ForMachine(mc.spec).MaxTasks(resources.ForTask(&j.rec.Job), wire.MaxTasks)
+func (machine *machineState) tasksWhenEmpty(job *jobState) int {
+	return resources.ForMachine(machine.machineType).MaxTasks(resources.ForTask(&job.record.Job), wire.MaxTasks)
 }
 
 // soonest gives the machines that may be kept for a job, those first on which a task of it should find room first, by the
 // owners' estimates, when nothing else is placed there; in the given zone, if one is given. Keeping one of them does not
 // change when there is room on another.
-func (m *Manager) soonest(now micros.Timestamp, j *job, zone string) []*machine {
+func (m *Manager) machinesBySoonestRoom(now micros.Timestamp, job *jobState, zone string) []*machineState {
 	type fit struct {
 		at micros.Timestamp
-		mc *machine
+		mc *machineState
 	}
 	var fits []fit
-	for _, mc := range m.machines {
-		if mc.keep != "" || zone != "" && zone != mc.zone || !m.takes(now, mc, j) {
+	for _, machine := range m.machines {
+		if machine.reservedForJob != "" || zone != "" && zone != machine.zone || !m.mayHostWhenFree(now, machine, job) {
 			continue
 		}
-		if at, ok := m.fitsAt(now, mc, &j.rec.Job); ok {
-			fits = append(fits, fit{at, mc})
+		if at, ok := m.roomExpectedAt(now, machine, &job.record.Job); ok {
+			fits = append(fits, fit{at, machine})
 		}
 	}
 	slices.SortFunc(fits, func(a, b fit) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.mc.id, b.mc.id)) })
-	machines := make([]*machine, len(fits))
+	machines := make([]*machineState, len(fits))
 	for i, f := range fits {
 		machines[i] = f.mc
 	}
 	return machines
 }
 
-func (m *Manager) fitsAt(now micros.Timestamp, mc *machine, jb *wire.Job) (micros.Timestamp, bool) {
-	room, need := m.free(mc), resources.ForTask(jb)
+func (m *Manager) roomExpectedAt(now micros.Timestamp, machine *machineState, spec *wire.Job) (micros.Timestamp, bool) {
+	room, need := m.freeResources(machine), resources.ForTask(spec)
 	if room.Fits(need) {
 		return now, true
 	}
 	type end struct {
 		at micros.Timestamp
-		a  *attempt
+		a  *taskAttempt
 	}
-	ends := make([]end, 0, len(mc.attempts))
-	for _, a := range mc.attempts {
-		ends = append(ends, end{max(now, m.expectedEnd(now, a)), a})
+	ends := make([]end, 0, len(machine.attempts))
+	for _, attempt := range machine.attempts {
+		ends = append(ends, end{max(now, m.expectedEnd(now, attempt)), attempt})
 	}
 	slices.SortFunc(ends, func(a, b end) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.a.id, b.a.id)) })
 	for _, e := range ends {
-		room = room.AddTasks(resources.ForTask(&e.a.job.rec.Job), 1)
+		room = room.AddTasks(resources.ForTask(&e.a.job.record.Job), 1)
 		if room.Fits(need) {
 			return e.at, true
 		}
--- a/internal/manager/ledger.go
+++ b/internal/manager/ledger.go
@@ -10,67 +10,67 @@
 // spending says what the money for machines went on in this term, by the share of their
 // processors: runs, of which lost those that ended without a result, image fetches,
 // machines that boot, are idle or silent.
-type spending struct {
-	run, lost, fetch, boot, idle, silent float64
-	at, told                             micros.Timestamp
+type costAccount struct {
+	running, wasted, fetching, booting, idle, silent float64
+	accountedUntil, reportedAt                       micros.Timestamp
 }
 
 // tellEvery is how often the operators are told.
-const tellEvery = micros.Minute
+const costReportInterval = micros.Minute
 
 // account enters the time since the last call.
-func (m *Manager) account(now micros.Timestamp) {
-	s := &m.spent
-	if s.at == 0 {
-		s.at, s.told = now, now
+func (m *Manager) accountCosts(now micros.Timestamp) {
+	costs := &m.costs
+	if costs.accountedUntil == 0 {
+		costs.accountedUntil, costs.reportedAt = now, now
 		return
 	}
-	hours := now.Sub(s.at).Seconds() / 3600
-	s.at = now
-	for _, mc := range m.machines {
-		if mc.spec == nil || mc.state == wire.MachineFailed || mc.spec.CPUs <= 0 {
+	hours := now.Sub(costs.accountedUntil).Seconds() / 3600
+	costs.accountedUntil = now
+	for _, machine := range m.machines {
+		if machine.machineType == nil || machine.cloudState == wire.MachineFailed || machine.machineType.CPUs <= 0 {
 			continue
 		}
-		cost := mc.price() * hours
+		cost := machine.hourlyPrice() * hours
 		switch {
-		case !mc.up && mc.state == wire.MachineStarting:
-			s.boot += cost
-		case !mc.up || !mc.confirmed:
-			s.silent += cost
+		case !machine.reporting && machine.cloudState == wire.MachineStarting:
+			costs.booting += cost
+		case !machine.reporting || !machine.tokenAcknowledged:
+			costs.silent += cost
 		default:
 			run, fetch := 0.0, 0.0
-			for _, a := range mc.attempts {
-				if share := a.job.rec.Job.CPUs / mc.spec.CPUs; a.state == wire.TaskRunning || a.state == wire.TaskCheckpointing {
+			for _, attempt := range machine.attempts {
+				if share := attempt.job.record.Job.CPUs / machine.machineType.CPUs; attempt.reportedState == wire.TaskRunning || attempt.reportedState == wire.TaskCheckpointing {
 					run += share
 				} else {
 					fetch += share
 				}
 			}
-			s.run += cost * run
-			s.fetch += cost * fetch
-			s.idle += cost * max(0, 1-run-fetch)
+			costs.running += cost * run
+			costs.fetching += cost * fetch
+			costs.idle += cost * max(0, 1-run-fetch)
 		}
 	}
-	if now.Sub(s.told) >= tellEvery {
-		s.told = now
-		total := s.run + s.fetch + s.boot + s.idle + s.silent
+	if now.Sub(costs.reportedAt) >= costReportInterval {
+		costs.reportedAt = now
+		total := costs.running + costs.fetching + costs.booting + costs.idle + costs.silent
 		percent := func(x float64) float64 { return math.Round(1000*x/max(total, 1e-9)) / 10 }
-		m.note("what the machines' time went on", "cost", math.Round(total*1000)/1000, "run_pct", percent(s.run), "of_it_lost_pct", percent(s.lost),
-			"fetch_pct", percent(s.fetch), "boot_pct", percent(s.boot), "idle_pct", percent(s.idle), "silent_pct", percent(s.silent), "machines", len(m.machines))
+		m.event("what the machines' time went on", "cost", math.Round(total*1000)/1000, "run_pct", percent(costs.running), "of_it_lost_pct", percent(costs.wasted),
+			"fetch_pct", percent(costs.fetching), "boot_pct", percent(costs.booting), "idle_pct", percent(costs.idle), "silent_pct", percent(costs.silent), "machines", len(m.machines))
 	}
 }
 
 // price is the machine's current price an hour.
-func (mc *machine) price() float64 {
-	if mc.spot {
-		return mc.spec.SpotPrice
+func (machine *machineState) hourlyPrice() float64 {
+	if machine.spot {
+		return machine.machineType.SpotPrice
 	}
-	return mc.spec.Price
+	return machine.machineType.Price
 }
 
 // accountLost moves a run that gave no result to the losses.
-func (m *Manager) accountLost(now micros.Timestamp, a *attempt) {
-	if mc := a.machine; a.runSince != 0 && mc.spec != nil && mc.spec.CPUs > 0 {
-		m.spent.lost += mc.price() * a.job.rec.Job.CPUs / mc.spec.CPUs * now.Sub(a.runSince).Seconds() / 3600
+func (m *Manager) accountWastedRun(now micros.Timestamp, attempt *taskAttempt) {
+	if machine := attempt.machine; attempt.runningSince != 0 && machine.machineType != nil && machine.machineType.CPUs > 0 {
+		m.costs.wasted += machine.hourlyPrice() * attempt.job.record.Job.CPUs / machine.machineType.CPUs * now.Sub(attempt.runningSince).Seconds() / 3600
 	}
 }
--- a/internal/manager/limits_test.go
+++ b/internal/manager/limits_test.go
@@ -12,12 +12,12 @@
 )
 
 // fits fails the test unless every value of a write keeps within the limit, as encoded.
-func (b *bench) fits(w *WriteBatch, bytes, ops int) {
+func (b *bench) fits(batch *WriteBatch, bytes, ops int) {
 	b.Helper()
-	if len(w.Changes) > ops {
-		b.Errorf("%d changes, %d are allowed", len(w.Changes), ops)
+	if len(batch.Changes) > ops {
+		b.Errorf("%d changes, %d are allowed", len(batch.Changes), ops)
 	}
-	for _, c := range w.Changes {
+	for _, c := range batch.Changes {
 		data, err := json.Marshal(c.Value)
 		if err != nil || len(data) > bytes {
 			b.Errorf("%s has %d bytes, %d are allowed (%v)", c.Key, len(data), bytes, err)
@@ -29,17 +29,17 @@
 // takes, and the others follow.
 func TestPlacementsWithinTheLimit(t *testing.T) {
 	b := newBench(t, nil, nil)
-	b.m.limits = newLimits(settings.StoreLimits{ValueKB: 1, TxnOps: 4})
+	b.m.limits = newWriteLimits(settings.StoreLimits{ValueKB: 1, TxnOps: 4})
 	b.job("run-1", 48, small)
 	b.up("n-1-a")
 	got := b.grant("run-1", "n-1-a", 48)
 	if got < 12 || got > 25 {
 		t.Errorf("%d placed at once", got)
 	}
-	w := b.m.NextWrite(b.now)
-	b.fits(w, 1024, 4)
+	batch := b.m.NextWrite(b.now)
+	b.fits(batch, 1024, 4)
 	b.rev++
-	b.m.WriteCommitted(b.now, w.ID, b.rev)
+	b.m.WriteCommitted(b.now, batch.ID, b.rev)
 	b.report("n-1-a", token, 1)
 	tasks := []string{fmt.Sprintf("run-1/0 %d ended done", first)}
 	for i := 1; i < got; i++ {
@@ -58,7 +58,7 @@
 		rec.Active = append(rec.Active, state.Placement{Task: i, Machine: "n-000001-a", Attempt: 99<<20 + uint64(i), Incarnation: 1})
 	}
 	b := newBench(t, open, []wire.KeyValue{item(state.ProgressKey("run-1", 0), 6, rec)})
-	b.m.limits = newLimits(settings.StoreLimits{ValueKB: 1, TxnOps: 4})
+	b.m.limits = newWriteLimits(settings.StoreLimits{ValueKB: 1, TxnOps: 4})
 	b.up("n-2-a")
 	b.want(b.grant("run-1", "n-2-a", 1), 0)
 	tasks := make([]string, 30)
@@ -68,19 +68,19 @@
 	b.report("n-000001-a", token, 1, tasks...)
 	tasks[0] = fmt.Sprintf("run-1/0 %d ended done", 99<<20)
 	b.report("n-000001-a", token, 1, tasks...)
-	b.wait(5 * gather)
-	if w := b.m.NextWrite(b.now); w != nil {
-		t.Errorf("written while it is too long: %+v", w.Changes)
+	b.wait(5 * progressDelay)
+	if batch := b.m.NextWrite(b.now); batch != nil {
+		t.Errorf("written while it is too long: %+v", batch.Changes)
 	}
 	for i := range 20 {
 		tasks[i] = fmt.Sprintf("run-1/%d %d ended done", i, 99<<20+i)
 	}
 	b.report("n-000001-a", token, 1, tasks...)
-	w := b.m.NextWrite(b.now)
-	if w == nil {
+	batch := b.m.NextWrite(b.now)
+	if batch == nil {
 		t.Fatal("not written though it fits")
 	}
-	b.fits(w, 1024, 4)
+	b.fits(batch, 1024, 4)
 }
 
 // What the state service refuses is never asked again unchanged: it is split, then made
@@ -92,32 +92,32 @@
 		b.job(fmt.Sprintf("run-%d", i), 8, small)
 		b.grant(fmt.Sprintf("run-%d", i), "n-1-a", 8)
 	}
-	w := b.m.NextWrite(b.now)
-	b.want(len(w.Changes), 6)
-	b.want(b.m.WriteRefused(b.now, w, 600), true)
-	w = b.m.NextWrite(b.now)
-	b.want(len(w.Changes), 3)
-	b.want(b.m.WriteRefused(b.now, w, 600), true)
-	w = b.m.NextWrite(b.now)
-	b.want(len(w.Changes), 2)
-	b.want(b.m.WriteRefused(b.now, w, 600), true) // 450 bytes now: what was to be placed is taken back
+	batch := b.m.NextWrite(b.now)
+	b.want(len(batch.Changes), 6)
+	b.want(b.m.WriteRefused(b.now, batch, 600), true)
+	batch = b.m.NextWrite(b.now)
+	b.want(len(batch.Changes), 3)
+	b.want(b.m.WriteRefused(b.now, batch, 600), true)
+	batch = b.m.NextWrite(b.now)
+	b.want(len(batch.Changes), 2)
+	b.want(b.m.WriteRefused(b.now, batch, 600), true) // 450 bytes now: what was to be placed is taken back
 	for range 3 {
 		for i := range 6 {
 			b.grant(fmt.Sprintf("run-%d", i), "n-1-a", 8)
 		}
-		w = b.m.NextWrite(b.now)
-		b.fits(w, 450, 2)
+		batch = b.m.NextWrite(b.now)
+		b.fits(batch, 450, 2)
 		b.rev++
-		b.m.WriteCommitted(b.now, w.ID, b.rev)
+		b.m.WriteCommitted(b.now, batch.ID, b.rev)
 	}
 	b.job("run-9", 1, small)
 	b.grant("run-9", "n-1-a", 1)
-	w = b.m.NextWrite(b.now)
-	b.want(b.m.WriteRefused(b.now, w, 100), false)
-	if w = b.m.NextWrite(b.now); w != nil {
-		t.Errorf("asked again at once: %+v", w.Changes)
+	batch = b.m.NextWrite(b.now)
+	b.want(b.m.WriteRefused(b.now, batch, 100), false)
+	if batch = b.m.NextWrite(b.now); batch != nil {
+		t.Errorf("asked again at once: %+v", batch.Changes)
 	}
-	b.wait(holdFor)
+	b.wait(writeHoldTime)
 	b.want(b.m.NextWrite(b.now) != nil, true)
 }
 
@@ -142,7 +142,7 @@
 // promised, the less urgent the sooner; a job that has waited long is the last to be refused.
 func TestNothingPromisedBeyondWhatCanBeWritten(t *testing.T) {
 	b := newBench(t, nil, nil)
-	b.m.limits = newLimits(settings.StoreLimits{ValueKB: 4, TxnOps: 2})
+	b.m.limits = newWriteLimits(settings.StoreLimits{ValueKB: 4, TxnOps: 2})
 	b.m.cfg.Tuning.ReserveAfter = 45 * micros.Second
 	b.up("n-1-a", "n-2-a", "n-3-a")
 	for i := range 40 {
@@ -153,7 +153,7 @@
 			}
 		})
 	}
-	b.m.writeTook = micros.Second
+	b.m.lastWriteDuration = micros.Second
 	granted := map[int]int{}
 	for i := range 40 {
 		granted[i%2] += b.grant(fmt.Sprintf("run-%d", i), "n-1-a", 1)
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -51,34 +51,34 @@
 	StoreLimits settings.StoreLimits
 }
 
-type job struct {
-	rec     state.OpenJobRecord
-	version uint64 // of status and open record
-	born    micros.Timestamp
-	due     micros.Timestamp // 0: none
-	tasks   []byte
-	waiting int
-	cursor  int // no task below is waiting
-	done    int // including those not yet durable
-	durable int // done and durable
-	active  map[int]*attempt
-	chunks  map[int]*chunk
-	arrival uint64
-	gang    *gang.Gang // nil: its tasks are independent
-	over    string
-	overAt  micros.Timestamp // at the earliest
+type jobState struct {
+	record       state.OpenJobRecord
+	version      uint64 // of status and open record
+	acceptedAt   micros.Timestamp
+	deadline     micros.Timestamp // 0: none
+	taskStates   []byte
+	waiting      int
+	firstWaiting int // no task below is waiting
+	done         int // including those not yet durable
+	durable      int // done and durable
+	active       map[int]*taskAttempt
+	shards       map[int]*progressShard
+	arrival      uint64
+	gang         *gang.Gang // nil: its tasks are independent
+	finalState   string
+	finalSince   micros.Timestamp // at the earliest
 	// finalSent guards against a second final write while one is out.
-	finalOut bool
+	completionInFlight bool
 	// failures of tasks by machine since the last success; a job that fails
 	// everywhere backs off instead of starting in a hot loop.
-	failed    map[string]int
-	fails     int
-	runs      int             // tasks done at a usual speed
-	ran       micros.Duration // their run times together
-	notBefore micros.Timestamp
-	holdUntil micros.Timestamp // its records are let alone until then
+	failuresByMachine map[string]int
+	fails             int
+	normalRuns        int             // tasks done at a usual speed
+	normalRunTime     micros.Duration // their run times together
+	backoffUntil      micros.Timestamp
+	writesHeldUntil   micros.Timestamp // its records are let alone until then
 	// waitSince is since when tasks have waited without one of them being placed.
-	waitSince micros.Timestamp
+	waitingSince micros.Timestamp
 }
 
 // Task states.
@@ -89,148 +89,148 @@
 	taskDurable // done and durable
 )
 
-type chunk struct {
-	version uint64
-	dirty   bool
-	since   micros.Timestamp // when it became so
-	launch  bool             // a launch waits for its being written
-	out     bool
-	load    int // bytes of the placements that it has to hold
+type progressShard struct {
+	version          uint64
+	dirty            bool
+	dirtySince       micros.Timestamp // when it became so
+	launchPending    bool             // a launch waits for its being written
+	deletionInFlight bool
+	placementBytes   int // bytes of the placements that it has to hold
 	// disruption is the record of the disturbed tasks among those of the chunk.
-	disruption disruptionRecord
+	disruptions disruptionRecord
 }
 
-type attempt struct {
-	job     *job
-	task    int
-	name    string // of the task, set when it is placed
-	id      uint64
-	machine *machine
-	session uint64
-	bytes   int // of its placement in the record
-
-	durable bool
-	kept    bool   // placed where room had been kept for its job
-	ours    bool   // granted in this term
-	sentSeq uint64 // report whose answer last carried the launch
+type taskAttempt struct {
+	job            *jobState
+	taskIndex      int
+	taskName       string // of the task, set when it is placed
+	id             uint64
+	machine        *machineState
+	incarnation    uint64
+	placementBytes int // of its placement in the record
+
+	durable         bool
+	usedReservation bool   // placed where room had been kept for its job
+	grantedThisTerm bool   // granted in this term
+	launchSentSeq   uint64 // report whose answer last carried the launch
 	// directOut: a direct launch awaits its answer. directLost: its outcome is
 	// unknown, and it may take effect at any time while token and session last. direct:
 	// it was launched so; a copy of that may come at any time, too.
-	directOut, directLost, direct bool
-	listed                        bool
-	state                         string
-	runSince                      micros.Timestamp
-	leaseEnd                      micros.Timestamp
-	waiter                        string
-	waiterUntil                   micros.Timestamp
-	saved                         bool // has exited after saving
-	held                          bool // launched once its mates have their image
-	stop                          bool
-	evicting                      bool // is stopped once its disturbance is durable
-	evictedFor                    disruption.Cause
-	refused                       bool // has ended by itself without a result
-	stopGrace                     float64
-	stopSent                      micros.Timestamp
+	pushInFlight, pushOutcomeUnknown, launchedByPush bool
+	listed                                           bool
+	reportedState                                    string
+	runningSince                                     micros.Timestamp
+	leaseExpiry                                      micros.Timestamp
+	waiter                                           string
+	waiterUntil                                      micros.Timestamp
+	savedAtExit                                      bool // has exited after saving
+	waitsForPeersImages                              bool // launched once its mates have their image
+	stopping                                         bool
+	evictionPending                                  bool // is stopped once its disturbance is durable
+	evictionCause                                    disruption.Cause
+	failed                                           bool // has ended by itself without a result
+	stopGraceS                                       float64
+	stopSentAt                                       micros.Timestamp
 }
 
-type image struct {
-	gb    float64
-	used  micros.Timestamp
-	ready bool
+type cachedImage struct {
+	sizeGB   float64
+	lastUsed micros.Timestamp
+	ready    bool
 }
 
-type machine struct {
-	id, addr, typ, zone string
-	spot                bool
-	spec                *wire.MachineType
-	state               string // as listed
-	born                micros.Timestamp
-	up                  bool
-	session, seq        uint64 // of the newest message, report or answer to a direct order
-	reportSeq           uint64 // of the newest report of the session
-	deadSession         uint64
-	confirmed           bool // has seen our token, so only our answers renew its lease
-	lastReport          micros.Timestamp
+type machineState struct {
+	id, address, typeName, zone string
+	spot                        bool
+	machineType                 *wire.MachineType
+	cloudState                  string // as listed
+	registeredAt                micros.Timestamp
+	reporting                   bool
+	incarnation, newestSeq      uint64 // of the newest message, report or answer to a direct order
+	heartbeatSeq                uint64 // of the newest report of the session
+	expiredIncarnation          uint64
+	tokenAcknowledged           bool // has seen our token, so only our answers renew its lease
+	lastAnswered                micros.Timestamp
 	// renewed is when the worker's lease may have been renewed last, or its session have begun.
-	renewed          micros.Timestamp
-	lastHeard        micros.Timestamp
-	listed, listedAt micros.Timestamp // first and last time in a list
-	unlisted         int
-	notice           micros.Timestamp // when it will be taken, 0: no notice
-	deleting         bool
-	suspect          string
+	leaseRenewedAt          micros.Timestamp
+	lastHeartbeat           micros.Timestamp
+	firstListed, lastListed micros.Timestamp // first and last time in a list
+	missedLists             int
+	reclaimAt               micros.Timestamp // when it will be taken, 0: no notice
+	deleting                bool
+	quarantineReason        string
 	// deaf is since when nothing shows that the worker hears us, 0 while something does;
 	// reports alone don't.
-	deaf, probed micros.Timestamp
-	keep         string // the job for which its room is kept
+	unreachableSince, probedAt micros.Timestamp
+	reservedForJob             string // the job for which its room is kept
 	// madeFor is the gang for which others' tasks were stopped here: until then nothing less
 	// urgent takes the room.
-	madeFor   string
-	madeUntil micros.Timestamp
+	preemptedForJob string
+	preemptedUntil  micros.Timestamp
 	// doubtUntil: until then a gang has failed lately by its silence.
-	doubtUntil  micros.Timestamp
-	shownUsable bool
-	fails, slow int
-	attempts    map[string]*attempt // by task
-	strays      map[string]wire.TaskStatus
+	unreliableUntil                          micros.Timestamp
+	publishedUsable                          bool
+	consecutiveFailures, consecutiveSlowRuns int
+	attempts                                 map[string]*taskAttempt // by task
+	orphanTasks                              map[string]wire.TaskStatus
 	// retained are exited attempts whose direct launch may yet arrive, or arrive again: not
 	// cleared.
-	retained  map[retainedKey]retainedAttempt
-	images    map[string]*image
-	idleSince micros.Timestamp // 0: not idle yet in this term
-	directOK  bool
-	directOut bool
+	tombstones   map[attemptKey]tombstone
+	images       map[string]*cachedImage
+	idleSince    micros.Timestamp // 0: not idle yet in this term
+	pushWorks    bool
+	pushInFlight bool
 	// reserved is room for the successors of evicted attempts, results are those that came from here and may not be durable.
-	reserved map[disruption.Task]*reservation
-	results  []doneTask
+	reservations     map[disruption.Task]*reservation
+	unwrittenResults []completedTask
 	// via names the controller by which its reports come; none: they come here.
-	via string
+	relayedBy string
 }
 
 // Manager is the state of a term.
 type Manager struct {
-	cfg      Config
-	born     micros.Timestamp
-	next     uint64
-	jobs     map[string]*job
-	removed  map[string]uint64
-	machines map[string]*machine
-	gone     map[string]bool
-	types    map[string]*wire.MachineType
-	assign   map[string]string
-	stateOK  bool
-	teams    map[string]*team
-
-	dirty   []dirtyChunk
-	finals  []string
-	cleanup []string
+	cfg               Config
+	termStart         micros.Timestamp
+	lastAttemptNumber uint64
+	jobs              map[string]*jobState
+	removedJobs       map[string]uint64
+	machines          map[string]*machineState
+	deletedMachines   map[string]bool
+	machineTypes      map[string]*wire.MachineType
+	teamAssignments   map[string]string
+	storeAvailable    bool
+	teams             map[string]*teamUsage
+
+	dirtyShards []shardKey
+	completions []string
+	cleanups    []string
 	// orphans are progress records without a job: late copies of writes made them anew.
-	orphans  []RecordChange
-	writeOut *batch
-	writeNo  uint64
+	orphanRecords []RecordChange
+	writeInFlight *pendingWrite
+	lastWriteID   uint64
 	// writeTook is how long the last write took.
-	writeTook micros.Duration
-	notes     []Event
-	arrivals  uint64
+	lastWriteDuration micros.Duration
+	events            []Event
+	arrivals          uint64
 	// preemptFrom is the job with which displacement goes on.
-	preemptFrom string
-	spent       spending
-	limits      limits
-	guesses     map[string]float64 // by class: logarithm of run time over estimate
-	renewers    renewers
-	direct      map[string]bool // machines for which there may be direct orders
-	directs     int             // direct orders that are out
-	shown       shown
+	resumePreemptionAt string
+	costs              costAccount
+	limits             writeLimits
+	estimateBias       map[string]float64 // by class: logarithm of run time over estimate
+	leaseRenewers      leaseRenewers
+	pushCandidates     map[string]bool // machines for which there may be direct orders
+	pushesInFlight     int             // direct orders that are out
+	publisher          snapshotPublisher
 
 	ledger       *disruption.Ledger // nil: no account is kept of disturbed work
 	cordons      map[string]bool    // machines that take nothing new
 	reservations map[disruption.Task]*reservation
 	// promisedTo is where an earlier leader had reserved room, which this one has not yet.
-	promisedTo map[disruption.Task]string
+	inheritedReservations map[disruption.Task]string
 	// replacements is how many tasks of jobs can't be evicted for lack of room elsewhere.
-	replacements map[string]int
-	vacated      []drain.VacatedPool
-	listedAll    bool // the cloud has listed its machines in this term
+	replacements   map[string]int
+	vacating       []drain.VacatedPool
+	machinesListed bool // the cloud has listed its machines in this term
 }
 
 // Event is news for the operators' log.
@@ -239,318 +239,320 @@
 	Attrs   []any
 }
 
-func (m *Manager) note(text string, args ...any) { m.notes = append(m.notes, Event{text, args}) }
+func (m *Manager) event(text string, args ...any) { m.events = append(m.events, Event{text, args}) }
 
 // Events gives the news since the last call.
 func (m *Manager) Events() []Event {
-	n := m.notes
-	m.notes = nil
+	n := m.events
+	m.events = nil
 	return n
 }
 
-type team struct {
+type teamUsage struct {
 	settings.Team
-	cpus, gpus float64
+	usedCPUs, usedGPUs float64
 }
 
 // New starts a term with what the state service holds.
 func New(now micros.Timestamp, cfg Config, wall int64, open []wire.KeyValue, chunks []wire.KeyValue) (*Manager, error) {
-	m := &Manager{cfg: cfg, born: now, jobs: map[string]*job{}, removed: map[string]uint64{}, machines: map[string]*machine{},
-		gone: map[string]bool{}, types: map[string]*wire.MachineType{}, assign: map[string]string{},
-		teams: map[string]*team{}, stateOK: true, direct: map[string]bool{}, guesses: map[string]float64{},
-		shown:        shown{touched: map[string]bool{}, jobsHit: map[string]bool{}, changed: true},
-		reservations: map[disruption.Task]*reservation{}, promisedTo: map[disruption.Task]string{}, replacements: map[string]int{}}
+	m := &Manager{cfg: cfg, termStart: now, jobs: map[string]*jobState{}, removedJobs: map[string]uint64{}, machines: map[string]*machineState{},
+		deletedMachines: map[string]bool{}, machineTypes: map[string]*wire.MachineType{}, teamAssignments: map[string]string{},
+		teams: map[string]*teamUsage{}, storeAvailable: true, pushCandidates: map[string]bool{}, estimateBias: map[string]float64{},
+		publisher:    snapshotPublisher{dirtyMachines: map[string]bool{}, dirtyJobs: map[string]bool{}, stale: true},
+		reservations: map[disruption.Task]*reservation{}, inheritedReservations: map[disruption.Task]string{}, replacements: map[string]int{}}
 	if cfg.TrackDisruptions {
 		m.ledger = disruption.NewLedger()
 	}
 	for _, t := range cfg.Teams {
-		m.teams[t.Name] = &team{Team: t}
+		m.teams[t.Name] = &teamUsage{Team: t}
 	}
-	m.limits = newLimits(cfg.StoreLimits)
+	m.limits = newWriteLimits(cfg.StoreLimits)
 	records, err := decodeOpen(open)
 	if err != nil {
 		return nil, err
 	}
 	for _, r := range records {
-		m.addJob(now, wall, r.rec, r.version)
+		m.addJob(now, wall, r.record, r.version)
 	}
 	for _, it := range chunks {
 		id, n, ok := state.ParseProgressKey(it.Key)
-		j := m.jobs[id]
-		if !ok || j == nil {
-			m.orphans = append(m.orphans, RecordChange{Key: it.Key, Version: it.Version})
+		job := m.jobs[id]
+		if !ok || job == nil {
+			m.orphanRecords = append(m.orphanRecords, RecordChange{Key: it.Key, Version: it.Version})
 			continue
 		}
 		var rec state.ProgressRecord
 		if err := state.DecodeRecord(it, &rec); err != nil {
 			return nil, err
 		}
-		if err := m.addChunk(now, j, n, rec, it.Version); err != nil {
+		if err := m.restoreShard(now, job, n, rec, it.Version); err != nil {
 			return nil, &state.RecordError{Key: it.Key, Err: err}
 		}
 	}
-	for _, j := range m.byArrival(func(*job) bool { return true }) {
+	for _, job := range m.jobsByArrival(func(*jobState) bool { return true }) {
 		// An earlier leader has placed nothing of it: it has waited since it was accepted. When one of the others had a task
 		// placed last is not recorded.
-		if len(j.active) == 0 && j.done == 0 {
-			j.waitSince = j.born
+		if len(job.active) == 0 && job.done == 0 {
+			job.waitingSince = job.acceptedAt
 		}
-		m.rebuilt(now, j)
+		m.finishGangRecovery(now, job)
 		// A job cancelled under an earlier leader may still have tasks running.
-		if j.over != "" {
-			m.stopAll(now, j)
+		if job.finalState != "" {
+			m.stopJob(now, job)
 		}
-		m.settle(now, j)
+		m.queueFinalWrite(now, job)
 	}
 	return m, nil
 }
 
 // openRecord is an open record with its version.
-type openRecord struct {
-	rec     state.OpenJobRecord
+type versionedOpenRecord struct {
+	record  state.OpenJobRecord
 	version uint64
 }
 
 // decodeOpen decodes open records and puts them in the order in which their jobs were accepted. The state service lists
 // them by their ids, which users choose.
-func decodeOpen(items []wire.KeyValue) ([]openRecord, error) {
-	records := make([]openRecord, len(items))
+func decodeOpen(items []wire.KeyValue) ([]versionedOpenRecord, error) {
+	records := make([]versionedOpenRecord, len(items))
 	for i, it := range items {
 		records[i].version = it.Version
-		if err := state.DecodeRecord(it, &records[i].rec); err != nil {
+		if err := state.DecodeRecord(it, &records[i].record); err != nil {
 			return nil, err
 		}
 	}
-	slices.SortStableFunc(records, func(a, b openRecord) int { return cmp.Compare(a.rec.AcceptedAt, b.rec.AcceptedAt) })
+	slices.SortStableFunc(records, func(a, b versionedOpenRecord) int { return cmp.Compare(a.record.AcceptedAt, b.record.AcceptedAt) })
 	return records, nil
 }
 
 // byArrival gives the jobs that are wanted, the oldest first.
-func (m *Manager) byArrival(wanted func(*job) bool) []*job {
-	var out []*job
-	for _, j := range m.jobs {
-		if wanted(j) {
-			out = append(out, j)
+func (m *Manager) jobsByArrival(wanted func(*jobState) bool) []*jobState {
+	var out []*jobState
+	for _, job := range m.jobs {
+		if wanted(job) {
+			out = append(out, job)
 		}
 	}
-	slices.SortFunc(out, func(a, b *job) int { return cmp.Compare(a.arrival, b.arrival) })
+	slices.SortFunc(out, func(a, b *jobState) int { return cmp.Compare(a.arrival, b.arrival) })
 	return out
 }
 
-func (m *Manager) addJob(now micros.Timestamp, wall int64, rec state.OpenJobRecord, version uint64) *job {
-	j := &job{rec: rec, version: version, tasks: make([]byte, rec.Job.Tasks), waiting: rec.Job.Tasks,
-		active: map[int]*attempt{}, chunks: map[int]*chunk{}, over: rec.FinalState, failed: map[string]int{}}
+func (m *Manager) addJob(now micros.Timestamp, wall int64, rec state.OpenJobRecord, version uint64) *jobState {
+	job := &jobState{record: rec, version: version, taskStates: make([]byte, rec.Job.Tasks), waiting: rec.Job.Tasks,
+		active: map[int]*taskAttempt{}, shards: map[int]*progressShard{}, finalState: rec.FinalState, failuresByMachine: map[string]int{}}
 	age := max(0, micros.Duration(wall-rec.AcceptedAt))
-	j.born = now.Add(-age)
+	job.acceptedAt = now.Add(-age)
 	m.arrivals++
-	j.arrival = m.arrivals
-	j.waitSince = now
-	j.overAt = now
+	job.arrival = m.arrivals
+	job.waitingSince = now
+	job.finalSince = now
 	if rec.Job.Kind == wire.KindGang {
-		j.gang = gang.New(rec.Job.Tasks)
+		job.gang = gang.New(rec.Job.Tasks)
 	}
 	if d := rec.Job.DeadlineS; d != nil {
-		j.due = j.born.Add(micros.Seconds(*d))
+		job.deadline = job.acceptedAt.Add(micros.Seconds(*d))
 	}
-	m.jobs[rec.Job.ID] = j
-	m.touchJob(j)
-	return j
+	m.jobs[rec.Job.ID] = job
+	m.markJobChanged(job)
+	return job
 }
 
-func (m *Manager) addChunk(now micros.Timestamp, j *job, n int, rec state.ProgressRecord, version uint64) error {
-	c := &chunk{version: version}
-	j.chunks[n] = c
-	base := n * j.rec.ShardSize
+func (m *Manager) restoreShard(now micros.Timestamp, job *jobState, n int, rec state.ProgressRecord, version uint64) error {
+	shard := &progressShard{version: version}
+	job.shards[n] = shard
+	base := n * job.record.ShardSize
 	err := state.DecodeDoneBitmap(rec.Done, func(i int) {
-		if t := base + i; t < len(j.tasks) && j.tasks[t] == taskWaiting {
-			j.tasks[t] = taskDurable
-			j.waiting--
-			j.done++
-			j.durable++
+		if t := base + i; t < len(job.taskStates) && job.taskStates[t] == taskWaiting {
+			job.taskStates[t] = taskDurable
+			job.waiting--
+			job.done++
+			job.durable++
 		}
 	})
 	if err != nil {
 		return err
 	}
-	for _, p := range rec.Active {
-		if p.Task < 0 || p.Task >= len(j.tasks) || j.tasks[p.Task] != taskWaiting {
+	for _, placement := range rec.Active {
+		if placement.Task < 0 || placement.Task >= len(job.taskStates) || job.taskStates[placement.Task] != taskWaiting {
 			continue
 		}
-		mc := m.machine(now, p.Machine)
+		machine := m.ensureMachine(now, placement.Machine)
 		// A rebuilt lease has no end time and counts as the first lease.
-		a := &attempt{job: j, task: p.Task, id: p.Attempt, machine: mc, session: p.Incarnation, durable: true,
-			leaseEnd: now.Add(m.cfg.Tuning.FirstLease)}
-		m.place(a)
+		attempt := &taskAttempt{job: job, taskIndex: placement.Task, id: placement.Attempt, machine: machine, incarnation: placement.Incarnation, durable: true,
+			leaseExpiry: now.Add(m.cfg.Tuning.FirstLease)}
+		m.registerAttempt(attempt)
 	}
 	return nil
 }
 
 // place enters an attempt into all books.
-func (m *Manager) place(a *attempt) {
-	a.name = wire.TaskName(a.job.rec.Job.ID, a.task)
-	m.release(taskOf(a))
-	delete(m.promisedTo, taskOf(a))
-	a.job.tasks[a.task] = taskActive
-	a.job.waiting--
-	a.job.active[a.task] = a
-	a.bytes = placementSize(a.placement())
-	m.chunkOf(a.job, a.task).load += a.bytes
-	if g := a.job.gang; g != nil {
-		if a.ours {
-			g.TaskPlaced()
+func (m *Manager) registerAttempt(attempt *taskAttempt) {
+	attempt.taskName = wire.TaskName(attempt.job.record.Job.ID, attempt.taskIndex)
+	m.releaseReservation(taskID(attempt))
+	delete(m.inheritedReservations, taskID(attempt))
+	attempt.job.taskStates[attempt.taskIndex] = taskActive
+	attempt.job.waiting--
+	attempt.job.active[attempt.taskIndex] = attempt
+	attempt.placementBytes = placementSize(attempt.placement())
+	m.shardOf(attempt.job, attempt.taskIndex).placementBytes += attempt.placementBytes
+	if peers := attempt.job.gang; peers != nil {
+		if attempt.grantedThisTerm {
+			peers.TaskPlaced()
 		} else {
-			g.TaskRecovered()
+			peers.TaskRecovered()
 		}
 	}
-	a.machine.attempts[a.name] = a
-	if t := m.teams[a.job.rec.Job.Team]; t != nil {
-		t.cpus += a.job.rec.Job.CPUs
-		t.gpus += a.job.rec.Job.GPUs
+	attempt.machine.attempts[attempt.taskName] = attempt
+	if team := m.teams[attempt.job.record.Job.Team]; team != nil {
+		team.usedCPUs += attempt.job.record.Job.CPUs
+		team.usedGPUs += attempt.job.record.Job.GPUs
 	}
-	m.touchMachine(a.machine)
-	m.touchJob(a.job)
+	m.markMachineChanged(attempt.machine)
+	m.markJobChanged(attempt.job)
 }
 
 // drop takes an attempt that is gone out of all books; its task waits again unless
 // it is done.
-func (m *Manager) drop(now micros.Timestamp, a *attempt) {
-	j := a.job
-	if j.active[a.task] != a {
+func (m *Manager) releaseAttempt(now micros.Timestamp, attempt *taskAttempt) {
+	job := attempt.job
+	if job.active[attempt.taskIndex] != attempt {
 		return
 	}
-	m.disturb(now, a, disruption.Lost)
-	delete(j.active, a.task)
-	delete(a.machine.attempts, a.name)
-	m.chunkOf(j, a.task).load -= a.bytes
-	if t := m.teams[j.rec.Job.Team]; t != nil {
-		t.cpus -= j.rec.Job.CPUs
-		t.gpus -= j.rec.Job.GPUs
-	}
-	if j.tasks[a.task] == taskActive {
-		m.accountLost(now, a)
-		if j.waiting == 0 {
-			j.waitSince = now
+	m.beginDisturbance(now, attempt, disruption.Lost)
+	delete(job.active, attempt.taskIndex)
+	delete(attempt.machine.attempts, attempt.taskName)
+	m.shardOf(job, attempt.taskIndex).placementBytes -= attempt.placementBytes
+	if team := m.teams[job.record.Job.Team]; team != nil {
+		team.usedCPUs -= job.record.Job.CPUs
+		team.usedGPUs -= job.record.Job.GPUs
+	}
+	if job.taskStates[attempt.taskIndex] == taskActive {
+		m.accountWastedRun(now, attempt)
+		if job.waiting == 0 {
+			job.waitingSince = now
 		}
-		j.tasks[a.task] = taskWaiting
-		j.waiting++
-		j.cursor = min(j.cursor, a.task)
+		job.taskStates[attempt.taskIndex] = taskWaiting
+		job.waiting++
+		job.firstWaiting = min(job.firstWaiting, attempt.taskIndex)
 	}
-	if len(a.machine.attempts) == 0 {
-		a.machine.idleSince = now
+	if len(attempt.machine.attempts) == 0 {
+		attempt.machine.idleSince = now
 	}
-	if j.over == "" {
-		m.touch(now, j, a.task, false)
+	if job.finalState == "" {
+		m.markShardDirty(now, job, attempt.taskIndex, false)
 	}
-	m.settle(now, j)
-	m.touchMachine(a.machine)
-	if r := m.reservations[taskOf(a)]; r != nil {
-		m.touchMachine(r.machine) // it may be claimed now
+	m.queueFinalWrite(now, job)
+	m.markMachineChanged(attempt.machine)
+	if held := m.reservations[taskID(attempt)]; held != nil {
+		m.markMachineChanged(held.machine) // it may be claimed now
 	}
-	m.touchJob(j)
-	if j.gang != nil {
-		m.follow(now, j, j.gang.TaskGone(a.saved), disruption.Gang)
+	m.markJobChanged(job)
+	if job.gang != nil {
+		m.applyGangAction(now, job, job.gang.TaskGone(attempt.savedAtExit), disruption.Gang)
 	}
 }
 
 // settle moves a job on when its last task is done, or when it is over and nothing of
 // it can exist any more.
-func (m *Manager) settle(now micros.Timestamp, j *job) {
-	if j == nil {
+func (m *Manager) queueFinalWrite(now micros.Timestamp, job *jobState) {
+	if job == nil {
 		return
 	}
-	id := j.rec.Job.ID
+	id := job.record.Job.ID
 	switch {
-	case j.over != "":
-		if len(j.active) == 0 && !slices.Contains(m.cleanup, id) {
-			m.cleanup = append(m.cleanup, id)
+	case job.finalState != "":
+		if len(job.active) == 0 && !slices.Contains(m.cleanups, id) {
+			m.cleanups = append(m.cleanups, id)
 		}
-	case j.done == len(j.tasks) && !j.finalOut && !slices.Contains(m.finals, id):
-		m.finals = append(m.finals, id)
+	case job.done == len(job.taskStates) && !job.completionInFlight && !slices.Contains(m.completions, id):
+		m.completions = append(m.completions, id)
 	}
 }
 
 // SetTeamAssignments says which controller places which team's jobs.
 func (m *Manager) SetTeamAssignments(a map[string]string) {
-	if !maps.Equal(a, m.assign) {
-		m.assign = a
-		m.shown.changed = true
+	if !maps.Equal(a, m.teamAssignments) {
+		m.teamAssignments = a
+		m.publisher.stale = true
 	}
 }
 
 // SetStoreAvailable says whether the state service serves this controller.
 func (m *Manager) SetStoreAvailable(ok bool) {
-	m.shown.changed = m.shown.changed || ok != m.stateOK
-	m.stateOK = ok
+	m.publisher.stale = m.publisher.stale || ok != m.storeAvailable
+	m.storeAvailable = ok
 }
 
 // OpenRecordChanged takes an open record seen by the watch. A cancellation that it tells of may have been
 // confirmed as early as since: what had been confirmed before that is known.
 func (m *Manager) OpenRecordChanged(now, since micros.Timestamp, wall int64, rec state.OpenJobRecord, version uint64) {
 	id := rec.Job.ID
-	if version <= m.removed[id] {
+	if version <= m.removedJobs[id] {
 		return
 	}
-	j := m.jobs[id]
-	if j == nil {
-		j = m.addJob(now, wall, rec, version)
-		m.settle(now, j)
+	job := m.jobs[id]
+	if job == nil {
+		job = m.addJob(now, wall, rec, version)
+		m.queueFinalWrite(now, job)
 		return
 	}
-	if version <= j.version {
+	if version <= job.version {
 		return
 	}
-	j.version = version
-	if rec.FinalState != "" && j.over == "" {
-		j.over = rec.FinalState
-		j.overAt = min(now, since)
-		j.finalOut = false
-		m.finals = slices.DeleteFunc(m.finals, func(x string) bool { return x == id })
+	job.version = version
+	if rec.FinalState != "" && job.finalState == "" {
+		job.finalState = rec.FinalState
+		job.finalSince = min(now, since)
+		job.completionInFlight = false
+		m.completions = slices.DeleteFunc(m.completions, func(x string) bool { return x == id })
 		m.ledger.EndJob(id)
-		m.stopAll(now, j)
-		m.settle(now, j)
-		m.touchJob(j)
+		m.stopJob(now, job)
+		m.queueFinalWrite(now, job)
+		m.markJobChanged(job)
 	}
 }
 
 // ForgetRemovedBefore forgets the deletions up to a revision: the watch goes on from there.
 func (m *Manager) ForgetRemovedBefore(revision uint64) {
-	maps.DeleteFunc(m.removed, func(_ string, v uint64) bool { return v <= revision })
+	maps.DeleteFunc(m.removedJobs, func(_ string, v uint64) bool { return v <= revision })
 }
 
-func (m *Manager) stopAll(now micros.Timestamp, j *job) {
-	if j.gang != nil {
-		j.gang.Abort()
+func (m *Manager) stopJob(now micros.Timestamp, job *jobState) {
+	if job.gang != nil {
+		job.gang.Abort()
 	}
-	for _, a := range sorted(j.active) {
-		m.stop(now, a, 0, disruption.Lost)
+	for _, attempt := range attemptsByID(job.active) {
+		m.stopAttempt(now, attempt, 0, disruption.Lost)
 	}
 }
 
 // OpenRecordRemoved forgets that a job's open record was deleted; the watch has passed it.
-func (m *Manager) OpenRecordRemoved(id string) { delete(m.removed, id) }
+func (m *Manager) OpenRecordRemoved(id string) { delete(m.removedJobs, id) }
 
 // sorted gives the attempts in the order of their tasks, so that the manager's
 // decisions do not depend on the order of a map.
-func sorted[K comparable](as map[K]*attempt) []*attempt {
+func attemptsByID[K comparable](as map[K]*taskAttempt) []*taskAttempt {
 	out := slices.Collect(maps.Values(as))
-	slices.SortFunc(out, byNumber)
+	slices.SortFunc(out, compareAttempts)
 	return out
 }
 
-func byNumber(a, b *attempt) int { return cmp.Or(cmp.Compare(a.id, b.id), a.task-b.task) }
+func compareAttempts(attempt, b *taskAttempt) int {
+	return cmp.Or(cmp.Compare(attempt.id, b.id), attempt.taskIndex-b.taskIndex)
+}
 
 // stop wants an attempt to end. One whose launch never left ends at once.
-func (m *Manager) stop(now micros.Timestamp, a *attempt, grace float64, cause disruption.Cause) {
-	m.disturb(now, a, cause)
-	if !a.launched() {
-		m.drop(now, a)
+func (m *Manager) stopAttempt(now micros.Timestamp, attempt *taskAttempt, grace float64, cause disruption.Cause) {
+	m.beginDisturbance(now, attempt, cause)
+	if !attempt.launched() {
+		m.releaseAttempt(now, attempt)
 		return
 	}
-	if !a.stop || grace < a.stopGrace {
-		a.stop, a.stopGrace, a.stopSent = true, grace, 0
-		m.direct[a.machine.id] = true
+	if !attempt.stopping || grace < attempt.stopGraceS {
+		attempt.stopping, attempt.stopGraceS, attempt.stopSentAt = true, grace, 0
+		m.pushCandidates[attempt.machine.id] = true
 	}
 }
 
 // Types gives the types by name.
-func (m *Manager) Types() map[string]*wire.MachineType { return m.types }
+func (m *Manager) Types() map[string]*wire.MachineType { return m.machineTypes }
--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -88,24 +88,24 @@
 }
 
 func (b *bench) reportAs(seq uint64, machine string, tok, session uint64, tasks ...string) string {
-	r := &wire.Heartbeat{Machine: machine, Addr: "10.1.0.1:9000", Type: "small", Zone: machine[len(machine)-1:], Incarnation: session,
+	heartbeat := &wire.Heartbeat{Machine: machine, Addr: "10.1.0.1:9000", Type: "small", Zone: machine[len(machine)-1:], Incarnation: session,
 		Sequence: seq, FencingToken: tok}
 	for _, s := range tasks {
-		var tr wire.TaskStatus
-		_, _ = fmt.Sscan(s, &tr.Task, &tr.Attempt, &tr.State, &tr.ExitReason)
-		r.Tasks = append(r.Tasks, tr)
+		var status wire.TaskStatus
+		_, _ = fmt.Sscan(s, &status.Task, &status.Attempt, &status.State, &status.ExitReason)
+		heartbeat.Tasks = append(heartbeat.Tasks, status)
 	}
-	a, _ := b.m.Heartbeat(b.now, r, "", true)
+	a, _ := b.m.Heartbeat(b.now, heartbeat, "", true)
 	if a == nil {
 		return "dropped"
 	}
 	return orders(a.Commands)
 }
 
-func orders(cmds []wire.Command) string {
+func orders(commands []wire.Command) string {
 	var out []string
-	for _, c := range cmds {
-		out = append(out, fmt.Sprintf("%s %s %d", c.Op, c.Task, c.Attempt))
+	for _, command := range commands {
+		out = append(out, fmt.Sprintf("%s %s %d", command.Op, command.Task, command.Attempt))
 	}
 	return strings.Join(out, "; ")
 }
@@ -123,9 +123,9 @@
 
 // write makes durable what is due.
 func (b *bench) write() {
-	for w := b.m.NextWrite(b.now); w != nil; w = b.m.NextWrite(b.now) {
+	for batch := b.m.NextWrite(b.now); batch != nil; batch = b.m.NextWrite(b.now) {
 		b.rev++
-		b.m.WriteCommitted(b.now, w.ID, b.rev)
+		b.m.WriteCommitted(b.now, batch.ID, b.rev)
 	}
 }
 
@@ -162,8 +162,8 @@
 	b.up("n-1-a")
 	b.job("run-1", 1, nil)
 	b.grant("run-1", "n-1-a", 1)
-	w := b.m.NextWrite(b.now)
-	rec := w.Changes[0].Value.(state.ProgressRecord)
+	batch := b.m.NextWrite(b.now)
+	rec := batch.Changes[0].Value.(state.ProgressRecord)
 	b.want(rec.Active[0].Attempt>>attemptBits, uint64(token))
 }
 
@@ -410,20 +410,20 @@
 	b.wait(micros.Minute)
 	b.up(ids...)
 	kept := func() (n int) {
-		for _, mc := range b.m.machines {
-			if mc.keep == "run-2" {
+		for _, machine := range b.m.machines {
+			if machine.reservedForJob == "run-2" {
 				n++
 			}
 		}
 		return n
 	}
 	allocs := testing.AllocsPerRun(1, func() {
-		for _, mc := range b.m.machines {
-			mc.keep = ""
+		for _, machine := range b.m.machines {
+			machine.reservedForJob = ""
 		}
 		b.m.ReserveForWaitingJobs(b.now)
 	})
-	b.want(kept(), machines/keepShare)
+	b.want(kept(), machines/reservableFraction)
 	if allocs > machines*most {
 		t.Errorf("%v allocations for %d machines, at most %d each", allocs, machines, most)
 	}
@@ -441,9 +441,9 @@
 	b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d running", first), fmt.Sprintf("run-2/0 %d ended done", second))
 	b.want(b.m.NextWrite(b.now), (*WriteBatch)(nil))
 	b.grant("run-2", "n-1-a", 1)
-	w := b.m.NextWrite(b.now)
-	b.want(len(w.Changes), 1)
-	b.want(len(w.Changes[0].Value.(state.ProgressRecord).Active), 1)
+	batch := b.m.NextWrite(b.now)
+	b.want(len(batch.Changes), 1)
+	b.want(len(batch.Changes[0].Value.(state.ProgressRecord).Active), 1)
 }
 
 // A follower's copy is that of the leader, whatever views it has missed.
@@ -452,16 +452,16 @@
 	var mi snapshot.Replica
 	since := uint64(0)
 	catchUp := func() *snapshot.Snapshot {
-		v := b.m.Snapshot(b.now)
-		u := b.m.SnapshotUpdate(b.now, since)
-		got := mi.Apply(u)
-		since = u.Version
-		b.want(len(got.Machines), len(v.Machines))
-		for i := range v.Machines {
-			b.want(got.Machines[i].ID, v.Machines[i].ID)
-			b.want(got.Machines[i].SameForSchedulers(v.Machines[i]), true)
+		snapshot := b.m.Snapshot(b.now)
+		update := b.m.SnapshotUpdate(b.now, since)
+		got := mi.Apply(update)
+		since = update.Version
+		b.want(len(got.Machines), len(snapshot.Machines))
+		for i := range snapshot.Machines {
+			b.want(got.Machines[i].ID, snapshot.Machines[i].ID)
+			b.want(got.Machines[i].SameForSchedulers(snapshot.Machines[i]), true)
 		}
-		b.want(len(got.Jobs), len(v.Jobs))
+		b.want(len(got.Jobs), len(snapshot.Jobs))
 		return got
 	}
 	b.up("n-2-a", "n-1-a")
@@ -526,7 +526,7 @@
 	ended := fmt.Sprintf("run-1/0 %d ended done", first)
 	running := fmt.Sprintf("run-1/1 %d running", first+1)
 	b.want(b.report("n-1-a", token, 1, ended, running), "")
-	b.wait(gather)
+	b.wait(progressDelay)
 	b.write()
 	b.want(b.report("n-1-a", token, 1, ended, running), fmt.Sprintf("clear run-1/0 %d", first))
 }
@@ -596,7 +596,7 @@
 		b.report(m, token, 1, fmt.Sprintf("run-1/0 %d ended error", first+i))
 	}
 	b.want(b.grant("run-1", "n-3-a", 1), 0)
-	b.want(b.m.machines["n-3-a"].suspect, "")
+	b.want(b.m.machines["n-3-a"].quarantineReason, "")
 	b.wait(3 * micros.Second)
 	b.up("n-3-a")
 	b.want(b.grant("run-1", "n-3-a", 1), 1)
@@ -606,8 +606,8 @@
 	b := newBench(t, nil, nil)
 	b.up("n-1-a", "n-2-a")
 	b.job("run-1", 5, nil)
-	res := b.m.Grant(b.now, lease.Transaction{AllOrNothing: true, Requests: []lease.Request{{Job: "run-1", Machine: "n-1-a", Count: 2}, {Job: "run-1", Machine: "n-2-a", Count: 3}}})
-	b.want(res.Granted[0]+res.Granted[1], 0)
+	result := b.m.Grant(b.now, lease.Transaction{AllOrNothing: true, Requests: []lease.Request{{Job: "run-1", Machine: "n-1-a", Count: 2}, {Job: "run-1", Machine: "n-2-a", Count: 3}}})
+	b.want(result.Granted[0]+result.Granted[1], 0)
 	b.want(b.grant("run-1", "n-1-a", 2), 2)
 }
 
@@ -667,9 +667,9 @@
 	run("n-1-a", 10*micros.Second)
 	run("n-1-a", 10*micros.Second)
 	run("n-2-a", 40*micros.Second)
-	b.want(b.m.machines["n-2-a"].suspect, "")
+	b.want(b.m.machines["n-2-a"].quarantineReason, "")
 	run("n-2-a", 40*micros.Second)
-	b.want(b.m.machines["n-1-a"].suspect, "")
+	b.want(b.m.machines["n-1-a"].quarantineReason, "")
 	b.up("n-2-a")
 	b.want(b.grant("run-1", "n-2-a", 1), 0)
 	b.want(b.grant("run-1", "n-1-a", 1), 0) // silent by now
@@ -689,8 +689,8 @@
 	b.report("n-1-a", token, 1, "run-1/0 90 running", "run-1/1 91 running")
 	b.wait(micros.Second / 2)
 	b.report("n-1-a", token, 1, "run-1/0 90 ended done", "run-1/1 91 ended done")
-	b.want(b.m.jobs["run-1"].runs, 0)
-	b.want(len(b.m.shown.finished), 0)
+	b.want(b.m.jobs["run-1"].normalRuns, 0)
+	b.want(len(b.m.publisher.completedRuns), 0)
 }
 
 // Direct orders are bounded; the rest follows as answers come in.
@@ -753,10 +753,10 @@
 	}
 	b.job("run-90", 1, func(j *wire.Job) { j.Class, j.EstimateS = "rush", 80 })
 	b.job("run-91", 1, func(j *wire.Job) { j.Class, j.EstimateS = "other", 80 })
-	for _, jv := range b.m.Snapshot(b.now).Jobs {
-		s := jv.Estimate.Seconds()
-		if jv.ID == "run-90" && (s < 20 || s > 35) || jv.ID == "run-91" && s != 80 {
-			t.Errorf("%s is expected to run %v s", jv.ID, s)
+	for _, published := range b.m.Snapshot(b.now).Jobs {
+		s := published.Estimate.Seconds()
+		if published.ID == "run-90" && (s < 20 || s > 35) || published.ID == "run-91" && s != 80 {
+			t.Errorf("%s is expected to run %v s", published.ID, s)
 		}
 	}
 }
@@ -766,9 +766,9 @@
 func TestCopyOfADirectLaunch(t *testing.T) {
 	b := newBench(t, nil, nil)
 	b.placed()
-	d := b.m.CommandPushes(b.now, true)[0]
+	push := b.m.CommandPushes(b.now, true)[0]
 	b.seq++
-	b.m.CommandPushDone(b.now, d, PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Sequence: b.seq, FencingToken: token,
+	b.m.CommandPushDone(b.now, push, PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Sequence: b.seq, FencingToken: token,
 		Tasks: []wire.TaskStatus{{Task: "run-1/0", Attempt: first, State: wire.TaskRunning}}})
 	b.want(b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d ended halted", first)), "")
 	b.want(b.grant("run-1", "n-1-a", 1), 1)
@@ -784,13 +784,13 @@
 		b.job("run-1", 2, func(j *wire.Job) { j.Team = team })
 		b.grant("run-1", "n-1-a", 2)
 		b.write()
-		d := b.m.CommandPushes(b.now, true)[0]
+		push := b.m.CommandPushes(b.now, true)[0]
 		b.seq++
-		b.m.CommandPushDone(b.now, d, PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Sequence: b.seq, FencingToken: token,
+		b.m.CommandPushDone(b.now, push, PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 1, Sequence: b.seq, FencingToken: token,
 			Tasks: []wire.TaskStatus{{Task: "run-1/0", Attempt: first, State: wire.TaskRunning}, {Task: "run-1/1", Attempt: first + 1, State: wire.TaskRunning}}})
 		done := fmt.Sprintf("run-1/0 %d ended done", first)
 		b.report("n-1-a", token, 1, done, fmt.Sprintf("run-1/1 %d running", first+1))
-		b.wait(gather)
+		b.wait(progressDelay)
 		b.write()
 		b.want(b.report("n-1-a", token, 1, done, fmt.Sprintf("run-1/1 %d running", first+1)), "")
 		b.report("n-1-a", token, 1, done, fmt.Sprintf("run-1/1 %d ended done", first+1))
@@ -834,8 +834,8 @@
 func TestRetainedAttemptsAreBounded(t *testing.T) {
 	b := newBench(t, nil, nil)
 	b.placed()
-	for i := range mostRetained {
-		b.m.machines["n-1-a"].retained[retainedKey{"run-1/9", uint64(i)}] = retainedAttempt{job: b.m.jobs["run-1"]}
+	for i := range maxTombstones {
+		b.m.machines["n-1-a"].tombstones[attemptKey{"run-1/9", uint64(i)}] = tombstone{job: b.m.jobs["run-1"]}
 	}
 	b.want(len(b.m.CommandPushes(b.now, true)), 0)
 	b.want(b.report("n-1-a", token, 1), fmt.Sprintf("launch run-1/0 %d", first))
@@ -862,7 +862,7 @@
 	// The answer did not come through as far as the report shows, but the worker has stayed
 	// where it got it from.
 	b.want(passed(), fmt.Sprintf("launch run-1/0 %d", first))
-	b.want(b.m.machines["n-1-a"].deaf, micros.Timestamp(0))
+	b.want(b.m.machines["n-1-a"].unreachableSince, micros.Timestamp(0))
 	for range 2 {
 		b.wait(15 * micros.Second / 2)
 		passed()
@@ -882,10 +882,10 @@
 func TestOrphanedProgressIsDeleted(t *testing.T) {
 	b := newBench(t, nil, []wire.KeyValue{item(state.ProgressKey("run-9", 0), 6,
 		state.ProgressRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: 99, Incarnation: 1}}})})
-	w := b.m.NextWrite(b.now)
-	b.want(len(w.Changes), 1)
-	b.want(w.Changes[0], RecordChange{Key: state.ProgressKey("run-9", 0), Version: 6})
-	b.m.WriteCommitted(b.now, w.ID, 101)
+	batch := b.m.NextWrite(b.now)
+	b.want(len(batch.Changes), 1)
+	b.want(batch.Changes[0], RecordChange{Key: state.ProgressKey("run-9", 0), Version: 6})
+	b.m.WriteCommitted(b.now, batch.ID, 101)
 	b.want(b.m.NextWrite(b.now) == nil, true)
 	b.want(len(b.m.machines), 0)
 }
@@ -928,20 +928,20 @@
 	b.m.MachinesListed(b.now, []wire.Machine{{ID: "n-1-a", Addr: "10.1.0.1:9000", Type: "small", Zone: "a", State: wire.MachineRunning}})
 	b.wait(workerLease + 2*micros.Second)
 	b.tick()
-	b.want(b.m.machines["n-1-a"].up, false)
+	b.want(b.m.machines["n-1-a"].reporting, false)
 	out := b.m.CommandPushes(b.now, true)
 	b.want(len(out), 1)
 	b.seq++
 	b.m.CommandPushDone(b.now, out[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 2, Sequence: b.seq, FencingToken: token})
 	b.tick()
-	b.want(b.m.machines["n-1-a"].up, true)
+	b.want(b.m.machines["n-1-a"].reporting, true)
 	b.wait(workerLease)
 	b.tick()
-	b.want(b.m.machines["n-1-a"].up, true)
+	b.want(b.m.machines["n-1-a"].reporting, true)
 	b.want(b.report("n-1-a", token, 2), "")
 	b.wait(workerLease + 2*micros.Second)
 	b.tick()
-	b.want(b.m.machines["n-1-a"].up, false)
+	b.want(b.m.machines["n-1-a"].reporting, false)
 	// An answer of the session that has ended brings nothing, and no second question at once.
 	out = b.m.CommandPushes(b.now, true)
 	b.want(len(out), 1)
@@ -957,17 +957,17 @@
 	b.job("run-1", 1, nil)
 	b.job("run-2", 1, nil)
 	b.grant("run-1", "n-1-a", 1)
-	w := b.m.NextWrite(b.now)
-	b.want(len(w.OpenRecordConditions), 1)
-	b.want(w.OpenRecordConditions[0].Key, state.OpenJobKey("run-1"))
-	b.want(w.OpenRecordConditions[0].Version, b.rev-1)
+	batch := b.m.NextWrite(b.now)
+	b.want(len(batch.OpenRecordConditions), 1)
+	b.want(batch.OpenRecordConditions[0].Key, state.OpenJobKey("run-1"))
+	b.want(batch.OpenRecordConditions[0].Version, b.rev-1)
 	// It was cancelled through another controller: the write fails, and is not made again.
 	rec := record("run-1", 1, nil).Finalized(wire.JobCancelled)
 	b.rev++
 	b.m.OpenRecordChanged(b.now, b.now, 0, rec, b.rev)
-	b.m.WriteConflicted(b.now, w.ID)
-	w = b.m.NextWrite(b.now)
-	b.want(w != nil && len(w.OpenRecordConditions) > 0, false)
+	b.m.WriteConflicted(b.now, batch.ID)
+	batch = b.m.NextWrite(b.now)
+	b.want(batch != nil && len(batch.OpenRecordConditions) > 0, false)
 	b.want(len(b.m.CommandPushes(b.now, true)), 0)
 }
 
--- a/internal/manager/moves_test.go
+++ b/internal/manager/moves_test.go
@@ -62,10 +62,10 @@
 	b := drainBench(t, nil, nil, nil)
 	b.runningTask()
 	b.want(b.m.Move(b.now, task("run-1", 0), "n-2-a"), rebalance.Moved)
-	w, _ := b.nextWrite()
+	batch, _ := b.nextWrite()
 	b.m.MachinesDeleted(b.now, []string{"n-2-a"})
 	b.rev++
-	b.m.WriteCommitted(b.now, w.ID, b.rev)
+	b.m.WriteCommitted(b.now, batch.ID, b.rev)
 	b.want(b.disturbed(), "")
 	b.want(b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d running", first)), "")
 	b.want(len(b.m.CommandPushes(b.now, true)), 0)
@@ -111,8 +111,8 @@
 	earlier := drainBench(t, nil, nil, nil)
 	earlier.runningTask()
 	earlier.want(earlier.m.Move(earlier.now, task("run-1", 0), "n-2-a"), rebalance.Moved)
-	w, _ := earlier.nextWrite()
-	earlier.want(w.Changes[1].Value.(state.DisruptionRecord).Open[0].ReservedMachine, "n-2-a")
+	batch, _ := earlier.nextWrite()
+	earlier.want(batch.Changes[1].Value.(state.DisruptionRecord).Open[0].ReservedMachine, "n-2-a")
 
 	open := []wire.KeyValue{item("open/run-1", 4, record("run-1", 1, savesProgress))}
 	chunks := []wire.KeyValue{item("tasks/run-1/0", 6, state.ProgressRecord{Active: []state.Placement{{Task: 0, Machine: "n-1-a", Attempt: before, Incarnation: 1}}})}
@@ -130,7 +130,7 @@
 		b.want(b.m.machines["n-2-a"] != nil, there)
 		b.wait(b.m.cfg.ReservationTTL + micros.Second)
 		b.m.Tick(b.now)
-		b.want(len(b.m.promisedTo), 0)
+		b.want(len(b.m.inheritedReservations), 0)
 	}
 }
 
@@ -139,9 +139,9 @@
 func TestSilentMachinesAreNotKnown(t *testing.T) {
 	b := drainBench(t, nil, nil, nil)
 	b.up("n-1-a", "n-2-a")
-	b.wait(b.m.reportDue() + micros.Second)
+	b.wait(b.m.heartbeatDeadline() + micros.Second)
 	b.up("n-1-a")
-	s := b.m.RebalanceSnapshot(b.now, nil)
-	b.want(s.Machines[0].Heartbeating && s.Machines[0].Usable, true)
-	b.want(s.Machines[1].Heartbeating, false)
+	status := b.m.RebalanceSnapshot(b.now, nil)
+	b.want(status.Machines[0].Heartbeating && status.Machines[0].Usable, true)
+	b.want(status.Machines[1].Heartbeating, false)
 }
--- a/internal/manager/orders.go
+++ b/internal/manager/orders.go
@@ -9,66 +9,66 @@
 )
 
 // answerLife is how long after its report a worker heeds an answer.
-const answerLife = 4 * micros.Second
+const answerLifetime = 4 * micros.Second
 
 // LaunchBeforeStopAfter is how long after its cancellation at the earliest an attempt may be launched and stopped in one answer, so that
 // a late launch finds it known: the worker must have heard the answer before the job's time is up.
 func LaunchBeforeStopAfter(cancel micros.Duration) micros.Duration {
-	return cancel - answerLife - micros.Second
+	return cancel - answerLifetime - micros.Second
 }
 
 // orders makes the commands that answer a report.
-func (m *Manager) orders(now micros.Timestamp, mc *machine, r *wire.Heartbeat, launch bool) []wire.Command {
-	cmds := []wire.Command{}
+func (m *Manager) commandsFor(now micros.Timestamp, machine *machineState, heartbeat *wire.Heartbeat, launch bool) []wire.Command {
+	commands := []wire.Command{}
 	// An answer's line must stay below 64 KiB; the rest follows with the next report.
 	const mostCommands = 400
-	for _, tr := range r.Tasks {
-		if len(cmds) >= mostCommands {
+	for _, status := range heartbeat.Tasks {
+		if len(commands) >= mostCommands {
 			break
 		}
-		id, n, ok := wire.ParseTaskName(tr.Task)
-		j := m.jobs[id]
-		if tr.State == wire.TaskExited {
+		id, n, ok := wire.ParseTaskName(status.Task)
+		job := m.jobs[id]
+		if status.State == wire.TaskExited {
 			// Done tasks are durable before they are cleared. An attempt whose direct
 			// launch may yet arrive is not cleared, or that launch would start it again.
-			held := ok && j != nil && n < len(j.tasks) && j.over == "" && j.tasks[n] == taskDone && tr.ExitReason == wire.ExitCompleted
-			if !held && mc.mayClear(tr.Task, tr.Attempt) {
-				cmds = append(cmds, wire.Command{Op: wire.OpClear, Task: tr.Task, Attempt: tr.Attempt})
+			held := ok && job != nil && n < len(job.taskStates) && job.finalState == "" && job.taskStates[n] == taskDone && status.ExitReason == wire.ExitCompleted
+			if !held && machine.clearTombstone(status.Task, status.Attempt) {
+				commands = append(commands, wire.Command{Op: wire.OpClear, Task: status.Task, Attempt: status.Attempt})
 			}
 			continue
 		}
-		if _, stray := mc.strays[tr.Task]; stray {
-			cmds = append(cmds, wire.StopCommand(tr.Task, tr.Attempt, 0))
+		if _, stray := machine.orphanTasks[status.Task]; stray {
+			commands = append(commands, wire.StopCommand(status.Task, status.Attempt, 0))
 		}
 	}
-	for _, a := range sorted(mc.attempts) {
-		name := a.name
-		if a.session != r.Incarnation || !a.durable {
+	for _, attempt := range attemptsByID(machine.attempts) {
+		name := attempt.taskName
+		if attempt.incarnation != heartbeat.Incarnation || !attempt.durable {
 			continue
 		}
-		if len(cmds) >= mostCommands {
+		if len(commands) >= mostCommands {
 			break
 		}
 		switch {
-		case a.listed && a.stop:
-			a.stopSent = now
-			cmds = append(cmds, wire.StopCommand(name, a.id, a.stopGrace))
-		case !a.listed && a.stop && a.directLost:
+		case attempt.listed && attempt.stopping:
+			attempt.stopSentAt = now
+			commands = append(commands, wire.StopCommand(name, attempt.id, attempt.stopGraceS))
+		case !attempt.listed && attempt.stopping && attempt.pushOutcomeUnknown:
 			// The late launch must find the attempt known: it is started and stopped in
 			// the same answer and never cleared. A worker that has gone without an answer until the
 			// job's time is nearly up has begun a new session by then, since the time is longer than
 			// its lease; and answers are dropped after 4 s.
-			if a.job.over == "" || now < a.job.overAt.Add(LaunchBeforeStopAfter(m.cfg.CancelTimeout)) {
-				mc.retained[retainedKey{name, a.id}] = retainedAttempt{job: a.job}
-				a.sentSeq = r.Sequence
-				cmds = append(cmds, wire.Command{Op: wire.OpStart, Task: name, Attempt: a.id}, wire.StopCommand(name, a.id, 0))
+			if attempt.job.finalState == "" || now < attempt.job.finalSince.Add(LaunchBeforeStopAfter(m.cfg.CancelTimeout)) {
+				machine.tombstones[attemptKey{name, attempt.id}] = tombstone{job: attempt.job}
+				attempt.launchSentSeq = heartbeat.Sequence
+				commands = append(commands, wire.Command{Op: wire.OpStart, Task: name, Attempt: attempt.id}, wire.StopCommand(name, attempt.id, 0))
 			}
-		case !a.listed && !a.stop && a.ours && launch && mc.confirmed && !a.directOut && a.mayLaunch():
-			a.sentSeq = r.Sequence
-			cmds = append(cmds, wire.Command{Op: wire.OpStart, Task: name, Attempt: a.id})
+		case !attempt.listed && !attempt.stopping && attempt.grantedThisTerm && launch && machine.tokenAcknowledged && !attempt.pushInFlight && attempt.mayLaunch():
+			attempt.launchSentSeq = heartbeat.Sequence
+			commands = append(commands, wire.Command{Op: wire.OpStart, Task: name, Attempt: attempt.id})
 		}
 	}
-	return cmds
+	return commands
 }
 
 // CommandPush is an order that does not wait for the worker's next report.
@@ -82,70 +82,72 @@
 // orders by which a machine may show that it hears us. A machine has one direct order
 // out at a time. Only machines with news since the last call are looked at.
 func (m *Manager) CommandPushes(now micros.Timestamp, launch bool) []CommandPush {
-	if len(m.direct) == 0 || m.directs >= m.cfg.MaxCommandPushes {
+	if len(m.pushCandidates) == 0 || m.pushesInFlight >= m.cfg.MaxCommandPushes {
 		return nil // what is marked stays so; what is not sent goes with answers to reports
 	}
 	var out []CommandPush
-	for _, id := range slices.Sorted(maps.Keys(m.direct)) {
-		if m.directs >= m.cfg.MaxCommandPushes {
+	for _, id := range slices.Sorted(maps.Keys(m.pushCandidates)) {
+		if m.pushesInFlight >= m.cfg.MaxCommandPushes {
 			break
 		}
-		delete(m.direct, id)
-		mc := m.machines[id]
-		if mc == nil || mc.directOut || mc.addr == "" || mc.deleting {
+		delete(m.pushCandidates, id)
+		machine := m.machines[id]
+		if machine == nil || machine.pushInFlight || machine.address == "" || machine.deleting {
 			continue
 		}
-		if m.toProbe(mc) {
-			if m.probeDue(now, mc) {
-				mc.probed, mc.directOut = now, true
-				m.directs++
-				out = append(out, CommandPush{Machine: id, Addr: mc.addr, Body: wire.CommandPush{FencingToken: m.cfg.FencingToken, Incarnation: mc.knownSession(), Commands: []wire.Command{}}})
+		if m.needsProbe(machine) {
+			if m.probeDue(now, machine) {
+				machine.probedAt, machine.pushInFlight = now, true
+				m.pushesInFlight++
+				out = append(out, CommandPush{Machine: id, Addr: machine.address, Body: wire.CommandPush{FencingToken: m.cfg.FencingToken, Incarnation: machine.latestKnownIncarnation(), Commands: []wire.Command{}}})
 			}
 			continue
 		}
-		if !mc.up || !mc.confirmed || !mc.directOK || len(mc.attempts) == 0 {
+		if !machine.reporting || !machine.tokenAcknowledged || !machine.pushWorks || len(machine.attempts) == 0 {
 			continue
 		}
-		d := CommandPush{Machine: id, Addr: mc.addr, Body: wire.CommandPush{FencingToken: m.cfg.FencingToken, Incarnation: mc.session}}
-		for _, a := range sorted(mc.attempts) {
-			if a.session != mc.session || !a.durable || len(d.Body.Commands) >= 100 {
+		push := CommandPush{Machine: id, Addr: machine.address, Body: wire.CommandPush{FencingToken: m.cfg.FencingToken, Incarnation: machine.incarnation}}
+		for _, attempt := range attemptsByID(machine.attempts) {
+			if attempt.incarnation != machine.incarnation || !attempt.durable || len(push.Body.Commands) >= 100 {
 				continue
 			}
-			name := a.name
+			name := attempt.taskName
 			switch {
-			case a.listed && a.stop && a.stopSent == 0:
-				a.stopSent = now
-				d.Body.Commands = append(d.Body.Commands, wire.StopCommand(name, a.id, a.stopGrace))
-			case launch && a.ours && !a.stop && !a.listed && a.sentSeq == 0 && !a.directLost && len(mc.retained) < mostRetained && a.mayLaunch():
-				a.directOut, a.direct = true, true
-				d.Body.Commands = append(d.Body.Commands, wire.Command{Op: wire.OpStart, Task: name, Attempt: a.id})
+			case attempt.listed && attempt.stopping && attempt.stopSentAt == 0:
+				attempt.stopSentAt = now
+				push.Body.Commands = append(push.Body.Commands, wire.StopCommand(name, attempt.id, attempt.stopGraceS))
+			case launch && attempt.grantedThisTerm && !attempt.stopping && !attempt.listed && attempt.launchSentSeq == 0 && !attempt.pushOutcomeUnknown && len(machine.tombstones) < maxTombstones && attempt.mayLaunch():
+				attempt.pushInFlight, attempt.launchedByPush = true, true
+				push.Body.Commands = append(push.Body.Commands, wire.Command{Op: wire.OpStart, Task: name, Attempt: attempt.id})
 			}
 		}
-		if len(d.Body.Commands) > 0 {
-			mc.directOut = true
-			m.directs++
-			out = append(out, d)
+		if len(push.Body.Commands) > 0 {
+			machine.pushInFlight = true
+			m.pushesInFlight++
+			out = append(out, push)
 		}
 	}
 	return out
 }
 
 // cutOff tells whether a machine is heard by way of another controller only.
-func (mc *machine) cutOff() bool { return mc.via != "" && !mc.directOK }
+func (machine *machineState) heardOnlyThroughRelay() bool {
+	return machine.relayedBy != "" && !machine.pushWorks
+}
 
 // toProbe tells whether a machine is to be asked by an empty direct order: one that may not
 // hear us, and one that runs but has not reported to this leader. Its worker may be with an
 // earlier one that is cut off from all but its workers, and hears of us only so.
-func (m *Manager) toProbe(mc *machine) bool {
-	return mc.deaf != 0 || mc.cutOff() || !mc.up && mc.state == wire.MachineRunning
+func (m *Manager) needsProbe(machine *machineState) bool {
+	return machine.unreachableSince != 0 || machine.heardOnlyThroughRelay() || !machine.reporting && machine.cloudState == wire.MachineRunning
 }
 
 // knownSession is the session that a machine is in as far as is known. If it is another,
 // the answer tells.
-func (mc *machine) knownSession() uint64 {
-	s := max(1, mc.session)
-	for _, a := range mc.attempts {
-		s = max(s, a.session)
+func (machine *machineState) latestKnownIncarnation() uint64 {
+	s := max(1, machine.incarnation)
+	for _, attempt := range machine.attempts {
+		s = max(s, attempt.incarnation)
 	}
 	return s
 }
@@ -153,19 +155,19 @@
 // probeDue tells whether it is time to ask a machine whether it hears us. One that has
 // reported and does not have our token yet most likely shows it with its next report; most
 // of a new leader's machines report within the first seconds.
-func (m *Manager) probeDue(now micros.Timestamp, mc *machine) bool {
+func (m *Manager) probeDue(now micros.Timestamp, machine *machineState) bool {
 	const pause, longPause, settle = 3 * micros.Second, 15 * micros.Second, 2 * micros.Second
-	if !mc.up && now.Sub(m.born) < settle {
+	if !machine.reporting && now.Sub(m.termStart) < settle {
 		return false
 	}
-	if !mc.up || mc.cutOff() {
-		return mc.probed == 0 || now.Sub(mc.probed) >= longPause
+	if !machine.reporting || machine.heardOnlyThroughRelay() {
+		return machine.probedAt == 0 || now.Sub(machine.probedAt) >= longPause
 	}
 	patience := micros.Duration(0)
-	if !mc.confirmed && mc.lastReport != 0 {
-		patience = m.reportDue()
+	if !machine.tokenAcknowledged && machine.lastAnswered != 0 {
+		patience = m.heartbeatDeadline()
 	}
-	return now.Sub(mc.deaf) >= patience && (mc.probed == 0 || now.Sub(mc.probed) >= pause)
+	return now.Sub(machine.unreachableSince) >= patience && (machine.probedAt == 0 || now.Sub(machine.probedAt) >= pause)
 }
 
 // PushOutcome is what is known of a direct order.
@@ -180,45 +182,45 @@
 )
 
 // CommandPushDone takes the outcome of a direct order, and the worker's report if there is one.
-func (m *Manager) CommandPushDone(now micros.Timestamp, d CommandPush, out PushOutcome, r *wire.Heartbeat) (deposed bool) {
-	m.directs--
-	mc := m.machines[d.Machine]
-	if mc == nil {
+func (m *Manager) CommandPushDone(now micros.Timestamp, push CommandPush, out PushOutcome, heartbeat *wire.Heartbeat) (deposed bool) {
+	m.pushesInFlight--
+	machine := m.machines[push.Machine]
+	if machine == nil {
 		return false
 	}
-	mc.directOut = false
-	m.direct[mc.id] = true
-	for _, c := range d.Body.Commands {
-		for _, a := range mc.attempts {
-			if a.id != c.Attempt || a.name != c.Task || c.Op != wire.OpStart {
+	machine.pushInFlight = false
+	m.pushCandidates[machine.id] = true
+	for _, command := range push.Body.Commands {
+		for _, attempt := range machine.attempts {
+			if attempt.id != command.Attempt || attempt.taskName != command.Task || command.Op != wire.OpStart {
 				continue
 			}
-			a.directOut = false
+			attempt.pushInFlight = false
 			switch out {
 			case PushOutcomeUnknown:
-				a.directLost = true
+				attempt.pushOutcomeUnknown = true
 			case PushExecuted:
-				a.sentSeq = max(a.sentSeq, 1)
+				attempt.launchSentSeq = max(attempt.launchSentSeq, 1)
 			case PushNotSent:
-				a.direct = false
+				attempt.launchedByPush = false
 			}
 		}
 	}
-	if r == nil {
-		mc.directOK = false
+	if heartbeat == nil {
+		machine.pushWorks = false
 		return false
 	}
-	if r.FencingToken > m.cfg.FencingToken {
+	if heartbeat.FencingToken > m.cfg.FencingToken {
 		return true
 	}
-	if r.Machine == d.Machine {
-		taken := m.take(now, r, false) != nil
-		if taken && out == PushRefused && r.Incarnation != d.Body.Incarnation {
-			mc.probed = 0 // that was the wrong session, the right one is known now
+	if heartbeat.Machine == push.Machine {
+		taken := m.applyHeartbeat(now, heartbeat, false) != nil
+		if taken && out == PushRefused && heartbeat.Incarnation != push.Body.Incarnation {
+			machine.probedAt = 0 // that was the wrong session, the right one is known now
 		}
-		if out == PushExecuted && mc.session == d.Body.Incarnation {
-			m.heard(mc)
-			m.touchMachine(mc)
+		if out == PushExecuted && machine.incarnation == push.Body.Incarnation {
+			m.markReachable(machine)
+			m.markMachineChanged(machine)
 		}
 	}
 	return false
--- a/internal/manager/show.go
+++ b/internal/manager/show.go
@@ -12,257 +12,261 @@
 )
 
 // shown is what the views show, and what followers may still have to hear of.
-type shown struct {
-	version  uint64
-	changed  bool
-	machines []*snapshot.Machine // by name
-	jobs     []*snapshot.Job     // by arrival
-	touched  map[string]bool
-	jobsHit  map[string]bool
-	gone     []goneEntry
-	finished []snapshot.CompletedRun
+type snapshotPublisher struct {
+	version       uint64
+	stale         bool
+	machines      []*snapshot.Machine // by name
+	jobs          []*snapshot.Job     // by arrival
+	dirtyMachines map[string]bool
+	dirtyJobs     map[string]bool
+	removals      []removal
+	completedRuns []snapshot.CompletedRun
 	// forgot is the version below which gone entries are no longer known.
-	forgot uint64
+	forgottenUntil uint64
 }
 
-type goneEntry struct {
+type removal struct {
 	id      string
 	version uint64
 }
 
 // leastGone and leastRuns are how many departures and finished runs a follower may at least miss without needing a whole
 // view. In larger fleets it is as many as there are machines: a whole view is then that much dearer, too.
-const leastGone, leastRuns = 2000, 1000
+const minRemovals, minCompletedRuns = 2000, 1000
 
 // mostGone bounds the departures that are remembered for followers.
-func (sh *shown) mostGone() int { return max(leastGone, len(sh.machines)) }
+func (publisher *snapshotPublisher) maxRemovals() int {
+	return max(minRemovals, len(publisher.machines))
+}
 
 // mostRuns bounds the finished runs that are remembered for followers.
-func (sh *shown) mostRuns() int { return max(leastRuns, len(sh.machines)) }
+func (publisher *snapshotPublisher) maxCompletedRuns() int {
+	return max(minCompletedRuns, len(publisher.machines))
+}
 
 // touchMachine notes that a machine may have to be shown anew.
-func (m *Manager) touchMachine(mc *machine) {
-	m.shown.touched[mc.id] = true
-	m.shown.changed = true
+func (m *Manager) markMachineChanged(machine *machineState) {
+	m.publisher.dirtyMachines[machine.id] = true
+	m.publisher.stale = true
 }
 
-func (m *Manager) touchJob(j *job) {
-	m.shown.jobsHit[j.rec.Job.ID] = true
-	m.shown.changed = true
+func (m *Manager) markJobChanged(job *jobState) {
+	m.publisher.dirtyJobs[job.record.Job.ID] = true
+	m.publisher.stale = true
 }
 
 // SnapshotStale tells whether anything has happened since the last view.
-func (m *Manager) SnapshotStale() bool { return m.shown.changed }
+func (m *Manager) SnapshotStale() bool { return m.publisher.stale }
 
 // NextSnapshotVersion is the version of the next view, the first that shows what has been
 // granted until now.
-func (m *Manager) NextSnapshotVersion() uint64 { return m.shown.version + 1 }
+func (m *Manager) NextSnapshotVersion() uint64 { return m.publisher.version + 1 }
 
 // Snapshot shows all resources and jobs. Only what has been touched is looked at.
 func (m *Manager) Snapshot(now micros.Timestamp) *snapshot.Snapshot {
-	sh := &m.shown
-	sh.version++
-	sh.changed = false
-	m.showMachines(now)
-	m.showJobs()
-	v := &snapshot.Snapshot{FencingToken: m.cfg.FencingToken, Version: sh.version, Now: now, StoreAvailable: m.stateOK, TeamAssignments: m.assign, QuotaHeadroom: m.rooms(),
-		Machines: sh.machines, Jobs: sh.jobs, Replacements: m.showReplacements(), VacatedPools: m.vacated}
-	for i := range sh.finished {
-		f := &sh.finished[i]
+	publisher := &m.publisher
+	publisher.version++
+	publisher.stale = false
+	m.publishMachines(now)
+	m.publishJobs()
+	v := &snapshot.Snapshot{FencingToken: m.cfg.FencingToken, Version: publisher.version, Now: now, StoreAvailable: m.storeAvailable, TeamAssignments: m.teamAssignments, QuotaHeadroom: m.quotaHeadrooms(),
+		Machines: publisher.machines, Jobs: publisher.jobs, Replacements: m.publishedReplacements(), VacatedPools: m.vacating}
+	for i := range publisher.completedRuns {
+		f := &publisher.completedRuns[i]
 		if f.PublishedIn == 0 {
-			f.PublishedIn = sh.version
+			f.PublishedIn = publisher.version
 			v.CompletedRuns = append(v.CompletedRuns, *f)
 		}
 	}
-	sh.finished = sh.finished[max(0, len(sh.finished)-sh.mostRuns()):]
-	if n := len(sh.gone) - sh.mostGone(); n > 0 {
-		sh.forgot = sh.gone[n-1].version
-		sh.gone = slices.Clone(sh.gone[n:])
+	publisher.completedRuns = publisher.completedRuns[max(0, len(publisher.completedRuns)-publisher.maxCompletedRuns()):]
+	if n := len(publisher.removals) - publisher.maxRemovals(); n > 0 {
+		publisher.forgottenUntil = publisher.removals[n-1].version
+		publisher.removals = slices.Clone(publisher.removals[n:])
 	}
 	return v
 }
 
 // SnapshotUpdate gives what a follower that has a version of the view needs to have the newest.
 func (m *Manager) SnapshotUpdate(now micros.Timestamp, since uint64) *snapshot.Update {
-	sh := &m.shown
-	if since < sh.forgot {
+	publisher := &m.publisher
+	if since < publisher.forgottenUntil {
 		since = 0
 	}
-	u := &snapshot.Update{FencingToken: m.cfg.FencingToken, BaseVersion: since, Version: sh.version, Now: now, StoreAvailable: m.stateOK, TeamAssignments: m.assign, QuotaHeadroom: m.rooms()}
-	for _, mv := range sh.machines {
-		if mv.ChangedIn > since {
-			u.Machines = append(u.Machines, mv)
+	update := &snapshot.Update{FencingToken: m.cfg.FencingToken, BaseVersion: since, Version: publisher.version, Now: now, StoreAvailable: m.storeAvailable, TeamAssignments: m.teamAssignments, QuotaHeadroom: m.quotaHeadrooms()}
+	for _, published := range publisher.machines {
+		if published.ChangedIn > since {
+			update.Machines = append(update.Machines, published)
 		}
 	}
-	for _, jv := range sh.jobs {
-		if jv.ChangedIn > since {
-			u.Jobs = append(u.Jobs, jv)
+	for _, published := range publisher.jobs {
+		if published.ChangedIn > since {
+			update.Jobs = append(update.Jobs, published)
 		}
 	}
 	if since != 0 {
-		for _, g := range sh.gone {
+		for _, g := range publisher.removals {
 			if g.version > since {
-				u.Removed = append(u.Removed, g.id)
+				update.Removed = append(update.Removed, g.id)
 			}
 		}
 	}
-	for _, f := range sh.finished {
+	for _, f := range publisher.completedRuns {
 		if f.PublishedIn > since {
-			u.CompletedRuns = append(u.CompletedRuns, f)
+			update.CompletedRuns = append(update.CompletedRuns, f)
 		}
 	}
-	return u
+	return update
 }
 
-func (m *Manager) showMachines(now micros.Timestamp) {
-	sh := &m.shown
-	if len(sh.touched) == 0 {
+func (m *Manager) publishMachines(now micros.Timestamp) {
+	publisher := &m.publisher
+	if len(publisher.dirtyMachines) == 0 {
 		return
 	}
 	// The list that earlier views share is not changed.
-	list := slices.Clone(sh.machines)
-	for _, id := range slices.Sorted(maps.Keys(sh.touched)) {
-		mc := m.machines[id]
+	list := slices.Clone(publisher.machines)
+	for _, id := range slices.Sorted(maps.Keys(publisher.dirtyMachines)) {
+		machine := m.machines[id]
 		i, found := slices.BinarySearchFunc(list, id, func(mv *snapshot.Machine, id string) int { return cmp.Compare(mv.ID, id) })
 		switch {
-		case mc == nil && found:
+		case machine == nil && found:
 			list = slices.Delete(list, i, i+1)
-			sh.gone = append(sh.gone, goneEntry{id, sh.version})
-		case mc == nil:
+			publisher.removals = append(publisher.removals, removal{id, publisher.version})
+		case machine == nil:
 		default:
-			mv := m.showMachine(now, mc)
-			mv.ChangedIn = sh.version
+			published := m.publishedMachine(now, machine)
+			published.ChangedIn = publisher.version
 			if found {
-				if mv.SameForSchedulers(list[i]) {
-					mv.ChangedIn = list[i].ChangedIn
+				if published.SameForSchedulers(list[i]) {
+					published.ChangedIn = list[i].ChangedIn
 				}
-				list[i] = mv
+				list[i] = published
 			} else {
-				list = slices.Insert(list, i, mv)
+				list = slices.Insert(list, i, published)
 			}
 		}
 	}
-	sh.machines = list
-	clear(sh.touched)
+	publisher.machines = list
+	clear(publisher.dirtyMachines)
 }
 
-func (m *Manager) showJobs() {
-	sh := &m.shown
-	if len(sh.jobsHit) == 0 {
+func (m *Manager) publishJobs() {
+	publisher := &m.publisher
+	if len(publisher.dirtyJobs) == 0 {
 		return
 	}
-	list := make([]*snapshot.Job, 0, len(sh.jobs)+len(sh.jobsHit))
-	for _, jv := range sh.jobs {
-		if !sh.jobsHit[jv.ID] {
-			list = append(list, jv)
+	list := make([]*snapshot.Job, 0, len(publisher.jobs)+len(publisher.dirtyJobs))
+	for _, published := range publisher.jobs {
+		if !publisher.dirtyJobs[published.ID] {
+			list = append(list, published)
 			continue
 		}
-		if j := m.jobs[jv.ID]; j == nil || j.over != "" {
-			sh.gone = append(sh.gone, goneEntry{jv.ID, sh.version})
+		if job := m.jobs[published.ID]; job == nil || job.finalState != "" {
+			publisher.removals = append(publisher.removals, removal{published.ID, publisher.version})
 		}
 	}
-	for id := range sh.jobsHit {
-		if j := m.jobs[id]; j != nil && j.over == "" {
-			jv := m.showJob(j)
-			jv.ChangedIn = sh.version
-			list = append(list, jv)
+	for id := range publisher.dirtyJobs {
+		if job := m.jobs[id]; job != nil && job.finalState == "" {
+			published := m.publishedJob(job)
+			published.ChangedIn = publisher.version
+			list = append(list, published)
 		}
 	}
 	slices.SortFunc(list, func(a, b *snapshot.Job) int { return cmp.Compare(a.Arrival, b.Arrival) })
-	sh.jobs = list
-	clear(sh.jobsHit)
+	publisher.jobs = list
+	clear(publisher.dirtyJobs)
 }
 
 // rooms gives what the teams' limits leave them.
-func (m *Manager) rooms() map[string]snapshot.QuotaHeadroom {
+func (m *Manager) quotaHeadrooms() map[string]snapshot.QuotaHeadroom {
 	var out map[string]snapshot.QuotaHeadroom
-	for name, t := range m.teams {
-		if t.CPUsMax <= 0 && t.GPUsMax <= 0 {
+	for name, team := range m.teams {
+		if team.CPUsMax <= 0 && team.GPUsMax <= 0 {
 			continue
 		}
-		var r snapshot.QuotaHeadroom
-		if t.CPUsMax > 0 {
-			left := t.CPUsMax - t.cpus
-			r.CPUs = &left
+		var headroom snapshot.QuotaHeadroom
+		if team.CPUsMax > 0 {
+			left := team.CPUsMax - team.usedCPUs
+			headroom.CPUs = &left
 		}
-		if t.GPUsMax > 0 {
-			left := t.GPUsMax - t.gpus
-			r.GPUs = &left
+		if team.GPUsMax > 0 {
+			left := team.GPUsMax - team.usedGPUs
+			headroom.GPUs = &left
 		}
 		if out == nil {
 			out = map[string]snapshot.QuotaHeadroom{}
 		}
-		out[name] = r
+		out[name] = headroom
 	}
 	return out
 }
 
 // missing tells whether a machine is no longer listed though it was. A list may be
 // older than the one before, so only machines listed for long enough can be missed.
-func (m *Manager) missing(mc *machine) bool {
-	return mc.unlisted > 0 && mc.listed != 0 && mc.listedAt.Sub(mc.listed) > 4*m.cfg.ListLag
+func (m *Manager) missingFromLists(machine *machineState) bool {
+	return machine.missedLists > 0 && machine.firstListed != 0 && machine.lastListed.Sub(machine.firstListed) > 4*m.cfg.ListLag
 }
 
-func (m *Manager) showMachine(now micros.Timestamp, mc *machine) *snapshot.Machine {
-	mv := &snapshot.Machine{ID: mc.id, Type: mc.typ, Zone: mc.zone, Spot: mc.spot, Up: mc.up, Usable: m.usable(now, mc), ReservedForJob: mc.keep,
-		State: mc.state, Failed: mc.state == wire.MachineFailed, Deleting: mc.deleting,
-		QuarantineReason: mc.suspect, Unlisted: m.missing(mc), RegisteredAt: mc.born, LastHeartbeat: mc.lastHeard, UnreachableSince: mc.deaf}
-	mc.shownUsable = mv.Usable
-	mv.Unreliable = mc.fails > 0 || mc.slow > 0 || now < mc.doubtUntil
-	mv.Vector = m.free(mc).NonNegative()
-	mv.Reserved = m.showReserved(mc)
+func (m *Manager) publishedMachine(now micros.Timestamp, machine *machineState) *snapshot.Machine {
+	published := &snapshot.Machine{ID: machine.id, Type: machine.typeName, Zone: machine.zone, Spot: machine.spot, Up: machine.reporting, Usable: m.usable(now, machine), ReservedForJob: machine.reservedForJob,
+		State: machine.cloudState, Failed: machine.cloudState == wire.MachineFailed, Deleting: machine.deleting,
+		QuarantineReason: machine.quarantineReason, Unlisted: m.missingFromLists(machine), RegisteredAt: machine.registeredAt, LastHeartbeat: machine.lastHeartbeat, UnreachableSince: machine.unreachableSince}
+	machine.publishedUsable = published.Usable
+	published.Unreliable = machine.consecutiveFailures > 0 || machine.consecutiveSlowRuns > 0 || now < machine.unreliableUntil
+	published.Vector = m.freeResources(machine).NonNegative()
+	published.Reserved = m.publishedReservations(machine)
 	// A machine that has just come up reports twice before it is usable: the second
 	// time it has our token.
-	mv.ExpectedSoon = mc.spec != nil && mc.notice == 0 && !mc.deleting && mc.suspect == "" && !mv.Failed && !m.cordons[mc.id] &&
-		(mc.state == wire.MachineStarting && !mc.up || !mc.confirmed && now.Sub(mc.lastHeard) < m.cfg.WorkerLease)
-	mv.NeedsDeletion = !mc.confirmed && len(mc.attempts) > 0
-	if len(mc.attempts) == 0 && len(mc.strays) == 0 && len(mc.reserved) == 0 {
-		mv.IdleSince = max(1, mc.idleSince)
+	published.ExpectedSoon = machine.machineType != nil && machine.reclaimAt == 0 && !machine.deleting && machine.quarantineReason == "" && !published.Failed && !m.cordons[machine.id] &&
+		(machine.cloudState == wire.MachineStarting && !machine.reporting || !machine.tokenAcknowledged && now.Sub(machine.lastHeartbeat) < m.cfg.WorkerLease)
+	published.NeedsDeletion = !machine.tokenAcknowledged && len(machine.attempts) > 0
+	if len(machine.attempts) == 0 && len(machine.orphanTasks) == 0 && len(machine.reservations) == 0 {
+		published.IdleSince = max(1, machine.idleSince)
 	}
-	for _, name := range slices.Sorted(maps.Keys(mc.images)) {
-		if mc.images[name].ready {
-			mv.Images = append(mv.Images, name)
+	for _, name := range slices.Sorted(maps.Keys(machine.images)) {
+		if machine.images[name].ready {
+			published.Images = append(published.Images, name)
 		} else {
-			mv.Fetching = append(mv.Fetching, name)
+			published.Fetching = append(published.Fetching, name)
 		}
 	}
 	groups := map[string]int{}
-	for _, a := range sorted(mc.attempts) {
-		jb := &a.job.rec.Job
-		i, ok := groups[jb.ID]
+	for _, attempt := range attemptsByID(machine.attempts) {
+		spec := &attempt.job.record.Job
+		i, ok := groups[spec.ID]
 		if !ok {
-			i = len(mv.Leases)
-			groups[jb.ID] = i
-			mv.Leases = append(mv.Leases, snapshot.JobLeases{Job: jb.ID, Vector: resources.ForTask(jb)})
+			i = len(published.Leases)
+			groups[spec.ID] = i
+			published.Leases = append(published.Leases, snapshot.JobLeases{Job: spec.ID, Vector: resources.ForTask(spec)})
 		}
-		mv.Leases[i].Leases = append(mv.Leases[i].Leases, snapshot.Lease{Attempt: a.id, Expiry: a.leaseEnd, Waiter: a.waiter,
-			WaiterUntil: a.waiterUntil, ExpectedEnd: m.expectedEnd(now, a)})
+		published.Leases[i].Leases = append(published.Leases[i].Leases, snapshot.Lease{Attempt: attempt.id, Expiry: attempt.leaseExpiry, Waiter: attempt.waiter,
+			WaiterUntil: attempt.waiterUntil, ExpectedEnd: m.expectedEnd(now, attempt)})
 	}
-	return mv
+	return published
 }
 
-func (m *Manager) showJob(j *job) *snapshot.Job {
-	jb := &j.rec.Job
-	jv := &snapshot.Job{ID: jb.ID, Class: jb.Class, Team: jb.Team, Priority: jb.Priority(), Vector: resources.ForTask(jb),
-		Image: jb.Image, ImageGB: jb.ImageGB, Types: jb.MachineTypes, Zone: jb.Zone, Spot: jb.AllowSpot,
-		SameZone: jb.SameZone, Gang: j.gang != nil, Estimate: m.estimate(j), Waiting: j.waiting, Active: len(j.active),
-		Done: j.done, NotBefore: j.notBefore, AcceptedAt: j.born, Deadline: j.due, WaitingSince: j.waitSince, Arrival: j.arrival}
-	if jb.SpreadZones {
-		jv.MaxPerZone = (jb.Tasks + 1) / 2
+func (m *Manager) publishedJob(job *jobState) *snapshot.Job {
+	spec := &job.record.Job
+	published := &snapshot.Job{ID: spec.ID, Class: spec.Class, Team: spec.Team, Priority: spec.Priority(), Vector: resources.ForTask(spec),
+		Image: spec.Image, ImageGB: spec.ImageGB, Types: spec.MachineTypes, Zone: spec.Zone, Spot: spec.AllowSpot,
+		SameZone: spec.SameZone, Gang: job.gang != nil, Estimate: m.estimate(job), Waiting: job.waiting, Active: len(job.active),
+		Done: job.done, NotBefore: job.backoffUntil, AcceptedAt: job.acceptedAt, Deadline: job.deadline, WaitingSince: job.waitingSince, Arrival: job.arrival}
+	if spec.SpreadZones {
+		published.MaxPerZone = (spec.Tasks + 1) / 2
 	}
-	if jb.SameZone || jb.SpreadZones {
-		jv.ActiveByZone = map[string]int{}
-		for _, a := range j.active {
-			jv.ActiveByZone[a.machine.zone]++
+	if spec.SameZone || spec.SpreadZones {
+		published.ActiveByZone = map[string]int{}
+		for _, attempt := range job.active {
+			published.ActiveByZone[attempt.machine.zone]++
 		}
 	}
-	for _, a := range j.active {
-		if a.listed && a.state != wire.TaskFetching && a.state != wire.TaskWaitingForGang {
-			jv.Running++
+	for _, attempt := range job.active {
+		if attempt.listed && attempt.reportedState != wire.TaskFetching && attempt.reportedState != wire.TaskWaitingForGang {
+			published.Running++
 		}
 	}
-	if len(j.failed) < 3 {
-		jv.AvoidMachines = slices.Sorted(maps.Keys(j.failed))
+	if len(job.failuresByMachine) < 3 {
+		published.AvoidMachines = slices.Sorted(maps.Keys(job.failuresByMachine))
 	}
-	return jv
+	return published
 }
