--- /dev/null
+++ b/internal/eventloop/eventloop_test.go
@@ -0,0 +1,83 @@
+package eventloop
+
+import (
+	"context"
+	"errors"
+	"testing"
+
+	"saffronbend/internal/micros"
+)
+
+// run handles events until ctx ends, as a loop's owner does.
+func run(ctx context.Context, loop *Loop) {
+	for {
+		select {
+		case <-ctx.Done():
+			loop.Stop()
+			return
+		case event := <-loop.Events():
+			loop.Handle(ctx, event, micros.NewClock())
+		}
+	}
+}
+
+func TestAsk(t *testing.T) {
+	errRefused := errors.New("refused")
+	cases := map[string]struct {
+		value int
+		err   error
+	}{
+		"a value":  {value: 7},
+		"an error": {err: errRefused},
+	}
+	for name, want := range cases {
+		t.Run(name, func(t *testing.T) {
+			loop := New()
+			go run(t.Context(), loop)
+			value, err := Ask(t.Context(), loop, func(micros.Timestamp) (int, error) { return want.value, want.err })
+			if value != want.value || !errors.Is(err, want.err) {
+				t.Errorf("Ask returned %d, %v; want %d, %v", value, err, want.value, want.err)
+			}
+		})
+	}
+}
+
+func TestAskOfStoppedLoop(t *testing.T) {
+	loop := New()
+	loop.Stop()
+	for range queueLength + 1 { // the queue has room for some of them
+		if _, err := Ask(t.Context(), loop, func(micros.Timestamp) (int, error) { return 0, nil }); !errors.Is(err, ErrStopped) {
+			t.Fatalf("Ask of a stopped loop returned %v, want ErrStopped", err)
+		}
+	}
+}
+
+func TestAskEndsWithItsContext(t *testing.T) {
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	if err := New().Do(ctx, func(micros.Timestamp) error { return nil }); !errors.Is(err, ErrStopped) {
+		t.Errorf("Do with an ended context returned %v, want ErrStopped", err)
+	}
+}
+
+func TestBackgroundEndsWithLoop(t *testing.T) {
+	ctx, cancel := context.WithCancel(t.Context())
+	loop := New()
+	ended := make(chan struct{})
+	go func() {
+		run(ctx, loop)
+		close(ended)
+	}()
+	started, finished := make(chan struct{}), false
+	loop.Background(func(ctx context.Context) {
+		close(started)
+		<-ctx.Done()
+		finished = true
+	})
+	<-started
+	cancel()
+	<-ended
+	if !finished {
+		t.Error("the loop's owner did not wait for the goroutine")
+	}
+}
--- /dev/null
+++ b/internal/placement/placement_test.go
@@ -0,0 +1,50 @@
+package placement
+
+import (
+	"testing"
+
+	"saffronbend/internal/snapshot"
+)
+
+func TestOfferKeepsCompletedRunsOfReplacedSnapshots(t *testing.T) {
+	offered := func(token, version uint64, jobs ...string) *snapshot.Snapshot {
+		s := &snapshot.Snapshot{FencingToken: token, Version: version}
+		for _, job := range jobs {
+			s.CompletedRuns = append(s.CompletedRuns, snapshot.CompletedRun{Job: job})
+		}
+		return s
+	}
+	cases := map[string]struct {
+		offers []*snapshot.Snapshot
+		want   []string
+	}{
+		"one":                 {[]*snapshot.Snapshot{offered(1, 1, "a")}, []string{"a"}},
+		"several of a term":   {[]*snapshot.Snapshot{offered(1, 1, "a"), offered(1, 2), offered(1, 3, "b", "c")}, []string{"a", "b", "c"}},
+		"of an earlier term":  {[]*snapshot.Snapshot{offered(1, 7, "a"), offered(2, 1, "b")}, []string{"b"}},
+		"nothing was dropped": {[]*snapshot.Snapshot{offered(1, 1), offered(1, 2, "b")}, []string{"b"}},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			placer := New(Config{})
+			for _, s := range c.offers {
+				placer.Offer(s, nil)
+			}
+			latest := (<-placer.offers).snapshot
+			if want := c.offers[len(c.offers)-1].Version; latest.Version != want {
+				t.Errorf("version %d waits, want %d", latest.Version, want)
+			}
+			var got []string
+			for _, run := range latest.CompletedRuns {
+				got = append(got, run.Job)
+			}
+			if len(got) != len(c.want) {
+				t.Fatalf("completed runs of %v, want %v", got, c.want)
+			}
+			for i := range got {
+				if got[i] != c.want[i] {
+					t.Fatalf("completed runs of %v, want %v", got, c.want)
+				}
+			}
+		})
+	}
+}
