--- a/internal/openjobs/openjobs_test.go
+++ b/internal/openjobs/openjobs_test.go
@@ -55,7 +55,9 @@
 	return next.result, next.err
 }
 
-func (s *fakeStore) List(context.Context, string) ([]wire.Item, uint64, error) { return s.listed, 30, nil }
+func (s *fakeStore) List(context.Context, string) ([]wire.Item, uint64, error) {
+	return s.listed, 30, nil
+}
 
 func TestWatcherContinuesFromWhatItHas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -89,7 +89,7 @@
 			if types := p.cfg.Types.Types(); types != nil {
 				framework.SetTypes(types)
 			}
-			framework.View(latest.snapshot)
+			framework.ApplySnapshot(latest.snapshot)
 			lastRequest = p.place(ctx, framework, latest.leader, lastRequest)
 		}
 	}
@@ -99,7 +99,7 @@
 // lease request was sent.
 func (p *Placer) place(ctx context.Context, framework *scheduler.Scheduler, leader LeaseGranter,
 	lastRequest micros.Timestamp) micros.Timestamp {
-	for more := true; more; more = framework.Unfinished() && framework.Current() && len(p.offers) == 0 {
+	for more := true; more; more = framework.Unfinished() && framework.UpToDate() && len(p.offers) == 0 {
 		requests := framework.Round(p.cfg.Clock.Now(), routine.Budget(p.cfg.Tuning.RoundBudget))
 		if len(requests) == 0 && p.cfg.Clock.Now().Sub(lastRequest) < contactInterval {
 			continue
@@ -111,7 +111,7 @@
 			return lastRequest
 		}
 		if len(requests) > 0 {
-			framework.Granted(responses.SnapshotVersion)
+			framework.RequireVersion(responses.SnapshotVersion)
 		}
 	}
 	return lastRequest
