--- a/internal/machinetypes/catalog.go
+++ b/internal/machinetypes/catalog.go
@@ -17,12 +17,12 @@
 
 // Store reads the types that a leader has stored.
 type Store interface {
-	Get(ctx context.Context, key string) (*wire.Item, error)
+	Get(ctx context.Context, key string) (*wire.KeyValue, error)
 }
 
 // Cloud lists the types that it offers.
 type Cloud interface {
-	Types(ctx context.Context) ([]wire.MachineType, error)
+	MachineTypes(ctx context.Context) ([]wire.MachineType, error)
 }
 
 // Catalog is the machine types as far as they are known. It may be used by several goroutines.
@@ -60,12 +60,12 @@
 
 func read(ctx context.Context, store Store, cloud Cloud) ([]wire.MachineType, error) {
 	var types []wire.MachineType
-	item, err := store.Get(ctx, state.TypesKey)
+	item, err := store.Get(ctx, state.MachineTypesKey)
 	if err == nil && item != nil {
 		err = json.Unmarshal(item.Value, &types)
 	}
 	if err != nil || len(types) == 0 {
-		return cloud.Types(ctx)
+		return cloud.MachineTypes(ctx)
 	}
 	return types, nil
 }
--- a/internal/machinetypes/catalog_test.go
+++ b/internal/machinetypes/catalog_test.go
@@ -18,17 +18,17 @@
 	err   error
 }
 
-func (s fakeStore) Get(_ context.Context, key string) (*wire.Item, error) {
-	if s.err != nil || s.value == nil || key != state.TypesKey {
+func (s fakeStore) Get(_ context.Context, key string) (*wire.KeyValue, error) {
+	if s.err != nil || s.value == nil || key != state.MachineTypesKey {
 		return nil, s.err
 	}
-	return &wire.Item{Key: key, Value: s.value}, nil
+	return &wire.KeyValue{Key: key, Value: s.value}, nil
 }
 
 // fakeCloud fails so many times before it answers with one type.
 type fakeCloud struct{ failures int }
 
-func (c *fakeCloud) Types(context.Context) ([]wire.MachineType, error) {
+func (c *fakeCloud) MachineTypes(context.Context) ([]wire.MachineType, error) {
 	if c.failures > 0 {
 		c.failures--
 		return nil, errors.New("the cloud does not answer")
--- a/internal/openjobs/openjobs.go
+++ b/internal/openjobs/openjobs.go
@@ -37,14 +37,14 @@
 	RequestedAt micros.Timestamp
 	// CompleteAt is the revision at which Records are all open records there were; 0: Records are those that changed.
 	CompleteAt uint64
-	Records    []wire.Item
+	Records    []wire.KeyValue
 	Removed    []string // jobs whose record was deleted
 }
 
 // Store is the part of the key-value store that Watch reads.
 type Store interface {
-	List(ctx context.Context, prefix string) ([]wire.Item, uint64, error)
-	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (*wire.WatchResult, error)
+	List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error)
+	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (*wire.WatchResponse, error)
 }
 
 // Watcher follows the open records.
@@ -73,9 +73,9 @@
 // next returns the update after a revision, and the revision at which it was complete.
 func (w *Watcher) next(ctx context.Context, revision uint64) (update Update, next uint64, err error) {
 	update.RequestedAt = w.Clock.Now()
-	result, err := w.Store.Watch(ctx, state.OpenPrefix, revision, settings.WatchTimeout.Std())
+	result, err := w.Store.Watch(ctx, state.OpenJobPrefix, revision, settings.WatchTimeout.AsDuration())
 	if errors.Is(err, state.ErrCompacted) {
-		update.Records, next, err = w.Store.List(ctx, state.OpenPrefix)
+		update.Records, next, err = w.Store.List(ctx, state.OpenJobPrefix)
 		update.CompleteAt = next
 		return update, next, err
 	}
@@ -87,11 +87,11 @@
 		if event.Delete != "" {
 			update.Removed = append(update.Removed, JobOf(event.Delete))
 		} else {
-			update.Records = append(update.Records, wire.Item{Key: event.Put, Value: event.Value, Version: event.Version})
+			update.Records = append(update.Records, wire.KeyValue{Key: event.Put, Value: event.Value, Version: event.Version})
 		}
 	}
 	return update, result.Revision, nil
 }
 
 // JobOf returns the job that an open record's key names.
-func JobOf(key string) string { return key[len(state.OpenPrefix):] }
+func JobOf(key string) string { return key[len(state.OpenJobPrefix):] }
--- a/internal/openjobs/openjobs_test.go
+++ b/internal/openjobs/openjobs_test.go
@@ -32,43 +32,43 @@
 type fakeStore struct {
 	t       *testing.T
 	watches []watch
-	listed  []wire.Item
+	listed  []wire.KeyValue
 }
 
 // watch is a watch that the store expects, and its answer.
 type watch struct {
 	from   uint64
-	result *wire.WatchResult
+	result *wire.WatchResponse
 	err    error
 }
 
-func (s *fakeStore) Watch(ctx context.Context, prefix string, from uint64, _ time.Duration) (*wire.WatchResult, error) {
+func (s *fakeStore) Watch(ctx context.Context, prefix string, from uint64, _ time.Duration) (*wire.WatchResponse, error) {
 	if len(s.watches) == 0 {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	next := s.watches[0]
 	s.watches = s.watches[1:]
-	if from != next.from || prefix != state.OpenPrefix {
-		s.t.Errorf("watched %q from revision %d, want %q from %d", prefix, from, state.OpenPrefix, next.from)
+	if from != next.from || prefix != state.OpenJobPrefix {
+		s.t.Errorf("watched %q from revision %d, want %q from %d", prefix, from, state.OpenJobPrefix, next.from)
 	}
 	return next.result, next.err
 }
 
-func (s *fakeStore) List(context.Context, string) ([]wire.Item, uint64, error) {
+func (s *fakeStore) List(context.Context, string) ([]wire.KeyValue, uint64, error) {
 	return s.listed, 30, nil
 }
 
 func TestWatcherContinuesFromWhatItHas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		value := json.RawMessage(`{}`)
-		listed := []wire.Item{{Key: state.OpenKey("c"), Value: value, Version: 25}}
-		events := []wire.Event{{Put: state.OpenKey("a"), Value: value, Version: 11}, {Delete: state.OpenKey("b")}}
+		listed := []wire.KeyValue{{Key: state.OpenJobKey("c"), Value: value, Version: 25}}
+		events := []wire.WatchEvent{{Put: state.OpenJobKey("a"), Value: value, Version: 11}, {Delete: state.OpenJobKey("b")}}
 		store := &fakeStore{t: t, listed: listed, watches: []watch{
-			{from: 10, result: &wire.WatchResult{Revision: 12, Events: events}},
+			{from: 10, result: &wire.WatchResponse{Revision: 12, Events: events}},
 			{from: 12, err: state.ErrUnavailable},
 			{from: 12, err: state.ErrCompacted},
-			{from: 30, result: &wire.WatchResult{Revision: 31}},
+			{from: 30, result: &wire.WatchResponse{Revision: 31}},
 		}}
 		clock := micros.NewClock()
 		began, served := clock.Now(), 0
@@ -82,7 +82,7 @@
 		})
 		after := began.Add(100 * micros.Millisecond) // the pause after an error
 		want := []Update{
-			{RequestedAt: began, Records: []wire.Item{{Key: state.OpenKey("a"), Value: value, Version: 11}}, Removed: []string{"b"}},
+			{RequestedAt: began, Records: []wire.KeyValue{{Key: state.OpenJobKey("a"), Value: value, Version: 11}}, Removed: []string{"b"}},
 			{RequestedAt: after, CompleteAt: 30, Records: listed},
 			{RequestedAt: after},
 		}
--- a/internal/routine/routine.go
+++ b/internal/routine/routine.go
@@ -38,7 +38,7 @@
 
 // Sleep waits for a duration and reports whether it has passed in full: false means that ctx ended first.
 func Sleep(ctx context.Context, duration micros.Duration) bool {
-	timer := time.NewTimer(duration.Std())
+	timer := time.NewTimer(duration.AsDuration())
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -51,5 +51,5 @@
 // Budget returns a function that reports whether more than the given time has passed since the call of Budget.
 func Budget(limit micros.Duration) (spent func() bool) {
 	began := time.Now()
-	return func() bool { return time.Since(began) > limit.Std() }
+	return func() bool { return time.Since(began) > limit.AsDuration() }
 }
