--- a/cmd/saffronbend/job.go
+++ b/cmd/saffronbend/job.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	line := []string{st.ID, st.State}
+	line := []string{st.ID, string(st.State)}
 	if st.DoneTasks != nil && st.RunningTasks != nil {
 		line = append(line, fmt.Sprintf("%d done", *st.DoneTasks), fmt.Sprintf("%d running", *st.RunningTasks))
 	}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -233,7 +233,7 @@
 }
 
 // read gives a job's stored status as on the wire, or nothing if it is not known.
-func (a *API) read(ctx context.Context, id string) (string, error) {
+func (a *API) read(ctx context.Context, id string) (wire.JobState, error) {
 	if st, ok := a.final.get(id); ok {
 		return st, nil
 	}
@@ -253,7 +253,7 @@
 
 // tell answers with a job's state. Whether a job that is not over is pending or
 // running is for display and comes from the controller's view.
-func (a *API) tell(w http.ResponseWriter, code int, id, status string) {
+func (a *API) tell(w http.ResponseWriter, code int, id string, status wire.JobState) {
 	done, running := a.info.Progress(id)
 	if status == wire.JobPending && running > 0 {
 		status = wire.JobRunning
--- a/internal/manager/gangs.go
+++ b/internal/manager/gangs.go
@@ -115,7 +115,7 @@
 }
 
 // gangState books that a task of a gang is in another state than before.
-func (m *Manager) applyGangTaskState(now micros.Timestamp, job *jobState, state string) {
+func (m *Manager) applyGangTaskState(now micros.Timestamp, job *jobState, state wire.TaskState) {
 	switch state {
 	case wire.TaskWaitingForGang:
 		for _, attempt := range job.active {
--- a/internal/manager/machines.go
+++ b/internal/manager/machines.go
@@ -51,8 +51,9 @@
 
 // listing is what a list may change of how a machine is shown; most lists change nothing.
 type publishedListing struct {
-	typeName, cloudState string
-	missing              bool
+	typeName   string
+	cloudState wire.MachineState
+	missing    bool
 }
 
 // MachinesListed takes the cloud's list. Absence from it proves nothing.
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -65,7 +65,7 @@
 	shards       map[int]*progressShard
 	arrival      uint64
 	gang         *gang.Gang // nil: its tasks are independent
-	finalState   string
+	finalState   wire.JobState
 	finalSince   micros.Timestamp // at the earliest
 	// finalSent guards against a second final write while one is out.
 	completionInFlight bool
@@ -118,7 +118,7 @@
 	// it was launched so; a copy of that may come at any time, too.
 	pushInFlight, pushOutcomeUnknown, launchedByPush bool
 	listed                                           bool
-	reportedState                                    string
+	reportedState                                    wire.TaskState
 	runningSince                                     micros.Timestamp
 	leaseExpiry                                      micros.Timestamp
 	waiter                                           string
@@ -143,7 +143,7 @@
 	id, address, typeName, zone string
 	spot                        bool
 	machineType                 *wire.MachineType
-	cloudState                  string // as listed
+	cloudState                  wire.MachineState // as listed
 	registeredAt                micros.Timestamp
 	reporting                   bool
 	incarnation, newestSeq      uint64 // of the newest message, report or answer to a direct order
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -32,7 +32,7 @@
 	nextReport   micros.Timestamp
 	renewed      micros.Timestamp
 	running      map[taskAttempt]micros.Timestamp // until when
-	ended        map[taskAttempt]string           // why
+	ended        map[taskAttempt]wire.ExitReason  // why
 	gone         bool
 }
 
@@ -66,7 +66,7 @@
 	c := &cluster{t: t, now: 1_000_000, revision: 10, records: map[string]wire.KeyValue{}, on: map[string]string{}, starts: map[string]int{}, taskRun: taskRun}
 	for i := range machines {
 		c.workers = append(c.workers, &worker{id: fmt.Sprintf("n-%06d", i), session: 1, renewed: c.now,
-			running: map[taskAttempt]micros.Timestamp{}, ended: map[taskAttempt]string{}})
+			running: map[taskAttempt]micros.Timestamp{}, ended: map[taskAttempt]wire.ExitReason{}})
 	}
 	return c
 }
--- a/internal/scenario/steps.go
+++ b/internal/scenario/steps.go
@@ -51,7 +51,7 @@
 	case "cancel": // ID: a user cancels until it is confirmed
 		w.referee.Asked(f[1])
 		return w.insist(func(member string) error {
-			return w.expect(http.MethodPost, f[1], "/"+wire.ActionCancel, []string{"at", member}, wire.JobCancelled)
+			return w.expect(http.MethodPost, f[1], "/"+wire.ActionCancel, []string{"at", member}, string(wire.JobCancelled))
 		}, f[1])
 	case "looks": // SECONDS ID...
 		w.looks(seconds(number(f[1])), f[2:])
@@ -144,7 +144,7 @@
 		case "team":
 			j.Team = v
 		case "shape":
-			j.Kind = v
+			j.Kind = wire.JobKind(v)
 		case "urgency":
 			j.PriorityName = v
 		case "image":
@@ -217,7 +217,7 @@
 	if err == nil {
 		w.referee.Told(id, asked, code, st.State)
 	}
-	return code, st.State, err
+	return code, string(st.State), err
 }
 
 // insist repeats a request at one controller after another until it is carried out.
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -73,18 +73,18 @@
 	Leases   []JobLeases `json:"l,omitempty"`
 
 	// For the fleet.
-	Up               bool             `json:"-"` // has reported to this leader
-	State            string           `json:"-"`
-	Failed           bool             `json:"-"`
-	Deleting         bool             `json:"-"`
-	QuarantineReason string           `json:"-"`
-	Unlisted         bool             `json:"-"` // no longer listed though it was
-	RegisteredAt     micros.Timestamp `json:"-"`
-	LastHeartbeat    micros.Timestamp `json:"-"` // when a report came last
-	UnreachableSince micros.Timestamp `json:"-"` // since when nothing shows that it hears; 0: it does
-	NeedsDeletion    bool             `json:"-"` // its tasks can't be proven gone but by its deletion
-	ExpectedSoon     bool             `json:"-"` // not usable yet, but it should be before long
-	IdleSince        micros.Timestamp `json:"-"` // since when nothing of ours can exist on it; 0: something can
+	Up               bool              `json:"-"` // has reported to this leader
+	State            wire.MachineState `json:"-"`
+	Failed           bool              `json:"-"`
+	Deleting         bool              `json:"-"`
+	QuarantineReason string            `json:"-"`
+	Unlisted         bool              `json:"-"` // no longer listed though it was
+	RegisteredAt     micros.Timestamp  `json:"-"`
+	LastHeartbeat    micros.Timestamp  `json:"-"` // when a report came last
+	UnreachableSince micros.Timestamp  `json:"-"` // since when nothing shows that it hears; 0: it does
+	NeedsDeletion    bool              `json:"-"` // its tasks can't be proven gone but by its deletion
+	ExpectedSoon     bool              `json:"-"` // not usable yet, but it should be before long
+	IdleSince        micros.Timestamp  `json:"-"` // since when nothing of ours can exist on it; 0: something can
 
 	ChangedIn uint64 `json:"-"` // of the first view that shows it so
 }
--- a/internal/standin/gangs.go
+++ b/internal/standin/gangs.go
@@ -25,9 +25,9 @@
 	members  map[int]*gangMember
 	began    time.Time // when the last had its image; zero: they wait
 	base     time.Duration
-	lost     time.Time // since when one is missing
-	stopped  time.Time // when the first was told to stop; progress ends then
-	over     string    // why it has ended: done, or saved
+	lost     time.Time       // since when one is missing
+	stopped  time.Time       // when the first was told to stop; progress ends then
+	over     wire.ExitReason // why it has ended: done, or saved
 	finished bool
 }
 
@@ -109,7 +109,7 @@
 // gangFate is what becomes of a task by what its mates do.
 type gangFate struct {
 	runs  bool
-	exits string // why, if it exits
+	exits wire.ExitReason // why, if it exits
 	saved bool
 }
 
--- a/internal/standin/referee.go
+++ b/internal/standin/referee.go
@@ -32,7 +32,7 @@
 	job       wire.Job
 	run       time.Duration
 	fails     bool
-	told      string
+	told      wire.JobState
 	toldAt    time.Time
 	knownAt   time.Time // when its user was told first that it is accepted
 	cancelled bool      // its user has asked for it
@@ -149,7 +149,7 @@
 
 // Told notes an answer to a user, to a question asked at the given time. What the user has been told since
 // then binds no answer to it.
-func (r *Referee) Told(id string, asked time.Time, code int, status string) {
+func (r *Referee) Told(id string, asked time.Time, code int, status wire.JobState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[id]
@@ -165,7 +165,7 @@
 	if code != 200 && code != 201 {
 		return
 	}
-	final := func(s string) bool { return s == wire.JobDone || s == wire.JobCancelled }
+	final := func(s wire.JobState) bool { return s == wire.JobDone || s == wire.JobCancelled }
 	if final(j.told) && status != j.told && !asked.After(j.toldAt) {
 		return
 	}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -65,8 +65,8 @@
 	job     string
 	index   int
 	attempt uint64
-	state   string
-	why     string
+	state   wire.TaskState
+	why     wire.ExitReason
 	saved   bool
 	on      bool // on the machine, as the rules count it
 	until   time.Time
@@ -279,7 +279,7 @@
 	}
 }
 
-func (w *Worker) exit(t *workerTask, why string, saved bool) {
+func (w *Worker) exit(t *workerTask, why wire.ExitReason, saved bool) {
 	w.leave(t, why == wire.ExitCompleted)
 	t.state, t.why, t.saved = wire.TaskExited, why, saved
 	w.changed = true
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -83,21 +83,21 @@
 
 // StatusRecord is what users are told of a job.
 type JobStatusRecord struct {
-	State string `json:"status"` // pending, done or cancelled, as on the wire
+	State wire.JobState `json:"status"` // pending, done or cancelled, as on the wire
 }
 
 // OpenRecord describes a job that is not over yet, or whose tasks may still exist.
 type OpenJobRecord struct {
-	Job        wire.Job `json:"job"`
-	AcceptedAt int64    `json:"accepted"` // time of day, microseconds
-	ShardSize  int      `json:"chunk"`    // tasks in a progress record
-	FinalState string   `json:"over,omitempty"`
+	Job        wire.Job      `json:"job"`
+	AcceptedAt int64         `json:"accepted"` // time of day, microseconds
+	ShardSize  int           `json:"chunk"`    // tasks in a progress record
+	FinalState wire.JobState `json:"over,omitempty"`
 }
 
 // Finalized is the record of a job that is over: what must be known until its last task is
 // gone, and no more. The description may have been kept under a higher limit than there is
 // now, and must not have to be written at that size again.
-func (r OpenJobRecord) Finalized(status string) OpenJobRecord {
+func (r OpenJobRecord) Finalized(status wire.JobState) OpenJobRecord {
 	j := r.Job
 	r.Job = wire.Job{ID: j.ID, Team: j.Team, Kind: j.Kind, PriorityName: j.PriorityName, Tasks: j.Tasks,
 		CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, SameZone: j.SameZone, SpreadZones: j.SpreadZones}
@@ -138,7 +138,7 @@
 // surely fit into a value. Those of a gang exist all at once or not at all: it could never
 // start if the limit fell below what they need. So their records fit the lowest limit there
 // may be.
-func ProgressShardSize(kind string, valueKB float64) int {
+func ProgressShardSize(kind wire.JobKind, valueKB float64) int {
 	const bytesPerTask = 80
 	if kind == wire.KindGang {
 		valueKB = MinValueKB
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -17,55 +17,73 @@
 	ActionCancel  = "withdraw"
 )
 
+// JobState is a job's state as users see it.
+type JobState string
+
 // Job states as users see them.
 const (
-	JobPending   = "pending"
-	JobRunning   = "running"
-	JobDone      = "done"
-	JobCancelled = "aborted"
+	JobPending   JobState = "pending"
+	JobRunning   JobState = "running"
+	JobDone      JobState = "done"
+	JobCancelled JobState = "aborted"
 )
 
+// TaskState is a task's state as its worker reports it.
+type TaskState string
+
 // Task states as workers report them.
 const (
-	TaskFetching       = "fetching"
-	TaskWaitingForGang = "waiting" // task of a gang: for the others of its attempt
-	TaskRunning        = "running"
-	TaskCheckpointing  = "saving"
-	TaskExited         = "ended"
+	TaskFetching       TaskState = "fetching"
+	TaskWaitingForGang TaskState = "waiting" // task of a gang: for the others of its attempt
+	TaskRunning        TaskState = "running"
+	TaskCheckpointing  TaskState = "saving"
+	TaskExited         TaskState = "ended"
 )
 
+// ExitReason says why a task exited.
+type ExitReason string
+
 // Reasons why a task exited.
 const (
-	ExitCompleted             = "done"
-	ExitStopped               = "halted"
-	ExitError                 = "error"
-	ExitInsufficientResources = "no_room"
-	ExitConflictingAttempt    = "in_use"
-	ExitUnknownTask           = "unknown"
-	ExitGangPeerGone          = "mates_gone" // task of a gang: another is gone
-	ExitGangTimeout           = "alone"      // task of a gang: it was not complete in time
+	ExitCompleted             ExitReason = "done"
+	ExitStopped               ExitReason = "halted"
+	ExitError                 ExitReason = "error"
+	ExitInsufficientResources ExitReason = "no_room"
+	ExitConflictingAttempt    ExitReason = "in_use"
+	ExitUnknownTask           ExitReason = "unknown"
+	ExitGangPeerGone          ExitReason = "mates_gone" // task of a gang: another is gone
+	ExitGangTimeout           ExitReason = "alone"      // task of a gang: it was not complete in time
 )
 
+// CommandOp is what a command tells a worker to do.
+type CommandOp string
+
 // Commands to workers.
 const (
-	OpStart = "launch"
-	OpStop  = "stop"
-	OpClear = "clear"
+	OpStart CommandOp = "launch"
+	OpStop  CommandOp = "stop"
+	OpClear CommandOp = "clear"
 )
 
+// MachineState is a machine's state as the cloud lists it.
+type MachineState string
+
 // Machine states as the cloud lists them.
 const (
-	MachineStarting = "starting"
-	MachineRunning  = "running"
-	MachineFailed   = "failed"
+	MachineStarting MachineState = "starting"
+	MachineRunning  MachineState = "running"
+	MachineFailed   MachineState = "failed"
 )
 
+// JobKind is how the tasks of a job depend on each other.
+type JobKind string
+
 // Shapes of jobs. Services are named on the wire only; docs/questions.md says how they are
 // understood.
 const (
-	KindArray   = "batch"   // independent tasks
-	KindGang    = "group"   // all tasks run together or none does
-	KindService = "service" // tasks that run until the job is cancelled
+	KindArray   JobKind = "batch"   // independent tasks
+	KindGang    JobKind = "group"   // all tasks run together or none does
+	KindService JobKind = "service" // tasks that run until the job is cancelled
 )
 
 // Priority is a job's urgency, larger is more urgent.
@@ -79,7 +97,7 @@
 	ID                  string   `json:"id"`
 	Class               string   `json:"lane"`
 	Team                string   `json:"owner"`
-	Kind                string   `json:"shape"`
+	Kind                JobKind  `json:"shape"`
 	PriorityName        string   `json:"urgency"`
 	Tasks               int      `json:"pieces"`
 	CPUs                float64  `json:"cores"`
@@ -103,10 +121,10 @@
 
 // JobStatus answers users.
 type JobStatus struct {
-	ID           string `json:"id"`
-	State        string `json:"status"`
-	DoneTasks    *int   `json:"done,omitempty"`
-	RunningTasks *int   `json:"running,omitempty"`
+	ID           string   `json:"id"`
+	State        JobState `json:"status"`
+	DoneTasks    *int     `json:"done,omitempty"`
+	RunningTasks *int     `json:"running,omitempty"`
 }
 
 // Error is the body of an answer that refuses something.
@@ -130,19 +148,19 @@
 
 // TaskStatus is a task as its worker sees it.
 type TaskStatus struct {
-	Task            string `json:"piece"`
-	Attempt         uint64 `json:"try"`
-	State           string `json:"status"`
-	ExitReason      string `json:"cause,omitempty"`
-	CheckpointSaved bool   `json:"saved,omitempty"`
+	Task            string     `json:"piece"`
+	Attempt         uint64     `json:"try"`
+	State           TaskState  `json:"status"`
+	ExitReason      ExitReason `json:"cause,omitempty"`
+	CheckpointSaved bool       `json:"saved,omitempty"`
 }
 
 // Command is an order to a worker.
 type Command struct {
-	Op      string   `json:"verb"`
-	Task    string   `json:"piece"`
-	Attempt uint64   `json:"try"`
-	GraceS  *float64 `json:"wind_down_s,omitempty"`
+	Op      CommandOp `json:"verb"`
+	Task    string    `json:"piece"`
+	Attempt uint64    `json:"try"`
+	GraceS  *float64  `json:"wind_down_s,omitempty"`
 }
 
 // StopCommand is the order to stop a task; within a grace that suffices it saves.
@@ -203,13 +221,13 @@
 
 // Machine is a machine as the cloud lists it.
 type Machine struct {
-	ID    string  `json:"id"`
-	Addr  string  `json:"address"`
-	Type  string  `json:"build"`
-	Zone  string  `json:"yard"`
-	Spot  bool    `json:"loaners"`
-	State string  `json:"status"`
-	AgeS  float64 `json:"held_s"`
+	ID    string       `json:"id"`
+	Addr  string       `json:"address"`
+	Type  string       `json:"build"`
+	Zone  string       `json:"yard"`
+	Spot  bool         `json:"loaners"`
+	State MachineState `json:"status"`
+	AgeS  float64      `json:"held_s"`
 }
 
 // MachinePage is how many machines the cloud lists in one answer.
