--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -301,11 +301,11 @@
 	return nil
 }
 
-// NewsBlock is how long the leader's watch of the jobs waits for a change. What it knows of
-// cancellations is never much older than this and the same once more while the service serves.
+// WatchTimeout is how long the leader's watch of the jobs waits for a change. While the store serves, what the
+// leader knows of cancellations is never much older than twice this.
 const WatchTimeout = micros.Second
 
-// The leader's watch takes two blocks and a slow answer to bring news in the worst case; with less
+// In the worst case the leader's watch needs two timeouts and a slow response to report a cancellation; with less
 // than this, leases would run out while nothing is wrong.
 const leastStaleness = 3 * WatchTimeout
 
