--- /dev/null
+++ b/internal/drain/budgets.go
@@ -0,0 +1,41 @@
+package drain
+
+import "maps"
+
+// TeamUsage counts a team's tasks.
+type TeamUsage struct {
+	Running   int // tasks that run or would run if they weren't disrupted
+	Disrupted int // tasks that are disrupted, or may be
+}
+
+// RemainingBudgets returns by team how many more tasks may be disrupted now. The given usage replaces that of the last
+// round.
+func (p *Planner) RemainingBudgets(usage map[string]TeamUsage) map[string]int {
+	p.teamUsage = maps.Clone(usage)
+	return p.remainingBudgets()
+}
+
+func (p *Planner) remainingBudgets() map[string]int {
+	remaining := make(map[string]int, len(p.teamUsage))
+	for team, usage := range p.teamUsage {
+		remaining[team] = max(0, p.allowedDisruptions(team)-usage.Disrupted)
+	}
+	return remaining
+}
+
+// allowedDisruptions returns how many of a team's tasks may be disrupted at once: the smallest of the configured budget
+// and those of all active drains.
+func (p *Planner) allowedDisruptions(team string) int {
+	budget, configured := p.cfg.TeamBudgets[team]
+	if !configured {
+		budget = p.cfg.DefaultBudget
+	}
+	running := p.teamUsage[team].Running
+	allowed := budget.Allowed(running)
+	for _, d := range p.drains {
+		if own, ok := d.budgets[team]; ok && d.state().Active() {
+			allowed = min(allowed, own.Allowed(running))
+		}
+	}
+	return allowed
+}
--- /dev/null
+++ b/internal/drain/helpers_test.go
@@ -0,0 +1,60 @@
+package drain
+
+import (
+	"testing"
+
+	"saffronbend/internal/disruption"
+	"saffronbend/internal/micros"
+)
+
+var knownMachines = []KnownMachine{
+	{ID: "n-1", Zone: "a", Type: "small", Age: micros.Minute},
+	{ID: "n-2", Zone: "a", Type: "large", Age: micros.Second},
+	{ID: "n-3", Zone: "b", Type: "small", Age: micros.Minute},
+}
+
+func parseBudget(tb testing.TB, text string) disruption.Budget {
+	tb.Helper()
+	budget, err := disruption.ParseBudget(text)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return budget
+}
+
+// newPlanner returns a planner for two teams with the same budget and a step of two machines.
+func newPlanner(tb testing.TB, budget string) *Planner {
+	tb.Helper()
+	return New(Config{Teams: []string{"red", "blue"}, DefaultBudget: parseBudget(tb, budget), StepSize: 2})
+}
+
+// begin prepares a drain and applies it as if its record had become durable.
+func begin(tb testing.TB, planner *Planner, request Request, known []KnownMachine) {
+	tb.Helper()
+	prepared, err := planner.Prepare(request, 0, known)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	if err := planner.Apply(prepared.Record, prepared.Machines, 1); err != nil {
+		tb.Fatal(err)
+	}
+}
+
+// newAttempt returns an attempt that can be evicted.
+func newAttempt(job string, index int, team string) Attempt {
+	return Attempt{
+		Task:           disruption.Task{Job: job, Index: index},
+		Team:           team,
+		DisruptedTasks: 1,
+		Checkpoints:    true,
+		ExpectedEnd:    micros.Timestamp(micros.Minute),
+	}
+}
+
+// evictWith returns an Evictor that always has the same outcome.
+func evictWith(outcome EvictionOutcome) Evictor {
+	return func(disruption.Task) EvictionOutcome { return outcome }
+}
+
+// noTimeout is the time budget of a round that is never spent.
+func noTimeout() bool { return false }
--- /dev/null
+++ b/internal/drain/property_test.go
@@ -0,0 +1,170 @@
+package drain
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"saffronbend/internal/disruption"
+	"saffronbend/internal/micros"
+)
+
+var modelTeams = []string{"red", "blue"}
+
+// fleetModel is a model of machines whose tasks are evicted, lost and started again elsewhere.
+type fleetModel struct {
+	machines  map[string]map[disruption.Task]string // team by task, by machine
+	disrupted map[disruption.Task]string            // team by task
+	running   map[string]int                        // tasks by team
+}
+
+// For any fleet, budgets and losses: no eviction exceeds a budget, no machine is deleted before it is empty, and every
+// drain whose budgets allow a task of each team finishes.
+func TestNoBudgetIsBroken(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		limits := map[string]int{
+			"red":  rapid.IntRange(0, 4).Draw(t, "red"),
+			"blue": rapid.IntRange(1, 4).Draw(t, "blue"),
+		}
+		stepSize := rapid.IntRange(1, 5).Draw(t, "step")
+		planner := New(Config{Teams: modelTeams, TeamBudgets: budgetsOf(t, limits), StepSize: stepSize})
+		model, known := drawFleet(t)
+		hasRed := model.running["red"] > 0
+		prepared, err := planner.Prepare(Request{Name: "x", Zone: "a"}, 0, known)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := planner.Apply(prepared.Record, prepared.Machines, 1); err != nil {
+			t.Fatal(err)
+		}
+		now := micros.Timestamp(0)
+		for range 400 {
+			now = now.Add(micros.Second)
+			model.round(t, planner, now, limits)
+		}
+		mustFinish := limits["red"] > 0 || !hasRed
+		finished := len(model.machines) == 0 && slices.Equal(planner.FinishedDrains(), []string{"x"})
+		if mustFinish && !finished {
+			t.Fatalf("not finished: %v", model.machines)
+		}
+	})
+}
+
+func budgetsOf(t *rapid.T, limits map[string]int) map[string]disruption.Budget {
+	budgets := map[string]disruption.Budget{}
+	for team, limit := range limits {
+		budget, err := disruption.ParseBudget(fmt.Sprint(limit))
+		if err != nil {
+			t.Fatal(err)
+		}
+		budgets[team] = budget
+	}
+	return budgets
+}
+
+// drawFleet draws machines with tasks of both teams.
+func drawFleet(t *rapid.T) (*fleetModel, []KnownMachine) {
+	model := &fleetModel{
+		machines:  map[string]map[disruption.Task]string{},
+		disrupted: map[disruption.Task]string{},
+		running:   map[string]int{},
+	}
+	var known []KnownMachine
+	for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
+		id := fmt.Sprintf("n-%02d", i)
+		known = append(known, KnownMachine{ID: id, Zone: "a"})
+		model.machines[id] = map[disruption.Task]string{}
+		for k := range rapid.IntRange(0, 5).Draw(t, "tasks") {
+			team := rapid.SampledFrom(modelTeams).Draw(t, "team")
+			model.machines[id][disruption.Task{Job: "run-1", Index: i*10 + k}] = team
+			model.running[team]++
+		}
+	}
+	return model, known
+}
+
+func (f *fleetModel) snapshot(now micros.Timestamp) Snapshot {
+	snapshot := Snapshot{Now: now, Machines: map[string]Machine{}, Teams: map[string]TeamUsage{}, MachinesListed: true}
+	for _, team := range modelTeams {
+		disrupted := f.disruptedOf(team)
+		snapshot.Teams[team] = TeamUsage{Running: f.running[team] + disrupted, Disrupted: disrupted}
+	}
+	for id, tasks := range f.machines {
+		machine := Machine{ID: id, Heartbeating: true, Empty: len(tasks) == 0}
+		for task, team := range tasks {
+			attempt := newAttempt(task.Job, task.Index, team)
+			attempt.ExpectedEnd = now.Add(micros.Minute)
+			machine.Attempts = append(machine.Attempts, attempt)
+		}
+		slices.SortFunc(machine.Attempts, func(a, b Attempt) int { return a.Task.Index - b.Task.Index })
+		snapshot.Machines[id] = machine
+	}
+	return snapshot
+}
+
+func (f *fleetModel) disruptedOf(team string) int {
+	count := 0
+	for _, other := range f.disrupted {
+		if other == team {
+			count++
+		}
+	}
+	return count
+}
+
+// disrupt takes a task off its machine; its successor runs later.
+func (f *fleetModel) disrupt(machine string, task disruption.Task) {
+	team := f.machines[machine][task]
+	delete(f.machines[machine], task)
+	f.running[team]--
+	f.disrupted[task] = team
+}
+
+// round starts successors, loses the tasks of a machine, and lets the planner decide.
+func (f *fleetModel) round(t *rapid.T, planner *Planner, now micros.Timestamp, limits map[string]int) {
+	for task, team := range f.disrupted {
+		if rapid.IntRange(0, 2).Draw(t, "starts") == 0 {
+			delete(f.disrupted, task)
+			f.running[team]++
+		}
+	}
+	if rapid.IntRange(0, 19).Draw(t, "loss") == 0 {
+		f.loseTasksOfOneMachine()
+	}
+	evict := func(task disruption.Task) EvictionOutcome { return f.evict(t, task, limits) }
+	actions := planner.Plan(f.snapshot(now), evict, noTimeout)
+	for _, id := range actions.ScaleIn {
+		if len(f.machines[id]) > 0 {
+			t.Fatalf("%s is deleted with %v", id, f.machines[id])
+		}
+		delete(f.machines, id)
+	}
+}
+
+func (f *fleetModel) loseTasksOfOneMachine() {
+	for id, tasks := range f.machines {
+		for task := range tasks {
+			f.disrupt(id, task)
+		}
+		return
+	}
+}
+
+// evict carries out an eviction, which must be within the budget, and of a task that runs.
+func (f *fleetModel) evict(t *rapid.T, task disruption.Task, limits map[string]int) EvictionOutcome {
+	for id, tasks := range f.machines {
+		team, on := tasks[task]
+		if !on {
+			continue
+		}
+		f.disrupt(id, task)
+		if disrupted := f.disruptedOf(team); disrupted > limits[team] {
+			t.Fatalf("%d tasks of %s are disrupted", disrupted, team)
+		}
+		return Evicted
+	}
+	t.Fatalf("%v is evicted twice", task)
+	return AttemptEnded
+}
--- /dev/null
+++ b/internal/drain/round_test.go
@@ -0,0 +1,91 @@
+package drain
+
+import "testing"
+
+// blockedReason plays one round with a single machine and returns why its first attempt stays, empty if it was evicted.
+func blockedReason(t *testing.T, planner *Planner, machine Machine, wallClock int64, outcome EvictionOutcome) string {
+	t.Helper()
+	snapshot := Snapshot{
+		Now:            1,
+		WallClock:      wallClock,
+		Machines:       map[string]Machine{machine.ID: machine},
+		Teams:          map[string]TeamUsage{"red": {Running: 10}},
+		MachinesListed: true,
+	}
+	planner.Plan(snapshot, evictWith(outcome), noTimeout)
+	status, err := planner.Status("x")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(status.Blocked) == 0 {
+		return ""
+	}
+	return status.Blocked[0].Reason
+}
+
+func TestReasons(t *testing.T) {
+	const overdue = 1000
+	const cantSave = "it can't save: its end is waited for"
+	for _, test := range []struct {
+		name            string
+		change          func(*Attempt)
+		silent          bool
+		wallClock       int64
+		evictAtDeadline bool
+		budget          string
+		outcome         EvictionOutcome
+		want            string
+	}{
+		{name: "evicted", budget: "1"},
+		{name: "no budget", budget: "0", want: "the budget of 0 is too small for 1 tasks"},
+		{name: "gang larger than the budget", change: func(a *Attempt) { a.Gang, a.DisruptedTasks = true, 4 },
+			budget: "3", want: "the budget of 3 is too small for 4 tasks"},
+		{name: "silent machine", silent: true, budget: "1", want: "the machine does not report"},
+		{name: "ends soon", change: func(a *Attempt) { a.ExpectedEnd = 10 }, budget: "1", want: "it ends soon"},
+		{name: "can't save", change: func(a *Attempt) { a.Checkpoints = false },
+			budget: "1", evictAtDeadline: true, want: cantSave},
+		{name: "can't save, overdue, not to be evicted", change: func(a *Attempt) { a.Checkpoints = false },
+			budget: "1", wallClock: overdue, want: cantSave},
+		{name: "can't save, overdue, to be evicted", change: func(a *Attempt) { a.Checkpoints = false },
+			budget: "1", wallClock: overdue, evictAtDeadline: true},
+		{name: "no room elsewhere", budget: "1", outcome: NoCapacity,
+			want: "no room for it elsewhere: the cloud has none"},
+		{name: "ended already", budget: "1", outcome: AttemptEnded, want: "it has ended"},
+		{name: "being stopped", change: func(a *Attempt) { a.Stopping = true }, budget: "1", want: "it is being stopped"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			planner := newPlanner(t, test.budget)
+			planner.SetShortage("the cloud has none")
+			begin(t, planner, Request{Name: "x", Machines: []string{"n-1"}, Deadline: overdue,
+				EvictAtDeadline: test.evictAtDeadline}, knownMachines)
+			attempt := newAttempt("run-1", 0, "red")
+			if test.change != nil {
+				test.change(&attempt)
+			}
+			machine := Machine{ID: "n-1", Heartbeating: !test.silent, Attempts: []Attempt{attempt}}
+			if got := blockedReason(t, planner, machine, test.wallClock, test.outcome); got != test.want {
+				t.Errorf("reason %q, want %q", got, test.want)
+			}
+		})
+	}
+}
+
+// Replacements are requested for as many tasks as the budget lets move, not for all tasks.
+func TestReplacementsWithinTheBudget(t *testing.T) {
+	planner := newPlanner(t, "3")
+	begin(t, planner, Request{Name: "x", Machines: []string{"n-1"}}, knownMachines)
+	machine := Machine{ID: "n-1", Heartbeating: true}
+	for i := range 8 {
+		machine.Attempts = append(machine.Attempts, newAttempt("run-1", i, "red"))
+	}
+	snapshot := Snapshot{
+		Now:            1,
+		Machines:       map[string]Machine{machine.ID: machine},
+		Teams:          map[string]TeamUsage{"red": {Running: 9, Disrupted: 1}},
+		MachinesListed: true,
+	}
+	actions := planner.Plan(snapshot, evictWith(NoCapacity), noTimeout)
+	if len(actions.NeedReplacement) != 2 || actions.Evicted != 0 {
+		t.Errorf("%+v", actions)
+	}
+}
--- /dev/null
+++ b/internal/drain/step_test.go
@@ -0,0 +1,142 @@
+package drain
+
+import (
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"github.com/crillab/gophersat/solver"
+)
+
+// randomMachines draws machines with tasks of several teams, and what remains of the teams' budgets.
+func randomMachines(r *rand.Rand, machines, teams, tasks, budget int) ([]Machine, map[string]int) {
+	remaining := map[string]int{}
+	for t := range teams {
+		remaining[fmt.Sprint("team", t)] = r.IntN(budget + 1)
+	}
+	out := make([]Machine, machines)
+	for i := range out {
+		out[i].ID = fmt.Sprintf("n-%05d", i)
+		out[i].Heartbeating = true
+		for k := range r.IntN(tasks + 1) {
+			out[i].Attempts = append(out[i].Attempts, newAttempt("run-1", i*tasks+k, fmt.Sprint("team", r.IntN(teams))))
+		}
+	}
+	return out, remaining
+}
+
+// countEmptied counts the chosen machines that can be emptied within what remains of the budgets.
+func countEmptied(machines []Machine, chosen []string, remainingBudgets map[string]int) int {
+	remaining := maps.Clone(remainingBudgets)
+	emptied := 0
+	for _, id := range chosen {
+		i := slices.IndexFunc(machines, func(m Machine) bool { return m.ID == id })
+		disruptions := machines[i].disruptionsByTeam()
+		if !fitsBudgets(disruptions, remaining) {
+			continue
+		}
+		for team, count := range disruptions {
+			remaining[team] -= count
+		}
+		emptied++
+	}
+	return emptied
+}
+
+// optimalCount returns the largest number of machines that can be emptied within what remains of the budgets, by a
+// pseudo-Boolean solver.
+func optimalCount(machines []Machine, remaining map[string]int) int {
+	type weightedSum struct{ variables, weights []int }
+	sums := map[string]weightedSum{} // by team
+	var excluded []solver.Lit
+	var costs []int
+	empty := 0
+	for i := range machines {
+		disruptions := machines[i].disruptionsByTeam()
+		if len(disruptions) == 0 {
+			empty++
+			continue
+		}
+		variable := len(excluded) + 1
+		excluded = append(excluded, solver.IntToLit(int32(-variable)))
+		costs = append(costs, 1)
+		for team, count := range disruptions {
+			sum := sums[team]
+			sums[team] = weightedSum{append(sum.variables, variable), append(sum.weights, count)}
+		}
+	}
+	if len(excluded) == 0 {
+		return empty
+	}
+	var constraints []solver.PBConstr
+	for team, sum := range sums {
+		constraints = append(constraints, solver.LtEq(sum.variables, sum.weights, remaining[team]))
+	}
+	problem := solver.ParsePBConstrs(constraints)
+	problem.SetCostFunc(excluded, costs)
+	return empty + len(excluded) - solver.New(problem).Minimize()
+}
+
+// The greedy choice stays within the budgets and is nearly as good as the best there is.
+func TestChooseAgainstSolver(t *testing.T) {
+	const fleets, machines = 150, 14
+	r := rand.New(rand.NewPCG(1, 2))
+	greedy, optimum, equal := 0, 0, 0
+	for range fleets {
+		candidates, remaining := randomMachines(r, machines, 3, 6, 8)
+		got := countEmptied(candidates, chooseMachines(candidates, remaining, machines), remaining)
+		optimal := optimalCount(candidates, remaining)
+		if got > optimal {
+			t.Fatalf("greedy empties %d machines, at most %d can be", got, optimal)
+		}
+		if got == optimal {
+			equal++
+		}
+		greedy, optimum = greedy+got, optimum+optimal
+	}
+	t.Logf("greedy empties %d machines, the solver %d; the same in %d of %d fleets", greedy, optimum, equal, fleets)
+	const least = 0.95
+	if float64(greedy) < least*float64(optimum) {
+		t.Errorf("greedy empties %d machines, the best is %d", greedy, optimum)
+	}
+}
+
+// BenchmarkSolver is the solver's time for small fleets.
+func BenchmarkSolver(b *testing.B) {
+	for _, machines := range []int{10, 20, 40} {
+		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
+			candidates, remaining := randomMachines(rand.New(rand.NewPCG(1, 2)), machines, 3, 6, 8)
+			for b.Loop() {
+				optimalCount(candidates, remaining)
+			}
+		})
+	}
+}
+
+// BenchmarkPlan is one round of decisions of a drain of all machines, with the budgets used up after 20 evictions.
+func BenchmarkPlan(b *testing.B) {
+	for _, machines := range []int{500, 1000, 2000, 4000} {
+		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
+			cordoned, _ := randomMachines(rand.New(rand.NewPCG(1, 2)), machines, 8, 16, 1)
+			teams := make([]string, 8)
+			snapshot := Snapshot{Now: 1, Machines: map[string]Machine{}, Teams: map[string]TeamUsage{}, MachinesListed: true}
+			for t := range teams {
+				teams[t] = fmt.Sprint("team", t)
+				snapshot.Teams[teams[t]] = TeamUsage{Running: machines}
+			}
+			var known []KnownMachine
+			for _, machine := range cordoned {
+				snapshot.Machines[machine.ID] = machine
+				known = append(known, KnownMachine{ID: machine.ID, Zone: "a"})
+			}
+			planner := New(Config{Teams: teams, DefaultBudget: parseBudget(b, "20"), StepSize: 20})
+			begin(b, planner, Request{Name: "x", Zone: "a"}, known)
+			b.ReportAllocs()
+			for b.Loop() {
+				planner.Plan(snapshot, evictWith(Evicted), noTimeout)
+			}
+		})
+	}
+}
