--- a/internal/settings/drains.go
+++ b/internal/settings/drains.go
@@ -1,8 +1,6 @@
 package settings
 
 import (
-	"errors"
-	"fmt"
 	"slices"
 
 	"saffronbend/internal/disruption"
@@ -11,51 +9,64 @@
 	"saffronbend/internal/settings/optionspb"
 )
 
-// Drains are the operators' settings of stepped drains.
+// Drains are the options of stepped drains (docs/drains.md).
 type Drains struct {
-	Enabled       bool
-	DefaultBudget disruption.Budget            // of a team for which nothing else is said
-	Budgets       map[string]disruption.Budget // of single teams
-	Step          int                          // machines emptied at the same time, unless a drain says otherwise
-	// Reservation is how long room is kept for the successor of an evicted attempt.
+	Enabled bool
+	// DefaultBudget is the disruption budget of the teams that have none of their own in Budgets.
+	DefaultBudget disruption.Budget
+	Budgets       map[string]disruption.Budget
+	// Step is how many machines are emptied at the same time, unless a drain says otherwise.
+	Step int
+	// ReservationTTL is how long room is reserved for the successor of an evicted attempt.
 	ReservationTTL micros.Duration
 }
 
-// Defaults of the settings of drains.
+// Defaults and bounds of the options of drains.
 const (
 	defaultDrainBudget  = "10%"
 	defaultDrainStep    = 5
 	defaultReservationS = 120
-	mostReservationS    = 3600
+	minReservationS     = 1
+	maxReservationS     = 3600
 )
 
-// drains fills in the defaults of the settings of drains and checks them.
-func (s *Settings) drains(o *optionspb.Drains) (Drains, error) {
-	d := Drains{Enabled: o.GetEnabled(), Step: defaultDrainStep, ReservationTTL: micros.Seconds(defaultReservationS), Budgets: map[string]disruption.Budget{}}
-	var c optionChecker
-	budget := func(text, name string) disruption.Budget {
-		b, err := disruption.ParseBudget(text)
-		if err != nil {
-			c.errs = append(c.errs, fmt.Errorf("%s: %w", name, err))
-		}
-		return b
+// drains returns the options of drains; nil: none is given. Each budget must be that of one of the teams.
+func (r *optionReader) drains(options *optionspb.Drains, teams []Team) Drains {
+	if options == nil {
+		options = &optionspb.Drains{}
 	}
-	text := defaultDrainBudget
-	if o != nil && o.DefaultBudget != nil {
-		text = *o.DefaultBudget
+	drains := Drains{
+		Enabled:       options.GetEnabled(),
+		DefaultBudget: r.budget("drains.default_budget", options.DefaultBudget),
+		Budgets:       map[string]disruption.Budget{},
+		Step:          r.count("drains.step", options.Step, defaultDrainStep, drain.MaxStep),
+		ReservationTTL: micros.Seconds(r.number("drains.reservation_s", options.ReservationS, defaultReservationS,
+			minReservationS, maxReservationS)),
 	}
-	d.DefaultBudget = budget(text, "drains.default_budget")
-	for _, b := range o.GetBudgets() {
-		team := b.GetTeam()
-		_, twice := d.Budgets[team]
-		if twice || !slices.ContainsFunc(s.Deployment.Teams, func(t Team) bool { return t.Name == team }) {
-			c.errs = append(c.errs, fmt.Errorf("drains.budgets: team %q is unknown or appears twice", team))
+	for _, budget := range options.GetBudgets() {
+		team := budget.GetTeam()
+		if !slices.ContainsFunc(teams, func(t Team) bool { return t.Name == team }) {
+			r.refuse(&InvalidValueError{Setting: "drains.budgets.team", Value: team,
+				Requirement: "must be one of the deployment's teams"})
+		}
+		if _, exists := drains.Budgets[team]; exists {
+			r.refuse(&InvalidValueError{Setting: "drains.budgets.team", Value: team, Requirement: "must not appear twice"})
 		}
-		d.Budgets[team] = budget(b.GetLimit(), "drains.budgets: "+team)
+		limit := budget.GetLimit()
+		drains.Budgets[team] = r.budget("drains.budgets."+team, &limit)
+	}
+	return drains
+}
+
+// budget returns a disruption budget, such as "3" or "10%"; nil: the default.
+func (r *optionReader) budget(option string, text *string) disruption.Budget {
+	if text == nil {
+		byDefault := defaultDrainBudget
+		text = &byDefault
 	}
-	if o != nil {
-		d.Step = c.count(o.Step, defaultDrainStep, drain.MaxStep, "drains.step")
-		d.ReservationTTL = micros.Seconds(c.number(o.ReservationS, defaultReservationS, 1, mostReservationS, "drains.reservation_s"))
+	budget, err := disruption.ParseBudget(*text)
+	if err != nil {
+		r.refuse(&InvalidValueError{Setting: option, Value: *text, Requirement: "must be a number or a percentage", Err: err})
 	}
-	return d, errors.Join(c.errs...)
+	return budget
 }
--- /dev/null
+++ b/internal/settings/rebalancing.go
@@ -0,0 +1,66 @@
+package settings
+
+import (
+	"fmt"
+
+	"saffronbend/internal/micros"
+	"saffronbend/internal/rebalance"
+	"saffronbend/internal/settings/optionspb"
+)
+
+// Rebalancing are the options of moves of running tasks between machines (docs/spread.md). In the options they are the
+// message "spread".
+type Rebalancing struct {
+	Enabled bool
+	Policy  rebalance.Config
+}
+
+// Defaults of the options of rebalancing.
+const (
+	defaultTeamCap          = 0.5
+	defaultMargin           = 3
+	defaultMinRelief        = 0.25
+	defaultTaskCooldownS    = 600
+	defaultTeamCooldownS    = 30
+	defaultMachineCooldownS = 300
+	defaultSmoothingS       = 30
+)
+
+// Bounds of the options of rebalancing.
+const (
+	minMargin         = 1
+	maxMargin         = 1000
+	maxMovesPerMinute = 10_000
+)
+
+// rebalancing returns the options of rebalancing; nil: none is given. If it is enabled, drains must be, and the
+// number of moves must be given: no number suits all fleets.
+func (r *optionReader) rebalancing(options *optionspb.Spread, drainsEnabled bool, workers Workers) Rebalancing {
+	if options == nil {
+		options = &optionspb.Spread{}
+	}
+	rebalancing := Rebalancing{Enabled: options.GetEnabled(), Policy: rebalance.Config{
+		TeamCap:         r.number("spread.cap", options.Cap, defaultTeamCap, 0, 1),
+		Margin:          r.number("spread.margin", options.Margin, defaultMargin, minMargin, maxMargin),
+		MinRelief:       r.number("spread.least_relief", options.LeastRelief, defaultMinRelief, 0, 1),
+		TaskCooldown:    r.duration("spread.task_cooldown_s", options.TaskCooldownS, defaultTaskCooldownS),
+		TeamCooldown:    r.duration("spread.team_cooldown_s", options.TeamCooldownS, defaultTeamCooldownS),
+		MachineCooldown: r.duration("spread.machine_cooldown_s", options.MachineCooldownS, defaultMachineCooldownS),
+		Smoothing:       r.duration("spread.smoothing_s", options.SmoothingS, defaultSmoothingS),
+		MovesPerMinute:  int(options.GetMovesPerMinute()),
+		// The stop and the launch may both have to wait for a heartbeat.
+		RestartTime: micros.Seconds(2 * workers.ReportS),
+	}}
+	if !rebalancing.Enabled {
+		return rebalancing
+	}
+	if moves := rebalancing.Policy.MovesPerMinute; moves < 1 || moves > maxMovesPerMinute {
+		r.refuse(&InvalidValueError{Setting: "spread.moves_per_minute", Value: moves,
+			Requirement: fmt.Sprintf("must be given, between 1 and %d", maxMovesPerMinute)})
+	}
+	if !drainsEnabled {
+		r.refuse(&InvalidValueError{Setting: "spread", Requirement: "needs drains { enabled: true }",
+			Reason: "moves share the disruption budgets of drains"})
+	}
+	return rebalancing
+}
