--- /dev/null
+++ b/internal/leader/heartbeats.go
@@ -0,0 +1,47 @@
+package leader
+
+import (
+	"context"
+	"time"
+
+	"saffronbend/internal/micros"
+	"saffronbend/internal/peer"
+	"saffronbend/wire"
+)
+
+// heartbeatTimeout is how long a worker's heartbeat waits for its response at most.
+const heartbeatTimeout = 2 * time.Second
+
+// Heartbeat applies a worker's heartbeat and returns the response, which is nil if the worker's lease may not be renewed.
+// relayedBy names the controller that relays it, "" if the worker sent it here.
+func (t *Term) Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat, relayedBy string) peer.RelayResponse {
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
+	defer cancel()
+	if !t.awaitRecovery(ctx) {
+		return peer.RelayResponse{}
+	}
+	responses := make(chan peer.RelayResponse, 1)
+	t.loop.Post(ctx, func(now micros.Timestamp) { responses <- t.applyHeartbeat(now, heartbeat, relayedBy) })
+	select {
+	case response := <-responses:
+		return response
+	case <-ctx.Done():
+	case <-t.loop.Stopped():
+	}
+	return peer.RelayResponse{}
+}
+
+func (t *Term) applyHeartbeat(now micros.Timestamp, heartbeat *wire.Heartbeat, relayedBy string) peer.RelayResponse {
+	if relayedBy != "" && t.manager.MayReturnToLeader(now, heartbeat.Machine) {
+		return peer.RelayResponse{CommandsDelivered: true}
+	}
+	if !t.mayRenewWorkerLeases(now) {
+		return peer.RelayResponse{}
+	}
+	// A leader that can't reach the store goes on renewing worker leases for a bounded time, but launches nothing.
+	response, superseded := t.manager.Heartbeat(now, heartbeat, relayedBy, t.leaseValid(now))
+	if superseded {
+		t.loop.Go(func() { t.stepDown(reasonHigherToken) })
+	}
+	return peer.RelayResponse{Response: response}
+}
