--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -445,7 +445,7 @@
 		w.execute(a.Commands)
 		return
 	case http.StatusMisdirectedRequest:
-		var red wire.Redirect
+		var red wire.LeaderRedirect
 		if json.Unmarshal(body, &red) == nil {
 			for i, n := range w.cfg.Nodes {
 				if n.Member == red.Leader && i != w.node {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -44,7 +44,7 @@
 			_ = json.NewEncoder(w).Encode(answer)
 		case leader != "":
 			w.WriteHeader(http.StatusMisdirectedRequest)
-			_ = json.NewEncoder(w).Encode(wire.Redirect{Leader: leader})
+			_ = json.NewEncoder(w).Encode(wire.LeaderRedirect{Leader: leader})
 		default:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			_ = json.NewEncoder(w).Encode(wire.ErrorResponse{Error: "no leader"})
--- a/wire/report_test.go
+++ b/wire/heartbeat_test.go
@@ -8,27 +8,29 @@
 	"testing"
 )
 
-// reportBody is a report that lists so many running tasks.
-func reportBody(tasks int) []byte {
+// heartbeatBody returns a heartbeat that lists so many running tasks.
+func heartbeatBody(tasks int) []byte {
 	var list []string
 	for i := range tasks {
-		list = append(list, fmt.Sprintf(`{"piece":"run-000412/%d","try":%d,"status":"running"}`, i, uint64(43)<<20+uint64(i)))
+		list = append(list, fmt.Sprintf(`{"piece":"run-000412/%d","try":%d,"status":"running"}`,
+			i, uint64(43)<<20+uint64(i)))
 	}
-	return []byte(`{"box":"n-000231","address":"10.1.0.232:9000","build":"g8","yard":"a","loaners":true,"shift":1,"tick":88,"baton":41,` +
-		`"recall_s":null,"pieces":[` + strings.Join(list, ",") + `]}`)
+	return []byte(`{"box":"n-000231","address":"10.1.0.232:9000","build":"g8","yard":"a","loaners":true,` +
+		`"shift":1,"tick":88,"baton":41,"recall_s":null,"pieces":[` + strings.Join(list, ",") + `]}`)
 }
 
-// Reports must be understood, and refused, as the standard library would.
-func TestDecodeReportAsStandard(t *testing.T) {
-	bodies := []string{string(reportBody(0)), string(reportBody(3)),
+// Heartbeats must be decoded, and refused, as encoding/json does.
+func TestDecodeHeartbeatAsStandard(t *testing.T) {
+	bodies := []string{string(heartbeatBody(0)), string(heartbeatBody(3)),
 		`{"box":"n-1","recall_s":12.5,"pieces":null}`,
 		`{"box":"n-1","tick":18446744073709551615,"unknown":{"a":[1,2,{"b":null}]}}`,
 		`{"box":"n-\u0031\n\"x\"","pieces":[{"piece":"run-1/0","try":2,"status":"ended","cause":"halted","saved":true}]}`,
 		` { "box" : "n-1" , "pieces" : [ ] } `,
 		`{"box":"n-1","tick":1,"tick":2}`, `{"BOX":"n-1"}`,
-		`{"box":"n-1","tick":18446744073709551616}`, `{"box":"n-1","tick":-1}`, `{"box":"n-1","tick":1.5}`, `{"box":"n-1","tick":"1"}`,
-		`{"box":1}`, `{"box":"n-1","pieces":{}}`, `{"box":"n-1"`, `{"box":"n-1"}}`, `{"box":"n-1",}`, `["n-1"]`, `"n-1"`, `n-1`, ``, `{"box":"n-1"} x`,
-		`{"box":"n-1","loaners":1}`, `{"box":"n-1","recall_s":"soon"}`, "{\"box\":\"a\nb\"}", `{"box":"n-1","pieces":[{"piece":"x"]}`,
+		`{"box":"n-1","tick":18446744073709551616}`, `{"box":"n-1","tick":-1}`, `{"box":"n-1","tick":1.5}`,
+		`{"box":"n-1","tick":"1"}`, `{"box":1}`, `{"box":"n-1","pieces":{}}`, `{"box":"n-1"`, `{"box":"n-1"}}`,
+		`{"box":"n-1",}`, `["n-1"]`, `"n-1"`, `n-1`, ``, `{"box":"n-1"} x`, `{"box":"n-1","loaners":1}`,
+		`{"box":"n-1","recall_s":"soon"}`, "{\"box\":\"a\nb\"}", `{"box":"n-1","pieces":[{"piece":"x"]}`,
 	}
 	for _, body := range bodies {
 		var want Heartbeat
@@ -43,8 +45,8 @@
 	}
 }
 
-// A report without a machine is of nobody.
-func TestDecodeReportWithoutMachine(t *testing.T) {
+// A heartbeat that names no machine can't be attributed.
+func TestDecodeHeartbeatWithoutMachine(t *testing.T) {
 	for _, body := range []string{`{}`, `null`, `{"box":""}`} {
 		if _, err := DecodeHeartbeat([]byte(body)); err == nil {
 			t.Errorf("%s: no error", body)
@@ -53,35 +55,36 @@
 }
 
 // What is decoded must not point into the request's buffer, which is used again.
-func TestDecodeReportCopies(t *testing.T) {
-	body := reportBody(1)
-	r, err := DecodeHeartbeat(body)
+func TestDecodeHeartbeatCopies(t *testing.T) {
+	body := heartbeatBody(1)
+	heartbeat, err := DecodeHeartbeat(body)
 	if err != nil {
 		t.Fatal(err)
 	}
 	clear(body)
-	if r.Machine != "n-000231" || r.Tasks[0].Task != "run-000412/0" {
-		t.Errorf("got %q, %q after the buffer was cleared", r.Machine, r.Tasks[0].Task)
+	if heartbeat.Machine != "n-000231" || heartbeat.Tasks[0].Task != "run-000412/0" {
+		t.Errorf("got %q, %q after the buffer was cleared", heartbeat.Machine, heartbeat.Tasks[0].Task)
 	}
 }
 
-// The leader decodes hundreds of reports a second. Two strings for each task are kept; the rest does not grow with their number.
-func TestDecodeReportAllocations(t *testing.T) {
-	const tasks, most = 32, 2*32 + 12
-	body := reportBody(tasks)
+// The leader decodes hundreds of heartbeats a second. Two strings for each task are kept; the rest does not grow with
+// their number.
+func TestDecodeHeartbeatAllocations(t *testing.T) {
+	const tasks, limit = 32, 2*32 + 12
+	body := heartbeatBody(tasks)
 	got := testing.AllocsPerRun(100, func() {
 		if _, err := DecodeHeartbeat(body); err != nil {
 			t.Fatal(err)
 		}
 	})
-	if got > most {
-		t.Errorf("%v allocations for a report of %d tasks, at most %d", got, tasks, most)
+	if got > limit {
+		t.Errorf("%v allocations for a heartbeat of %d tasks, at most %d", got, tasks, limit)
 	}
 }
 
-func BenchmarkDecodeReport(b *testing.B) {
+func BenchmarkDecodeHeartbeat(b *testing.B) {
 	for _, tasks := range []int{0, 4, 32} {
-		body := reportBody(tasks)
+		body := heartbeatBody(tasks)
 		b.Run(fmt.Sprint(tasks), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
