--- a/internal/disruption/budget.go
+++ b/internal/disruption/budget.go
@@ -8,7 +8,8 @@
 	"strings"
 )
 
-// Budget bounds how many of a team's tasks may be disrupted at once: a number of tasks, or a share of its running tasks.
+// Budget bounds how many of a team's tasks may be disrupted at once: a number of tasks, or a share of its running
+// tasks.
 type Budget struct {
 	count int
 	share float64 // 0 to 1; 0: the budget is count
@@ -16,7 +17,8 @@
 }
 
 // ErrInvalidBudget is returned for a text that is no budget.
-var ErrInvalidBudget = errors.New(`a budget is a number of tasks such as "3" or a share of the running ones such as "10%"`)
+var ErrInvalidBudget = errors.New(`a budget is a number of tasks such as "3" ` +
+	`or a share of the running ones such as "10%"`)
 
 // ParseBudget parses a budget: a number of tasks ("3") or a percentage of the running tasks ("10%"). Its error wraps
 // ErrInvalidBudget.
--- a/internal/disruption/ledger.go
+++ b/internal/disruption/ledger.go
@@ -3,9 +3,9 @@
 // preemption, reclaimed machines and lost machines share one Ledger. A team's disruption budget (Budget) bounds what
 // drains and rebalancing may add to it; the other causes count, but aren't held up by a budget.
 //
-// Package manager owns the ledger of a leader's term and makes its entries durable; packages drain and rebalance compare
-// what it counts with the budgets. The package is a state machine without I/O and without a clock; it never decides
-// whether a task may be disrupted. A Ledger isn't safe for concurrent use.
+// Package manager owns the ledger of a leader's term and makes its entries durable; packages drain and rebalance
+// compare what it counts with the budgets. The package is a state machine without I/O and without a clock; it never
+// decides whether a task may be disrupted. A Ledger isn't safe for concurrent use.
 package disruption
 
 import (
--- a/internal/disruption/ledger_test.go
+++ b/internal/disruption/ledger_test.go
@@ -12,7 +12,8 @@
 
 var teamOfJob = map[string]string{"run-1": "red", "run-2": "red", "run-3": "blue"}
 
-// Whatever begins and ends, in whatever order and however often: each task counts once, and the counts match the entries.
+// Whatever begins and ends, in whatever order and however often: each task counts once, and the counts match the
+// entries.
 func TestLedgerCountsEachTaskOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model, ledger := ledgerModel{}, NewLedger()
--- a/internal/drain/budgets.go
+++ b/internal/drain/budgets.go
@@ -8,8 +8,8 @@
 	Disrupted int // tasks that are disrupted, or may be
 }
 
-// RemainingBudgets returns by team how many more tasks may be disrupted now. The given usage replaces that of the last
-// round.
+// RemainingBudgets returns by team how many more tasks may be disrupted now. The given usage replaces that of the
+// last round.
 func (p *Planner) RemainingBudgets(usage map[string]TeamUsage) map[string]int {
 	p.teamUsage = maps.Clone(usage)
 	return p.remainingBudgets()
@@ -23,8 +23,8 @@
 	return remaining
 }
 
-// allowedDisruptions returns how many of a team's tasks may be disrupted at once: the smallest of the configured budget
-// and those of all active drains.
+// allowedDisruptions returns how many of a team's tasks may be disrupted at once: the smallest of the configured
+// budget and those of all active drains.
 func (p *Planner) allowedDisruptions(team string) int {
 	budget, configured := p.cfg.TeamBudgets[team]
 	if !configured {
--- a/internal/drain/planner.go
+++ b/internal/drain/planner.go
@@ -1,12 +1,12 @@
-// Package drain plans the graceful eviction of machines in steps. A drain cordons a set of machines, so that they take
-// nothing new, has the tasks on a few of them evicted at a time, within the teams' disruption budgets, and has each
-// machine deleted once it is empty.
+// Package drain plans the graceful eviction of machines in steps. A drain cordons a set of machines, so that they
+// take nothing new, has the tasks on a few of them evicted at a time, within the teams' disruption budgets, and has
+// each machine deleted once it is empty.
 //
-// The Planner is owned by the goroutine of the leader's term, which also serves the operators' requests and writes the
-// records. Package manager provides the Snapshot of cordoned machines and carries out the evictions; package operator
-// serves the requests over the network. The Planner is a state machine without I/O and without a clock. It applies a
-// change of a drain only after its record is durable, and it never evicts more than the budgets allow, nor a task for
-// whose successor the Evictor has found no room. It isn't safe for concurrent use.
+// The Planner is owned by the goroutine of the leader's term, which also serves the operators' requests and writes
+// the records. Package manager provides the Snapshot of cordoned machines and carries out the evictions; package
+// operator serves the requests over the network. The Planner is a state machine without I/O and without a clock. It
+// applies a change of a drain only after its record is durable, and it never evicts more than the budgets allow, nor
+// a task for whose successor the Evictor has found no room. It isn't safe for concurrent use.
 package drain
 
 import (
@@ -178,8 +178,8 @@
 	return finished
 }
 
-// PrunableDrains returns the names of the ended drains whose records can be deleted: the oldest ones, beyond the number
-// that is still listed.
+// PrunableDrains returns the names of the ended drains whose records can be deleted: the oldest ones, beyond the
+// number that is still listed.
 func (p *Planner) PrunableDrains() []string {
 	var ended []*trackedDrain
 	for _, d := range p.drains {
--- a/internal/drain/property_test.go
+++ b/internal/drain/property_test.go
@@ -20,8 +20,8 @@
 	running   map[string]int                        // tasks by team
 }
 
-// For any fleet, budgets and losses: no eviction exceeds a budget, no machine is deleted before it is empty, and every
-// drain whose budgets allow a task of each team finishes.
+// For any fleet, budgets and losses: no eviction exceeds a budget, no machine is deleted before it is empty, and
+// every drain whose budgets allow a task of each team finishes.
 func TestNoBudgetIsBroken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := map[string]int{
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -58,8 +58,8 @@
 	Budgets         map[string]string // disruption budgets by team, as disruption.ParseBudget parses them
 }
 
-// fingerprint identifies what a request asks for, so that a repeated one is recognized as idempotent. It is part of the
-// durable record.
+// fingerprint identifies what a request asks for, so that a repeated one is recognized as idempotent. It is part of
+// the durable record.
 func (r *Request) fingerprint() string {
 	machines := slices.Sorted(slices.Values(r.Machines))
 	budgets := ""
--- a/internal/drain/round.go
+++ b/internal/drain/round.go
@@ -11,8 +11,8 @@
 const (
 	// maxBlockedListed bounds the blocked evictions that are listed for a drain.
 	maxBlockedListed = 50
-	// maxEvictionTries bounds how often room is looked for in a round of one drain. Each machine of its step has an equal
-	// part of them, and one at least, so that no machine waits for another whose tasks find no room.
+	// maxEvictionTries bounds how often room is looked for in a round of one drain. Each machine of its step has an
+	// equal part of them, and one at least, so that no machine waits for another whose tasks find no room.
 	maxEvictionTries = 64
 	// endsSoonWithin is the time within which the end of a task is awaited instead of evicting it.
 	endsSoonWithin = 5 * micros.Second
@@ -123,7 +123,7 @@
 		return "it is being stopped"
 	case !machine.Heartbeating:
 		return "the machine does not report"
-	case !attempt.Checkpoints && !(d.overdue && d.record.EvictAtDeadline):
+	case !attempt.Checkpoints && (!d.overdue || !d.record.EvictAtDeadline):
 		return "it can't save: its end is waited for"
 	case attempt.ExpectedEnd > r.snapshot.Now && attempt.ExpectedEnd.Sub(r.snapshot.Now) < endsSoonWithin:
 		return "it ends soon"
--- a/internal/drain/round_test.go
+++ b/internal/drain/round_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// blockedReason plays one round with a single machine and returns why its first attempt stays, empty if it was evicted.
+// blockedReason plays one round with a single machine and returns why its first attempt stays, empty if it was
+// evicted.
 func blockedReason(t *testing.T, planner *Planner, machine Machine, wallClock int64, outcome EvictionOutcome) string {
 	t.Helper()
 	snapshot := Snapshot{
--- a/internal/drain/step.go
+++ b/internal/drain/step.go
@@ -36,8 +36,8 @@
 }
 
 // chooseMachines returns up to limit machines to be emptied next: as many as can be emptied within the remaining
-// budgets, those first that take the smallest share of them. If none fits, it is the one that exceeds them least, to be
-// emptied bit by bit. The choice is greedy; docs/drains.md compares it with a solver's.
+// budgets, those first that take the smallest share of them. If none fits, it is the one that exceeds them least, to
+// be emptied bit by bit. The choice is greedy; docs/drains.md compares it with a solver's.
 func chooseMachines(machines []Machine, remainingBudgets map[string]int, limit int) []string {
 	candidates := rankCandidates(machines, remainingBudgets)
 	remaining := maps.Clone(remainingBudgets)
@@ -59,8 +59,8 @@
 	return chosen
 }
 
-// exhaustedBudget stands for a budget of which nothing remains: any task weighs more than with the smallest budget that
-// isn't exhausted.
+// exhaustedBudget stands for a budget of which nothing remains: any task weighs more than with the smallest budget
+// that isn't exhausted.
 const exhaustedBudget = 0.5
 
 // rankCandidates returns machines by weight, the lightest first.
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -1,9 +1,9 @@
 // Package gang is the life cycle of a gang: a job whose tasks are scheduled, run and stopped together or not at all.
 //
-// A Gang is a state machine without I/O and without a clock. Package manager holds one for each job that is scheduled as
-// a gang, reports to it what happens to the tasks of the present attempt, and carries out the Action that each event
-// returns. A Gang never knows machines, leases or times, and it isn't safe for concurrent use: the goroutine that owns
-// the job owns its gang.
+// A Gang is a state machine without I/O and without a clock. Package manager holds one for each job that is scheduled
+// as a gang, reports to it what happens to the tasks of the present attempt, and carries out the Action that each
+// event returns. A Gang never knows machines, leases or times, and it isn't safe for concurrent use: the goroutine
+// that owns the job owns its gang.
 //
 //	Idle ── placed ──→ Granted ── all durable ──→ Launched ── one runs ──→ Running ── one is done ──→ Complete
 //	 ↑                    │                          │                      │   │
@@ -30,8 +30,8 @@
 //	TaskGone           Checkpointing, progress saved    Checkpointing  None
 //	TaskGone           else, Granted to Checkpointing   Ending         Stop
 //
-// A new attempt begins only from Idle, when every task of the previous one is provably gone. So two attempts never mix,
-// and no task is replaced within an attempt.
+// A new attempt begins only from Idle, when every task of the previous one is provably gone. So two attempts never
+// mix, and no task is replaced within an attempt.
 package gang
 
 // Phase is the state of a gang's present attempt.
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestLifeCycle plays events on a gang of three tasks. Each script is a list of events; after "=" stand the phase and, if
-// the last event requires one, the action.
+// TestLifeCycle plays events on a gang of three tasks. Each script is a list of events; after "=" stand the phase
+// and, if the last event requires one, the action.
 func TestLifeCycle(t *testing.T) {
 	for _, test := range []struct{ name, script string }{
 		{"launched once all placements are durable",
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -2,10 +2,8 @@
 
 import (
 	"context"
-	"errors"
 	"math"
 	"net/http"
-	"strconv"
 
 	"connectrpc.com/connect"
 
@@ -16,102 +14,161 @@
 	"saffronbend/internal/operator/operatorpb/operatorpbconnect"
 )
 
-var errStep = errors.New("a step has at most " + strconv.Itoa(drain.MaxStep) + " machines")
-
-// DrainController carries out the operators' requests on the leader.
+// DrainController carries out the operators' requests about drains on the leader. Its errors are those of this
+// package and of package drain.
 type DrainController interface {
 	LeaderLocator
-	StartDrain(ctx context.Context, r drain.Request) (drain.Status, error)
+	// StartDrain starts a drain and returns its status once that is durable. A repeated request changes nothing.
+	StartDrain(ctx context.Context, request drain.Request) (drain.Status, error)
+	// ChangeDrain pauses, resumes or cancels a drain and returns its status once that is durable.
 	ChangeDrain(ctx context.Context, name string, to drain.State) (drain.Status, error)
-	// ListDrains gives the drain of a name, or all.
+	// ListDrains returns the drain of a name, or all drains if the name is empty.
 	ListDrains(ctx context.Context, name string) ([]drain.Status, error)
 }
 
-// drainService adapts Drains to the generated interface.
+// drainService implements the generated interface by a DrainController.
 type drainService struct {
 	forwarder[operatorpbconnect.DrainServiceClient]
-	drains DrainController
+	controller DrainController
 }
 
-// DrainHandler gives the path below which the service of drains is served, and its handler.
-func DrainHandler(d DrainController, dial call.Dialer) (path string, h http.Handler) {
-	s := &drainService{forwarder[operatorpbconnect.DrainServiceClient]{d, dial, NewDrainClient}, d}
-	return operatorpbconnect.NewDrainServiceHandler(s, connect.WithReadMaxBytes(mostMessage))
+// DrainHandler returns the handler of the service of drains, and the path below which it is served.
+func DrainHandler(controller DrainController, dial call.Dialer) (path string, handler http.Handler) {
+	service := &drainService{
+		forwarder: forwarder[operatorpbconnect.DrainServiceClient]{
+			leader:    controller,
+			dial:      dial,
+			newClient: NewDrainClient,
+		},
+		controller: controller,
+	}
+	return operatorpbconnect.NewDrainServiceHandler(service, connect.WithReadMaxBytes(maxMessageBytes))
 }
 
-// NewDrainClient makes a client for the service of drains on a cluster address.
+// NewDrainClient returns a client for the service of drains on a cluster address. The function closeIdle closes its
+// idle connections.
 func NewDrainClient(dial call.Dialer, addr string) (client operatorpbconnect.DrainServiceClient, closeIdle func()) {
 	return newClient(operatorpbconnect.NewDrainServiceClient, dial, addr)
 }
 
-func (s *drainService) StartDrain(ctx context.Context, req *connect.Request[operatorpb.StartDrainRequest]) (*connect.Response[operatorpb.DrainStatus], error) {
-	return serve(ctx, s.forwarder, req, func(ctx context.Context) (*operatorpb.DrainStatus, error) {
-		r, err := decodeStart(req.Msg)
+// StartDrain implements the generated interface.
+func (s *drainService) StartDrain(
+	ctx context.Context, request *connect.Request[operatorpb.StartDrainRequest],
+) (*connect.Response[operatorpb.DrainStatus], error) {
+	local := func(ctx context.Context) (*operatorpb.DrainStatus, error) {
+		decoded, err := decodeStartDrain(request.Msg)
 		if err != nil {
 			return nil, err
 		}
-		return encodeOne(s.drains.StartDrain(ctx, r))
-	}, operatorpbconnect.DrainServiceClient.StartDrain)
-}
-
-func decodeStart(m *operatorpb.StartDrainRequest) (drain.Request, error) {
-	if m.Step > drain.MaxStep {
-		return drain.Request{}, errStep
+		return encodeDrainStatus(s.controller.StartDrain(ctx, decoded))
 	}
-	if math.IsNaN(m.DeadlineS) || math.IsNaN(m.OlderThanS) {
-		return drain.Request{}, drain.ErrNegativeDuration
-	}
-	return drain.Request{Name: m.Name, Machines: m.Machines, Zone: m.Zone, Type: m.Type, OlderThan: micros.Seconds(m.OlderThanS), Step: int(m.Step),
-		Deadline: micros.Seconds(m.DeadlineS), EvictAtDeadline: m.EvictAtDeadline, Budgets: m.Budgets}, nil
+	return serveOrForward(ctx, s.forwarder, request, local, operatorpbconnect.DrainServiceClient.StartDrain)
 }
 
-func (s *drainService) GetDrains(ctx context.Context, req *connect.Request[operatorpb.GetDrainsRequest]) (*connect.Response[operatorpb.GetDrainsResponse], error) {
-	return serve(ctx, s.forwarder, req, func(ctx context.Context) (*operatorpb.GetDrainsResponse, error) {
-		list, err := s.drains.ListDrains(ctx, req.Msg.Name)
+// GetDrains implements the generated interface.
+func (s *drainService) GetDrains(
+	ctx context.Context, request *connect.Request[operatorpb.GetDrainsRequest],
+) (*connect.Response[operatorpb.GetDrainsResponse], error) {
+	local := func(ctx context.Context) (*operatorpb.GetDrainsResponse, error) {
+		drains, err := s.controller.ListDrains(ctx, request.Msg.Name)
 		if err != nil {
 			return nil, err
 		}
-		out := &operatorpb.GetDrainsResponse{}
-		for _, st := range list {
-			out.Drains = append(out.Drains, encodeStatus(st))
+		response := &operatorpb.GetDrainsResponse{}
+		for i := range drains {
+			response.Drains = append(response.Drains, drainStatusMessage(&drains[i]))
 		}
-		return out, nil
-	}, operatorpbconnect.DrainServiceClient.GetDrains)
+		return response, nil
+	}
+	return serveOrForward(ctx, s.forwarder, request, local, operatorpbconnect.DrainServiceClient.GetDrains)
 }
 
-func (s *drainService) PauseDrain(ctx context.Context, req *connect.Request[operatorpb.NamedDrainRequest]) (*connect.Response[operatorpb.DrainStatus], error) {
-	return serve(ctx, s.forwarder, req, s.change(req, drain.Paused), operatorpbconnect.DrainServiceClient.PauseDrain)
+// PauseDrain implements the generated interface.
+func (s *drainService) PauseDrain(
+	ctx context.Context, request *connect.Request[operatorpb.NamedDrainRequest],
+) (*connect.Response[operatorpb.DrainStatus], error) {
+	local := s.changeDrain(request, drain.Paused)
+	return serveOrForward(ctx, s.forwarder, request, local, operatorpbconnect.DrainServiceClient.PauseDrain)
 }
 
-func (s *drainService) ResumeDrain(ctx context.Context, req *connect.Request[operatorpb.NamedDrainRequest]) (*connect.Response[operatorpb.DrainStatus], error) {
-	return serve(ctx, s.forwarder, req, s.change(req, drain.Running), operatorpbconnect.DrainServiceClient.ResumeDrain)
+// ResumeDrain implements the generated interface.
+func (s *drainService) ResumeDrain(
+	ctx context.Context, request *connect.Request[operatorpb.NamedDrainRequest],
+) (*connect.Response[operatorpb.DrainStatus], error) {
+	local := s.changeDrain(request, drain.Running)
+	return serveOrForward(ctx, s.forwarder, request, local, operatorpbconnect.DrainServiceClient.ResumeDrain)
 }
 
-func (s *drainService) CancelDrain(ctx context.Context, req *connect.Request[operatorpb.NamedDrainRequest]) (*connect.Response[operatorpb.DrainStatus], error) {
-	return serve(ctx, s.forwarder, req, s.change(req, drain.Cancelled), operatorpbconnect.DrainServiceClient.CancelDrain)
+// CancelDrain implements the generated interface.
+func (s *drainService) CancelDrain(
+	ctx context.Context, request *connect.Request[operatorpb.NamedDrainRequest],
+) (*connect.Response[operatorpb.DrainStatus], error) {
+	local := s.changeDrain(request, drain.Cancelled)
+	return serveOrForward(ctx, s.forwarder, request, local, operatorpbconnect.DrainServiceClient.CancelDrain)
 }
 
-func (s *drainService) change(req *connect.Request[operatorpb.NamedDrainRequest], to drain.State) func(context.Context) (*operatorpb.DrainStatus, error) {
+// changeDrain returns the function that carries a change of state out on the leader.
+func (s *drainService) changeDrain(
+	request *connect.Request[operatorpb.NamedDrainRequest], to drain.State,
+) func(context.Context) (*operatorpb.DrainStatus, error) {
 	return func(ctx context.Context) (*operatorpb.DrainStatus, error) {
-		return encodeOne(s.drains.ChangeDrain(ctx, req.Msg.Name, to))
+		return encodeDrainStatus(s.controller.ChangeDrain(ctx, request.Msg.Name, to))
 	}
 }
 
-func encodeOne(st drain.Status, err error) (*operatorpb.DrainStatus, error) {
+// decodeStartDrain checks what the types of package drain can't express, and leaves the rest to the planner.
+func decodeStartDrain(message *operatorpb.StartDrainRequest) (drain.Request, error) {
+	if message.Step > drain.MaxStep {
+		return drain.Request{}, errStepTooLarge
+	}
+	if math.IsNaN(message.DeadlineS) || math.IsNaN(message.OlderThanS) {
+		return drain.Request{}, drain.ErrNegativeDuration
+	}
+	return drain.Request{
+		Name:            message.Name,
+		Machines:        message.Machines,
+		Zone:            message.Zone,
+		Type:            message.Type,
+		OlderThan:       micros.Seconds(message.OlderThanS),
+		Step:            int(message.Step),
+		Deadline:        micros.Seconds(message.DeadlineS),
+		EvictAtDeadline: message.EvictAtDeadline,
+		Budgets:         message.Budgets,
+	}, nil
+}
+
+// encodeDrainStatus returns the message for a controller's result.
+func encodeDrainStatus(status drain.Status, err error) (*operatorpb.DrainStatus, error) {
 	if err != nil {
 		return nil, err
 	}
-	return encodeStatus(st), nil
+	return drainStatusMessage(&status), nil
 }
 
-func encodeStatus(st drain.Status) *operatorpb.DrainStatus {
-	out := &operatorpb.DrainStatus{Name: st.Name, State: string(st.State), Machines: uint32(st.Machines), Gone: uint32(st.Gone),
-		Emptying: uint32(st.Emptying), TasksLeft: uint32(st.TasksLeft), Overdue: st.Overdue}
-	for _, b := range st.Blocked {
-		out.Blocked = append(out.Blocked, &operatorpb.BlockedMachine{Machine: b.Machine, Team: b.Team, Task: b.Task, Reason: b.Reason})
+func drainStatusMessage(status *drain.Status) *operatorpb.DrainStatus {
+	message := &operatorpb.DrainStatus{
+		Name:      status.Name,
+		State:     string(status.State),
+		Machines:  uint32(status.Machines),
+		Gone:      uint32(status.Gone),
+		Emptying:  uint32(status.Emptying),
+		TasksLeft: uint32(status.TasksLeft),
+		Overdue:   status.Overdue,
+	}
+	for _, blocked := range status.Blocked {
+		message.Blocked = append(message.Blocked, &operatorpb.BlockedMachine{
+			Machine: blocked.Machine,
+			Team:    blocked.Team,
+			Task:    blocked.Task,
+			Reason:  blocked.Reason,
+		})
 	}
-	for _, b := range st.Budgets {
-		out.Budgets = append(out.Budgets, &operatorpb.TeamBudget{Team: b.Team, Disturbed: uint32(b.Disrupted), Allowed: uint32(b.Allowed)})
+	for _, budget := range status.Budgets {
+		message.Budgets = append(message.Budgets, &operatorpb.TeamBudget{
+			Team:      budget.Team,
+			Disturbed: uint32(budget.Disrupted),
+			Allowed:   uint32(budget.Allowed),
+		})
 	}
-	return out
+	return message
 }
--- /dev/null
+++ b/internal/operator/operator_test.go
@@ -0,0 +1,281 @@
+package operator
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math"
+	"net"
+	"net/http"
+	"reflect"
+	"testing"
+	"time"
+
+	"connectrpc.com/connect"
+	"google.golang.org/protobuf/proto"
+
+	"saffronbend/internal/call"
+	"saffronbend/internal/disruption"
+	"saffronbend/internal/drain"
+	"saffronbend/internal/micros"
+	"saffronbend/internal/operator/operatorpb"
+	"saffronbend/internal/rebalance"
+)
+
+// fakeController is a controller of drains and rebalancing that records the requests it carries out.
+type fakeController struct {
+	leaderAddr string
+	leads      bool
+	err        error // with which requests fail
+
+	started  []drain.Request
+	changed  []drain.State
+	listed   []int // machines of each status of rebalancing
+	statuses []drain.Status
+}
+
+func (c *fakeController) Leader() (addr string, here bool) { return c.leaderAddr, c.leads }
+
+func (c *fakeController) StartDrain(_ context.Context, request drain.Request) (drain.Status, error) {
+	c.started = append(c.started, request)
+	return drain.Status{Name: request.Name, State: drain.Running}, c.err
+}
+
+func (c *fakeController) ChangeDrain(_ context.Context, name string, to drain.State) (drain.Status, error) {
+	c.changed = append(c.changed, to)
+	return drain.Status{Name: name, State: to}, c.err
+}
+
+func (c *fakeController) ListDrains(context.Context, string) ([]drain.Status, error) {
+	return c.statuses, c.err
+}
+
+func (c *fakeController) RebalancingStatus(_ context.Context, machines int) (rebalance.Status, error) {
+	c.listed = append(c.listed, machines)
+	return rebalance.Status{}, c.err
+}
+
+func (c *fakeController) PauseRebalancing(_ context.Context, paused bool) (rebalance.Status, error) {
+	return rebalance.Status{Paused: paused}, c.err
+}
+
+// serve serves both services of a controller until the test ends, and returns the address.
+func serve(t *testing.T, controller *fakeController) (addr string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	dial := new(net.Dialer).DialContext
+	mux := http.NewServeMux()
+	mux.Handle(DrainHandler(controller, dial))
+	mux.Handle(RebalancingHandler(controller, dial))
+	server := &http.Server{Handler: mux, Protocols: call.UnencryptedHTTP2()}
+	served := make(chan error, 1)
+	go func() { served <- server.Serve(listener) }()
+	t.Cleanup(func() {
+		if err := server.Close(); err != nil {
+			t.Error(err)
+		}
+		if err := <-served; !errors.Is(err, http.ErrServerClosed) {
+			t.Error(err)
+		}
+	})
+	return listener.Addr().String()
+}
+
+// pauseDrain pauses a drain by the controller on an address.
+func pauseDrain(t *testing.T, addr string) (*operatorpb.DrainStatus, error) {
+	t.Helper()
+	client, closeIdle := NewDrainClient(new(net.Dialer).DialContext, addr)
+	defer closeIdle()
+	request := connect.NewRequest(&operatorpb.NamedDrainRequest{Name: "x"})
+	response, err := client.PauseDrain(t.Context(), request)
+	if err != nil {
+		return nil, err
+	}
+	return response.Msg, nil
+}
+
+// checkUnavailable checks that an error asks for a repetition later.
+func checkUnavailable(t *testing.T, err error) {
+	t.Helper()
+	if connect.CodeOf(err) != connect.CodeUnavailable {
+		t.Errorf("error %v, want unavailable", err)
+	}
+	if wait, ok := RetryAfter(err); !ok || wait != 2*time.Second {
+		t.Errorf("retry after %v, %v; want 2s", wait, ok)
+	}
+}
+
+func TestLeaderCarriesOut(t *testing.T) {
+	leader := &fakeController{leads: true}
+	status, err := pauseDrain(t, serve(t, leader))
+	if err != nil || status.Name != "x" || status.State != "paused" {
+		t.Errorf("%v, %v", status, err)
+	}
+}
+
+func TestOthersForwardToTheLeader(t *testing.T) {
+	leader := &fakeController{leads: true}
+	follower := serve(t, &fakeController{leaderAddr: serve(t, leader)})
+	status, err := pauseDrain(t, follower)
+	if err != nil || status.State != "paused" || len(leader.changed) != 1 {
+		t.Errorf("%v, %v; the leader has carried out %v", status, err, leader.changed)
+	}
+	leader.err = fmt.Errorf("%w: it is cancelled", drain.ErrDrainEnded)
+	_, err = pauseDrain(t, follower)
+	var answer *connect.Error
+	if !errors.As(err, &answer) || answer.Code() != connect.CodeFailedPrecondition ||
+		answer.Message() != "the drain is over: it is cancelled" {
+		t.Errorf("error %v, want that of the leader", err)
+	}
+	leader.err = ErrUnavailable
+	_, err = pauseDrain(t, follower)
+	checkUnavailable(t, err)
+}
+
+func TestUnavailableWithoutALeader(t *testing.T) {
+	t.Run("no leader is known", func(t *testing.T) {
+		_, err := pauseDrain(t, serve(t, &fakeController{}))
+		checkUnavailable(t, err)
+	})
+	t.Run("the leader can't be reached", func(t *testing.T) {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		addr := listener.Addr().String()
+		if err := listener.Close(); err != nil {
+			t.Fatal(err)
+		}
+		_, err = pauseDrain(t, serve(t, &fakeController{leaderAddr: addr}))
+		checkUnavailable(t, err)
+	})
+	t.Run("the presumed leader follows another", func(t *testing.T) {
+		third := &fakeController{leads: true}
+		second := &fakeController{leaderAddr: serve(t, third)}
+		_, err := pauseDrain(t, serve(t, &fakeController{leaderAddr: serve(t, second)}))
+		checkUnavailable(t, err)
+		if len(third.changed) != 0 {
+			t.Error("a request was forwarded twice")
+		}
+	})
+}
+
+func TestErrorCodes(t *testing.T) {
+	for _, test := range []struct {
+		err  error
+		want connect.Code
+	}{
+		{ErrUnavailable, connect.CodeUnavailable},
+		{errors.New("not listed"), connect.CodeUnavailable},
+		{ErrDrainsDisabled, connect.CodeFailedPrecondition},
+		{ErrRebalancingDisabled, connect.CodeFailedPrecondition},
+		{drain.ErrUnknownDrain, connect.CodeNotFound},
+		{drain.ErrUnknownMachine, connect.CodeNotFound},
+		{drain.ErrUnknownTeam, connect.CodeNotFound},
+		{drain.ErrNoMatch, connect.CodeNotFound},
+		{drain.ErrNameInUse, connect.CodeAlreadyExists},
+		{drain.ErrDrainEnded, connect.CodeFailedPrecondition},
+		{drain.ErrTooManyDrains, connect.CodeResourceExhausted},
+		{drain.ErrInvalidName, connect.CodeInvalidArgument},
+		{drain.ErrNoSelection, connect.CodeInvalidArgument},
+		{drain.ErrNegativeDuration, connect.CodeInvalidArgument},
+		{errStepTooLarge, connect.CodeInvalidArgument},
+		{disruption.ErrInvalidBudget, connect.CodeInvalidArgument},
+	} {
+		t.Run(test.err.Error(), func(t *testing.T) {
+			encoded := encodeError(fmt.Errorf("wrapped: %w", test.err))
+			if encoded.Code() != test.want {
+				t.Errorf("code %v, want %v", encoded.Code(), test.want)
+			}
+			_, retry := RetryAfter(encoded)
+			if unavailable := test.want == connect.CodeUnavailable; retry != unavailable {
+				t.Errorf("retry-after is set: %v, want %v", retry, unavailable)
+			}
+		})
+	}
+	if _, ok := RetryAfter(errors.New("of no service")); ok {
+		t.Error("an error without a header says when to retry")
+	}
+}
+
+func TestDecodeStartDrain(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		message *operatorpb.StartDrainRequest
+		err     error
+	}{
+		{name: "seconds", message: &operatorpb.StartDrainRequest{DeadlineS: 1.5, OlderThanS: 60, Step: drain.MaxStep}},
+		{name: "a step too large", message: &operatorpb.StartDrainRequest{Step: drain.MaxStep + 1}, err: errStepTooLarge},
+		{name: "no number as deadline", message: &operatorpb.StartDrainRequest{DeadlineS: math.NaN()},
+			err: drain.ErrNegativeDuration},
+		{name: "no number as age", message: &operatorpb.StartDrainRequest{OlderThanS: math.NaN()},
+			err: drain.ErrNegativeDuration},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			request, err := decodeStartDrain(test.message)
+			if !errors.Is(err, test.err) {
+				t.Fatalf("error %v, want %v", err, test.err)
+			}
+			if err == nil && (request.Deadline != 1500*micros.Millisecond || request.OlderThan != micros.Minute) {
+				t.Errorf("%+v", request)
+			}
+		})
+	}
+}
+
+func TestDrainRequests(t *testing.T) {
+	leader := &fakeController{leads: true, statuses: []drain.Status{{
+		Name: "x", State: drain.Running, Machines: 5, Gone: 1, Emptying: 2, TasksLeft: 7, Overdue: true,
+		Blocked: []drain.BlockedEviction{{Machine: "n-1", Team: "red", Task: "run-1/0", Reason: "it ends soon"}},
+		Budgets: []drain.TeamBudget{{Team: "red", Disrupted: 3, Allowed: 4}},
+	}}}
+	client, closeIdle := NewDrainClient(new(net.Dialer).DialContext, serve(t, leader))
+	defer closeIdle()
+	budgets := map[string]string{"red": "4"}
+	start := connect.NewRequest(&operatorpb.StartDrainRequest{Name: "x", Zone: "a", Budgets: budgets})
+	if _, err := client.StartDrain(t.Context(), start); err != nil {
+		t.Fatal(err)
+	}
+	want := []drain.Request{{Name: "x", Zone: "a", Budgets: budgets}}
+	if !reflect.DeepEqual(leader.started, want) {
+		t.Errorf("started %+v, want %+v", leader.started, want)
+	}
+	response, err := client.GetDrains(t.Context(), connect.NewRequest(&operatorpb.GetDrainsRequest{}))
+	if err != nil {
+		t.Fatal(err)
+	}
+	wantMessage := &operatorpb.DrainStatus{
+		Name: "x", State: "running", Machines: 5, Gone: 1, Emptying: 2, TasksLeft: 7, Overdue: true,
+		Blocked: []*operatorpb.BlockedMachine{{Machine: "n-1", Team: "red", Task: "run-1/0", Reason: "it ends soon"}},
+		Budgets: []*operatorpb.TeamBudget{{Team: "red", Disturbed: 3, Allowed: 4}},
+	}
+	if got := response.Msg.Drains; len(got) != 1 || !proto.Equal(got[0], wantMessage) {
+		t.Errorf("%v, want %v", got, wantMessage)
+	}
+}
+
+func TestRebalancingRequests(t *testing.T) {
+	leader := &fakeController{leads: true}
+	client, closeIdle := NewRebalancingClient(new(net.Dialer).DialContext, serve(t, leader))
+	defer closeIdle()
+	for _, machines := range []uint32{0, 5, 1 << 31} {
+		request := connect.NewRequest(&operatorpb.GetSpreadRequest{Machines: machines})
+		if _, err := client.GetSpread(t.Context(), request); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if want := []int{defaultListedMachines, 5, maxListedMachines}; fmt.Sprint(leader.listed) != fmt.Sprint(want) {
+		t.Errorf("machines %v, want %v", leader.listed, want)
+	}
+	paused, err := client.PauseSpread(t.Context(), connect.NewRequest(&operatorpb.ChangeSpreadRequest{}))
+	if err != nil || !paused.Msg.Paused {
+		t.Errorf("pause: %v, %v", paused, err)
+	}
+	resumed, err := client.ResumeSpread(t.Context(), connect.NewRequest(&operatorpb.ChangeSpreadRequest{}))
+	if err != nil || resumed.Msg.Paused {
+		t.Errorf("resume: %v, %v", resumed, err)
+	}
+}
