--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,5 +1,5 @@
-// Package call makes requests that carry JSON, for the clients of the state service, the
-// cloud, the workers and the other controllers.
+// Package call makes HTTP requests that carry JSON. The clients of the key-value store, the cloud, the workers and the
+// other controllers are built on it; they own limits, timeouts, retries and the meaning of a status.
 package call
 
 import (
@@ -12,39 +12,41 @@
 	"net/http"
 )
 
-// Dialer opens connections.
+// Dialer opens connections, like net.Dialer.DialContext.
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// HTTP2 are the protocols between the controllers: HTTP/2 without encryption alone.
+// UnencryptedHTTP2 returns the protocols of the connections between controllers: HTTP/2 without TLS, and nothing else.
 func UnencryptedHTTP2() *http.Protocols {
-	p := new(http.Protocols)
-	p.SetUnencryptedHTTP2(true)
-	return p
+	protocols := new(http.Protocols)
+	protocols.SetUnencryptedHTTP2(true)
+	return protocols
 }
 
-// JSON sends a body, if there is one, and reads the whole answer. After an error it is not
-// known whether the request was carried out.
-func JSON(ctx context.Context, c *http.Client, method, url string, in any) (status int, answer []byte, err error) {
-	var body io.Reader
-	if in != nil {
-		data, err := json.Marshal(in)
+// JSON sends a request, with the encoding of body unless that is nil, and returns the response's status and whole body,
+// whatever the status. After an error it is unknown whether the request was carried out.
+func JSON(
+	ctx context.Context, client *http.Client, method, url string, body any,
+) (status int, response []byte, err error) {
+	var content io.Reader
+	if body != nil {
+		encoded, err := json.Marshal(body)
 		if err != nil {
 			return 0, nil, fmt.Errorf("encode: %w", err)
 		}
-		body = bytes.NewReader(data)
+		content = bytes.NewReader(encoded)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, url, body)
+	req, err := http.NewRequestWithContext(ctx, method, url, content)
 	if err != nil {
 		return 0, nil, err
 	}
-	resp, err := c.Do(req)
+	resp, err := client.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer resp.Body.Close()
-	answer, err = io.ReadAll(resp.Body)
+	defer func() { _ = resp.Body.Close() }() // it was read to its end, or the read's error is returned
+	response, err = io.ReadAll(resp.Body)
 	if err != nil {
 		return 0, nil, fmt.Errorf("read: %w", err)
 	}
-	return resp.StatusCode, answer, nil
+	return resp.StatusCode, response, nil
 }
--- a/internal/micros/micros.go
+++ b/internal/micros/micros.go
@@ -1,7 +1,8 @@
-// Package micros holds the service's notion of time: whole microseconds.
+// Package micros is the service's notion of time: whole microseconds on the process's monotonic clock. Parts that
+// decide without I/O take a Timestamp as an argument; only the owners of their goroutines read a Clock.
 //
-// A Time is a reading of a process's steady clock and means nothing to another
-// process; a Span is a difference of two of them.
+// A Timestamp means nothing to another process, nor after a restart. What is stored or sent elsewhere is a Duration, or
+// the time of day.
 package micros
 
 import (
@@ -9,64 +10,64 @@
 	"time"
 )
 
-// Timestamp is an instant on this process's steady clock, in microseconds.
+// Timestamp is an instant on this process's monotonic clock, in microseconds. Zero means never.
 type Timestamp int64
 
-// Duration is a length of time in microseconds.
+// Duration is a length of time, in microseconds.
 type Duration int64
 
-// Common lengths.
+// Common durations.
 const (
 	Millisecond Duration = 1000
 	Second      Duration = 1000 * Millisecond
 	Minute      Duration = 60 * Second
-	// Forever is longer than any wait the service makes.
+	// Forever is longer than any wait of the service; sums of a few do not overflow.
 	Forever Duration = math.MaxInt64 / 4
 )
 
-// Seconds converts a decimal number of seconds, clamping what does not fit.
-func Seconds(s float64) Duration {
-	us := math.Round(s * 1e6)
+const microsecondsPerSecond = 1e6
+
+// Seconds returns the duration of a number of seconds, rounded to microseconds. What doesn't fit becomes Forever or
+// -Forever, and NaN becomes zero.
+func Seconds(seconds float64) Duration {
+	microseconds := math.Round(seconds * microsecondsPerSecond)
 	switch {
-	case math.IsNaN(us):
+	case math.IsNaN(microseconds):
 		return 0
-	case us > float64(Forever):
+	case microseconds > float64(Forever):
 		return Forever
-	case us < -float64(Forever):
+	case microseconds < -float64(Forever):
 		return -Forever
 	}
-	return Duration(us)
+	return Duration(microseconds)
 }
 
-// Seconds gives the span as a decimal number of seconds.
-func (s Duration) Seconds() float64 { return float64(s) / 1e6 }
+// Seconds returns the duration as a number of seconds.
+func (d Duration) Seconds() float64 { return float64(d) / microsecondsPerSecond }
 
-// Std converts to the standard library's type, for timers.
-func (s Duration) AsDuration() time.Duration {
-	if s > Forever/1000 {
-		s = Forever / 1000
-	}
-	return time.Duration(s) * time.Microsecond
+// AsDuration converts to the standard library's type, which counts nanoseconds: what is too long for it becomes the
+// thousandth part of Forever, some 73 years.
+func (d Duration) AsDuration() time.Duration {
+	return time.Duration(min(d, Forever/1000)) * time.Microsecond
 }
 
-// Scale multiplies the span by a factor.
-func (s Duration) Scale(f float64) Duration { return Seconds(s.Seconds() * f) }
+// Scale returns the duration multiplied by a factor.
+func (d Duration) Scale(factor float64) Duration { return Seconds(d.Seconds() * factor) }
 
-// Add gives the instant s later.
-func (t Timestamp) Add(s Duration) Timestamp { return t + Timestamp(s) }
+// Add returns the instant that is d later.
+func (t Timestamp) Add(d Duration) Timestamp { return t + Timestamp(d) }
 
-// Sub gives the time from u to t.
-func (t Timestamp) Sub(u Timestamp) Duration { return Duration(t - u) }
+// Sub returns the time from earlier to t.
+func (t Timestamp) Sub(earlier Timestamp) Duration { return Duration(t - earlier) }
 
-// Clock reads the steady clock and the time of day.
+// Clock reads the process's monotonic clock and the time of day. It may be copied and used concurrently.
 type Clock struct{ start time.Time }
 
-// NewClock starts a clock; its first reading is a little above zero, so that the
-// zero Time can mean "never".
+// NewClock returns a clock that starts at one second: its readings are never zero.
 func NewClock() Clock { return Clock{start: time.Now().Add(-time.Second)} }
 
-// Now reads the steady clock.
+// Now returns the present instant on the monotonic clock.
 func (c Clock) Now() Timestamp { return Timestamp(time.Since(c.start).Microseconds()) }
 
-// Wall gives the time of day in microseconds since 1970.
+// UnixMicro returns the time of day, in microseconds since 1970 UTC.
 func (c Clock) UnixMicro() int64 { return time.Now().UnixMicro() }
--- /dev/null
+++ b/internal/micros/micros_test.go
@@ -0,0 +1,87 @@
+package micros
+
+import (
+	"math"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+func TestSeconds(t *testing.T) {
+	cases := []struct {
+		name    string
+		seconds float64
+		want    Duration
+	}{
+		{"zero", 0, 0},
+		{"whole", 90, 90 * Second},
+		{"rounded up", 0.0000005, 1},
+		{"rounded to the nearest", 0.0015004, 1500},
+		{"negative", -2.5, -2500 * Millisecond},
+		{"too long", 1e300, Forever},
+		{"infinite", math.Inf(1), Forever},
+		{"too long into the past", math.Inf(-1), -Forever},
+		{"not a number", math.NaN(), 0},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			if got := Seconds(c.seconds); got != c.want {
+				t.Errorf("got %d, want %d", got, c.want)
+			}
+		})
+	}
+}
+
+func TestDurationConversions(t *testing.T) {
+	d := 1500 * Millisecond
+	if d.Seconds() != 1.5 {
+		t.Errorf("got %v s", d.Seconds())
+	}
+	if d.AsDuration() != 1500*time.Millisecond {
+		t.Errorf("got %v", d.AsDuration())
+	}
+	if (-d).AsDuration() != -1500*time.Millisecond {
+		t.Errorf("got %v", (-d).AsDuration())
+	}
+	if got := Forever.AsDuration(); got < 50*365*24*time.Hour {
+		t.Errorf("Forever overflows to %v", got)
+	}
+	if got := d.Scale(0.5); got != 750*Millisecond {
+		t.Errorf("half of it is %d", got)
+	}
+	if got := Forever.Scale(2); got != Forever {
+		t.Errorf("twice Forever is %d", got)
+	}
+}
+
+func TestTimestampArithmetic(t *testing.T) {
+	start := Timestamp(5)
+	end := start.Add(Minute)
+	if end != 60_000_005 {
+		t.Errorf("got %d", end)
+	}
+	if got := end.Sub(start); got != Minute {
+		t.Errorf("got %d", got)
+	}
+	if got := start.Sub(end); got != -Minute {
+		t.Errorf("got %d", got)
+	}
+}
+
+func TestClock(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		clock := NewClock()
+		first := clock.Now()
+		if first != Timestamp(Second) {
+			t.Errorf("starts at %d", first)
+		}
+		wall := clock.UnixMicro()
+		time.Sleep(3 * time.Second)
+		if got := clock.Now().Sub(first); got != 3*Second {
+			t.Errorf("3 s later it is %d later", got)
+		}
+		if got := clock.UnixMicro() - wall; got != int64(3*Second) {
+			t.Errorf("3 s later the time of day is %d later", got)
+		}
+	})
+}
