--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -5,12 +5,12 @@
 // event returns. A Gang never knows machines, leases or times, and it isn't safe for concurrent use: the goroutine
 // that owns the job owns its gang.
 //
-//	Idle ── placed ──→ Granted ── all durable ──→ Launched ── one runs ──→ Running ── one is done ──→ Complete
-//	 ↑                    │                          │                      │   │
-//	 │                    │                          │                      │   └── preempted ──→ Checkpointing
-//	 │                    ↓                          ↓                      ↓                       │    │
-//	 ├── all are gone ── Ending ←──── aborted, or one is gone before any has saved its progress ────┘    │
-//	 └── all are gone, one after it has saved the progress ──────────────────────────────────────────────┘
+//	Idle -- placed --> Granted -- all durable --> Launched -- one runs --> Running -- one is done --> Complete
+//	 ^                    |                          |                      |   |
+//	 |                    |                          |                      |   '-- preempted --> Checkpointing
+//	 |                    v                          v                      v                       |    |
+//	 |-- all are gone -- Ending <---- aborted, or one is gone before any has saved its progress ----'    |
+//	 '-- all are gone, one after it has saved the progress ----------------------------------------------'
 //
 // The transitions, with the action that is returned; whatever isn't listed changes nothing and returns None:
 //
