--- /dev/null
+++ b/internal/scheduler/estimate_test.go
@@ -0,0 +1,46 @@
+package scheduler
+
+import (
+	"testing"
+
+	"saffronbend/internal/micros"
+	"saffronbend/internal/snapshot"
+)
+
+// A lease lasts for the fetch, the mean of the newest run times on the machine, or else on any, and the slack.
+func TestLeaseDuration(t *testing.T) {
+	runs := func(machine string, seconds ...float64) []snapshot.CompletedRun {
+		var runs []snapshot.CompletedRun
+		for _, s := range seconds {
+			runs = append(runs, snapshot.CompletedRun{Job: "run-1", Team: "red", Machine: machine, Run: micros.Seconds(s)})
+		}
+		return runs
+	}
+	for _, c := range []struct {
+		name  string
+		runs  []snapshot.CompletedRun
+		image string // that the machine has
+		want  micros.Duration
+	}{
+		{"nothing has run", nil, "img", 100 * micros.Second},
+		{"nothing has run, with fetch", nil, "", 100 * micros.Second},
+		{"mean on the machine", append(runs("n-1", 10, 20), runs("n-2", 90)...), "img", 20 * micros.Second},
+		{"elsewhere", runs("n-2", 40, 50), "img", 50 * micros.Second},
+		{"with fetch", runs("n-1", 10, 20), "", 30 * micros.Second},
+		{"newest ten", runs("n-1", 999, 30, 30, 30, 30, 30, 30, 30, 30, 30, 30), "img", 35 * micros.Second},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newScheduler()
+			latest := testSnapshot([]*snapshot.Machine{testMachine("n-1", 8, c.image)}, testJob("run-1", 1))
+			latest.CompletedRuns = c.runs
+			s.ApplySnapshot(latest)
+			transactions := s.Round(now, never)
+			if len(transactions) != 1 {
+				t.Fatalf("got %v", transactions)
+			}
+			if got := transactions[0].Requests[0].Duration; got != c.want {
+				t.Errorf("got %g s, want %g s", got.Seconds(), c.want.Seconds())
+			}
+		})
+	}
+}
--- a/internal/settings/timeouts.go
+++ b/internal/settings/timeouts.go
@@ -4,8 +4,8 @@
 
 // WatchTimeout is how long the leader's watch of the jobs waits for a change. While the store serves, what the leader
 // knows of cancellations is never much older than twice this. In the worst case the watch needs two timeouts and a slow
-// response to report a cancellation; were staleness bounded by less (minStaleness), leases would expire while nothing is
-// wrong.
+// response to report a cancellation; were staleness bounded by less (minStaleness), leases would expire while nothing
+// is wrong.
 const WatchTimeout = micros.Second
 
 // What the protocol allows a clock and a worker's timers to be late by.
