--- a/internal/settings/drains.go
+++ b/internal/settings/drains.go
@@ -66,7 +66,7 @@
 	}
 	budget, err := disruption.ParseBudget(*text)
 	if err != nil {
-		r.refuse(&InvalidValueError{Setting: option, Value: *text, Requirement: "must be a number or a percentage", Err: err})
+		r.refuse(&InvalidValueError{Setting: option, Value: *text, Requirement: "must be a disruption budget", Err: err})
 	}
 	return budget
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -76,11 +76,11 @@
 
 // Objective is a service-level objective of a class of jobs.
 type Objective struct {
-	Kind    string  `toml:"kind"`  // what is measured, such as "deadline" or "wait"
-	Class   string  `toml:"class"` // the class of jobs that it is for
-	Share   float64 `toml:"share"` // of the class's jobs that must meet it, 0 to 1
-	Times   float64 `toml:"times"`
-	WithinS float64 `toml:"within_s"` // seconds
+	Kind    string  `toml:"kind"`     // what is measured, such as "deadline" or "wait"
+	Class   string  `toml:"class"`    // the class of jobs that it is for
+	Share   float64 `toml:"share"`    // the part of the class that must meet it, 0 to 1
+	Times   float64 `toml:"times"`    // for "deadline": how many times the time until it they may take
+	WithinS float64 `toml:"within_s"` // for "wait": how many seconds their tasks may wait
 }
 
 // objectiveWait is the kind of the objectives for how soon the tasks of a class start.
