--- a/internal/leader/followers.go
+++ b/internal/leader/followers.go
@@ -44,7 +44,9 @@
 }
 
 // contacted notes that a controller has shown that it works.
-func (f *followers) contacted(now micros.Timestamp, controller string) { f.lastContact[controller] = now }
+func (f *followers) contacted(now micros.Timestamp, controller string) {
+	f.lastContact[controller] = now
+}
 
 // notify wakes those who wait for a newer snapshot.
 func (f *followers) notify() {
@@ -71,7 +73,9 @@
 	return f.assignments
 }
 
-func (t *Term) assignTeams(now micros.Timestamp) { t.manager.SetTeamAssignments(t.followers.assign(now)) }
+func (t *Term) assignTeams(now micros.Timestamp) {
+	t.manager.SetTeamAssignments(t.followers.assign(now))
+}
 
 // Subscribe registers a controller that follows, until ctx ends. It returns a function that waits for a snapshot newer than
 // the one of a version and returns what has changed since; that returns nil when the term or ctx has ended. Subscribe
--- a/internal/scenario/loopback_test.go
+++ b/internal/scenario/loopback_test.go
@@ -15,9 +15,9 @@
 
 // Words of the controllers' logs: a term begins, a disturbance begins, it ends.
 var (
-	leads = regexp.MustCompile(`msg=leading member=(\S+) token=`)
-	begun = regexp.MustCompile(`msg="work is disturbed" member=(\S+) task=(\S+) attempt=(\d+) team=\S+ cause=(\S+)`)
-	ended = regexp.MustCompile(`msg="work is disturbed no longer" member=(\S+) task=(\S+)`)
+	leads = regexp.MustCompile(`msg=leading controller=(\S+) fencing_token=`)
+	begun = regexp.MustCompile(`msg="work is disturbed" controller=(\S+) task=(\S+) attempt=(\d+) team=\S+ cause=(\S+)`)
+	ended = regexp.MustCompile(`msg="work is disturbed no longer" controller=(\S+) task=(\S+)`)
 )
 
 // counts is what the controllers' logs say of disturbances.
@@ -56,12 +56,12 @@
 // The reading of the logs finds what is counted twice, and nothing else.
 func TestReadCounts(t *testing.T) {
 	begin := func(member, task, attempt, cause string) string {
-		return `msg="work is disturbed" member=` + member + " task=" + task + " attempt=" + attempt + " team=red cause=" + cause + " machine=n-1\n"
+		return `msg="work is disturbed" controller=` + member + " task=" + task + " attempt=" + attempt + " team=red cause=" + cause + " machine=n-1\n"
 	}
 	end := func(member, task string) string {
-		return `msg="work is disturbed no longer" member=` + member + " task=" + task + " team=red\n"
+		return `msg="work is disturbed no longer" controller=` + member + " task=" + task + " team=red\n"
 	}
-	const next = "msg=leading member=c1 token=9\n"
+	const next = "msg=leading controller=c1 fencing_token=9\n"
 	for _, c := range []struct {
 		name, logs string
 		twice      int
--- a/memory_test.go
+++ b/memory_test.go
@@ -7,19 +7,19 @@
 	"saffronbend/internal/settings"
 )
 
-func TestShortOfMemory(t *testing.T) {
+func TestMemoryGuard(t *testing.T) {
 	const block = 64 << 20
 	set := &settings.Settings{}
-	n := &Node{set: set}
+	guard := memoryGuard{set}
 	set.Deployment.Limits.MemoryMB = float64(heldMemory()+block/2) / (1 << 20) / 0.85
-	if n.ShortOfMemory() {
+	if guard.short() {
 		t.Fatal("short of memory with half a block to spare")
 	}
 	held := make([]byte, block)
 	for i := range held {
 		held[i] = 1
 	}
-	if !n.ShortOfMemory() {
+	if !guard.short() {
 		t.Fatal("not short of memory half a block beyond")
 	}
 	runtime.KeepAlive(held)
