--- a/services.go
+++ b/services.go
@@ -18,7 +18,7 @@
 
 var (
 	_ worker.HeartbeatHandler = workerService{}
-	_ peer.Leader             = peerService{}
+	_ peer.Controller             = peerService{}
 	_ api.Info                = (*info)(nil)
 )
 
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// HeartbeatRelayed implements peer.Leader.
+// HeartbeatRelayed implements peer.Controller.
 func (s peerService) HeartbeatRelayed(ctx context.Context, relayed peer.RelayedHeartbeat) (*peer.RelayResponse, error) {
 	term := s.term(relayed.FencingToken)
 	if term == nil || relayed.Heartbeat == nil {
@@ -60,7 +60,7 @@
 	return &response, nil
 }
 
-// Subscribe implements peer.Leader.
+// Subscribe implements peer.Controller.
 func (s peerService) Subscribe(ctx context.Context, controller string, token uint64) func(since uint64) *snapshot.Update {
 	if term := s.term(token); term != nil {
 		return term.Subscribe(ctx, controller)
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// RequestLeases implements peer.Leader.
+// RequestLeases implements peer.Controller.
 func (s peerService) RequestLeases(ctx context.Context, request peer.LeaseRequests) (*peer.LeaseResponses, error) {
 	if term := s.term(request.FencingToken); term != nil {
 		return term.RequestLeases(ctx, request)
@@ -76,7 +76,7 @@
 	return nil, peer.ErrNotLeader
 }
 
-// LeaderAnnounced implements peer.Leader.
+// LeaderAnnounced implements peer.Controller.
 func (s peerService) LeaderAnnounced(ctx context.Context, announcement peer.Announcement) {
 	s.leadership.LeaderAnnounced(ctx, announcement)
 }
