--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -88,7 +88,7 @@
 		return PreparedDrain{}, ErrInvalidName
 	}
 	if existing := p.drains[request.Name]; existing != nil {
-		if existing.record.RequestID != request.fingerprint() {
+		if existing.record.RequestFingerprint != request.fingerprint() {
 			return PreparedDrain{}, ErrNameInUse
 		}
 		return PreparedDrain{Record: existing.record, Exists: true}, nil
@@ -101,14 +101,14 @@
 		return PreparedDrain{}, err
 	}
 	record := state.DrainRecord{
-		Name:            request.Name,
-		State:           string(Running),
-		RequestID:       request.fingerprint(),
-		Step:            cmp.Or(request.Step, p.cfg.StepSize),
-		StartedAt:       wallClock,
-		EvictAtDeadline: request.EvictAtDeadline,
-		Budgets:         request.Budgets,
-		MachineCount:    len(machines),
+		Name:               request.Name,
+		State:              string(Running),
+		RequestFingerprint: request.fingerprint(),
+		Step:               cmp.Or(request.Step, p.cfg.StepSize),
+		StartedAt:          wallClock,
+		EvictAtDeadline:    request.EvictAtDeadline,
+		Budgets:            request.Budgets,
+		MachineCount:       len(machines),
 	}
 	if request.selectsWholePool() {
 		record.Zone, record.Type = request.Zone, request.Type
