--- a/internal/rebalance/bench_test.go
+++ b/internal/rebalance/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// benchmarkFleet makes a fleet of which half the machines are full and half are empty.
-func benchmarkFleet(machines int) *fleet {
+// benchmarkFleet returns a fleet of which half the machines are full and half are empty.
+func benchmarkFleet(machines int) *fleetModel {
 	tasks := make([]string, machines)
 	for i := range machines / 2 {
 		tasks[i] = "rrbb"
@@ -19,14 +19,13 @@
 	for _, machines := range []int{500, 1000, 2000, 4000} {
 		for _, budget := range []int{0, 100} {
 			b.Run(fmt.Sprintf("machines=%d/budget=%d", machines, budget), func(b *testing.B) {
-				f := benchmarkFleet(machines)
-				f.budget = budget
-				cfg := policy
+				fleet := benchmarkFleet(machines)
+				fleet.budget = budget
+				cfg := testConfig
 				cfg.MovesPerMinute = 1000
-				s := f.snapshot(start)
+				snapshot := fleet.snapshot(start)
 				for b.Loop() {
-					p := New(start.Add(-cfg.TaskCooldown), cfg)
-					moves := p.Plan(s, f, func() bool { return false })
+					moves := newPlanner(cfg).Plan(snapshot, fleet, noTimeout)
 					b.ReportMetric(float64(len(moves)), "moves")
 				}
 			})
@@ -36,17 +35,17 @@
 
 // A fleet of 4,000 machines is evened out in rounds of bounded length.
 func TestLargeFleetIsSpread(t *testing.T) {
-	f := benchmarkFleet(4000)
-	cfg := policy
+	fleet := benchmarkFleet(4000)
+	cfg := testConfig
 	cfg.MovesPerMinute = 10000
-	p, now := f.ready(cfg)
+	planner, now := newPlanner(cfg), start
 	for range 100 {
-		f.round(p, now)
+		fleet.round(planner, now)
 		now = now.Add(cfg.TeamCooldown)
 	}
-	for i, load := range f.loads() {
+	for i, load := range fleet.loads() {
 		if load > 0.75 {
-			t.Fatalf("machine %d still has load %v after %d moves", i, load, len(f.moves))
+			t.Fatalf("machine %d still has load %v after %d moves", i, load, len(fleet.moves))
 		}
 	}
 }
--- /dev/null
+++ b/internal/rebalance/round.go
@@ -0,0 +1,282 @@
+package rebalance
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+
+	"saffronbend/internal/micros"
+	"saffronbend/internal/resources"
+)
+
+const (
+	// maxHeldListed bounds the tasks that stay for which the reason is listed.
+	maxHeldListed = 50
+	// maxSources bounds the machines that a round considers as sources.
+	maxSources = 32
+	// maxDestinations bounds the machines that are considered as destinations of a task.
+	maxDestinations = 8
+	// minRemaining is the remaining run time below which a task is never moved.
+	minRemaining = 10 * micros.Second
+)
+
+// round is one round of decisions.
+type round struct {
+	planner  *Planner
+	snapshot *Snapshot
+	executor MoveExecutor
+	timedOut func() bool // the time budget of the round is spent
+	// usage and free are what is used and free on each machine once the round's moves are done.
+	usage            map[string]*usage
+	free             map[string]resources.Vector
+	remainingBudgets map[string]int // by team, after the round's moves
+	destinations     []*Machine     // by load, the lowest first
+	moves            []Move
+	movedTeams       map[string]bool // in this round: their cooldown hasn't begun yet
+}
+
+// Plan decides on one round of moves and has the executor carry them out, until timedOut reports that the round's
+// time budget is spent.
+func (p *Planner) Plan(snapshot Snapshot, executor MoveExecutor, timedOut func() bool) []Move {
+	p.cooldowns.prune(snapshot.Now, p.cfg)
+	p.observe(&snapshot)
+	p.held = nil
+	p.idleReason = p.findIdleReason(&snapshot)
+	if p.idleReason != "" {
+		return nil
+	}
+	r := p.newRound(&snapshot, executor, timedOut)
+	for _, machine := range r.sources() {
+		if !r.relieve(machine) {
+			break
+		}
+	}
+	return r.moves
+}
+
+func (p *Planner) newRound(snapshot *Snapshot, executor MoveExecutor, timedOut func() bool) *round {
+	r := &round{
+		planner:          p,
+		snapshot:         snapshot,
+		executor:         executor,
+		timedOut:         timedOut,
+		usage:            p.usage,
+		free:             map[string]resources.Vector{},
+		remainingBudgets: map[string]int{},
+		movedTeams:       map[string]bool{},
+	}
+	for name, team := range snapshot.Teams {
+		r.remainingBudgets[name] = team.RemainingBudget
+	}
+	for i := range snapshot.Machines {
+		machine := &snapshot.Machines[i]
+		takesTasks := machine.Heartbeating && machine.Usable && !machine.Cordoned
+		if takesTasks && !p.cooldowns.coolsMachine(machine.ID, source) {
+			r.destinations = append(r.destinations, machine)
+			r.free[machine.ID] = machine.Free
+		}
+	}
+	slices.SortFunc(r.destinations, r.compareByLoad)
+	return r
+}
+
+// sources returns the machines that tasks may leave, those with the highest steady load first.
+func (r *round) sources() []*Machine {
+	var sources []*Machine
+	for i := range r.snapshot.Machines {
+		machine := &r.snapshot.Machines[i]
+		mayLose := machine.Heartbeating && !machine.Cordoned && len(machine.Attempts) > 0
+		if mayLose && !r.planner.cooldowns.coolsMachine(machine.ID, destination) {
+			sources = append(sources, machine)
+		}
+	}
+	slices.SortFunc(sources, func(a, b *Machine) int {
+		return cmp.Or(cmp.Compare(r.steadyLoad(b.ID), r.steadyLoad(a.ID)), cmp.Compare(a.ID, b.ID))
+	})
+	return sources[:min(len(sources), maxSources)]
+}
+
+// steadyLoad is the load that a machine has now and has had lately.
+func (r *round) steadyLoad(machine string) float64 {
+	return min(r.usage[machine].load(), r.planner.loads[machine].value)
+}
+
+// compareByLoad orders machines by their load after the round's moves.
+func (r *round) compareByLoad(a, b *Machine) int {
+	return cmp.Or(cmp.Compare(r.usage[a.ID].load(), r.usage[b.ID].load()), cmp.Compare(a.ID, b.ID))
+}
+
+// relieve moves tasks off a machine while that is worth it. It reports whether the round goes on with other machines.
+func (r *round) relieve(machine *Machine) (proceed bool) {
+	for _, attempt := range r.candidates(machine) {
+		if r.timedOut() {
+			r.recordHeld(machine, attempt, "not looked at in this round")
+			return false
+		}
+		if r.planner.cooldowns.coolsMachine(machine.ID, destination) {
+			return true // it has become a destination in this round
+		}
+		if len(r.planner.cooldowns.lastMinute) >= r.planner.cfg.MovesPerMinute {
+			r.recordHeld(machine, attempt, "the budget of moves per minute is used up")
+			return false
+		}
+		if reason := r.tryMove(machine, attempt); reason != "" {
+			r.recordHeld(machine, attempt, reason)
+		}
+	}
+	return true
+}
+
+// candidates returns the attempts on a machine in the order in which they should leave it: first those of the team
+// that holds most of it, and of these the smallest, which fits most easily elsewhere. The largest first ended further
+// from the best balance (docs/spread.md).
+func (r *round) candidates(machine *Machine) []*Attempt {
+	attempts := make([]*Attempt, len(machine.Attempts))
+	for i := range machine.Attempts {
+		attempts[i] = &machine.Attempts[i]
+	}
+	used := r.usage[machine.ID]
+	slices.SortFunc(attempts, func(a, b *Attempt) int {
+		return cmp.Or(
+			cmp.Compare(used.teamLoad(b.Team), used.teamLoad(a.Team)),
+			cmp.Compare(a.Resources.DominantShare(machine.Capacity), b.Resources.DominantShare(machine.Capacity)),
+			cmp.Compare(a.Task.Job, b.Task.Job),
+			cmp.Compare(a.Task.Index, b.Task.Index),
+		)
+	})
+	return attempts
+}
+
+// recordHeld lists why a task stays where it is.
+func (r *round) recordHeld(machine *Machine, attempt *Attempt, reason string) {
+	if len(r.planner.held) < maxHeldListed {
+		r.planner.held = append(r.planner.held, HeldTask{
+			Machine: machine.ID,
+			Team:    attempt.Team,
+			Task:    attempt.Task.String(),
+			Reason:  reason,
+		})
+	}
+}
+
+// tryMove moves an attempt off a machine if that is worth it, and returns why it stays otherwise.
+func (r *round) tryMove(machine *Machine, attempt *Attempt) string {
+	if reason := r.immovableReason(attempt); reason != "" {
+		return reason
+	}
+	cfg := &r.planner.cfg
+	move, ok := r.bestMove(machine, attempt)
+	switch {
+	case !ok:
+		return "no machine with less load has room for it"
+	case move.Relief < cfg.MinRelief:
+		return fmt.Sprintf("the relief of %.2f is too small", move.Relief)
+	case move.Gain <= move.Cost.Scale(cfg.Margin):
+		return fmt.Sprintf("the gain of %.1f s is less than %g times the price of %.1f s",
+			move.Gain.Seconds(), cfg.Margin, move.Cost.Seconds())
+	}
+	if outcome := r.executor.Move(attempt.Task, move.To); outcome != Moved {
+		return string(outcome)
+	}
+	r.applyMove(machine, attempt, move)
+	return ""
+}
+
+// immovableReason returns why a task may not be moved anywhere now; empty if it may be.
+func (r *round) immovableReason(attempt *Attempt) string {
+	switch {
+	case attempt.Stopping:
+		return string(AlreadyStopping)
+	case attempt.Gang:
+		return "it is one of a gang"
+	case !attempt.Running:
+		return "it does not run yet"
+	case !attempt.Checkpoints:
+		return "it can't save"
+	case attempt.endsSoon(r.snapshot.Now):
+		return "it is nearly done"
+	case r.planner.cooldowns.coolsTask(attempt.Task):
+		return "it was moved a short time ago"
+	case r.planner.cooldowns.coolsTeam(attempt.Team) && !r.movedTeams[attempt.Team]:
+		return "another task of its team was moved a short time ago"
+	case r.remainingBudgets[attempt.Team] < 1:
+		return "its team's disruption budget is used up"
+	}
+	return ""
+}
+
+// bestMove returns the move of a task with the greatest net gain among the destinations with the lowest load; ok is
+// false if no machine with a lower load than the present one can take the task.
+func (r *round) bestMove(machine *Machine, attempt *Attempt) (best Move, ok bool) {
+	margin := r.planner.cfg.Margin
+	considered := 0
+	for _, to := range r.destinations {
+		if considered == maxDestinations || r.usage[to.ID].load() >= r.usage[machine.ID].load() {
+			break
+		}
+		if to.ID == machine.ID || !r.mayTake(to, attempt) {
+			continue
+		}
+		considered++
+		move := r.evaluate(machine, to, attempt)
+		if !ok || move.netGain(margin) > best.netGain(margin) {
+			best, ok = move, true
+		}
+	}
+	return best, ok
+}
+
+// mayTake reports whether a machine can be the destination of an attempt's task.
+func (r *round) mayTake(to *Machine, attempt *Attempt) bool {
+	return !r.planner.cooldowns.coolsMachine(to.ID, source) &&
+		r.free[to.ID].Fits(attempt.Resources) &&
+		r.executor.MayHost(attempt.Task, to.ID)
+}
+
+// netGain is by how much the gain exceeds the cost times the margin.
+func (m Move) netGain(margin float64) micros.Duration { return m.Gain - m.Cost.Scale(margin) }
+
+// evaluate computes the relief, gain and cost of a move. What holds for a moment only is no relief: the smoothed
+// difference of the loads bounds it.
+func (r *round) evaluate(from, to *Machine, attempt *Attempt) Move {
+	cfg := &r.planner.cfg
+	contended := r.planner.contended[attempt.Team]
+	byUsage := relief(r.usage[from.ID], r.usage[to.ID], attempt.Team, attempt.Resources, cfg.TeamCap, contended)
+	smoothed := r.planner.loads[from.ID].value - r.planner.loads[to.ID].value
+	cost := attempt.CheckpointTime + cfg.RestartTime
+	if !to.Images[attempt.Image] && to.FetchGBPS > 0 {
+		cost += micros.Seconds(attempt.ImageGB / to.FetchGBPS)
+	}
+	moveRelief := min(byUsage, smoothed)
+	runLeft := max(0, attempt.remaining(r.snapshot.Now)-cost)
+	return Move{
+		At:     r.snapshot.Now,
+		Task:   attempt.Task,
+		Team:   attempt.Team,
+		From:   from.ID,
+		To:     to.ID,
+		Relief: moveRelief,
+		Gain:   runLeft.Scale(max(0, moveRelief)),
+		Cost:   cost,
+	}
+}
+
+// applyMove updates the round's usage and budgets, the cooldowns and the history after a move.
+func (r *round) applyMove(machine *Machine, attempt *Attempt, move Move) {
+	r.usage[machine.ID].remove(attempt.Team, attempt.Resources)
+	r.usage[move.To].add(attempt.Team, attempt.Resources)
+	r.free[move.To] = r.free[move.To].AddTasks(attempt.Resources, -1)
+	r.remainingBudgets[attempt.Team]--
+	r.movedTeams[attempt.Team] = true
+	r.reorderDestination(move.To)
+	r.planner.recordMove(move)
+	r.moves = append(r.moves, move)
+}
+
+// reorderDestination restores the order of the destinations after the load of one has grown.
+func (r *round) reorderDestination(id string) {
+	i := slices.IndexFunc(r.destinations, func(machine *Machine) bool { return machine.ID == id })
+	for ; i+1 < len(r.destinations) && r.compareByLoad(r.destinations[i], r.destinations[i+1]) > 0; i++ {
+		r.destinations[i], r.destinations[i+1] = r.destinations[i+1], r.destinations[i]
+	}
+}
--- a/internal/rebalance/snapshot.go
+++ b/internal/rebalance/snapshot.go
@@ -9,12 +9,12 @@
 // Snapshot is what the planner decides on.
 type Snapshot struct {
 	Now      micros.Timestamp
-	Machines []Machine // by name
-	Teams    map[string]Team
-	// Unknown is how many machines may run work and have not reported to this leader yet. Listed says that the cloud has
-	// listed its machines in this term.
+	Machines []Machine       // in alphabetical order
+	Teams    map[string]Team // by name
+	// UnreportedMachines counts the machines that may run work and haven't sent a heartbeat to this leader yet.
 	UnreportedMachines int
-	MachinesListed     bool
+	// MachinesListed says that the cloud has listed its machines in this term.
+	MachinesListed bool
 }
 
 // Machine is a machine and the work on it.
@@ -22,14 +22,14 @@
 	ID       string
 	Capacity resources.Vector
 	Free     resources.Vector // neither used nor reserved
-	// Known says that the machine reports and has our token, so that its work is known. Usable, that it takes new tasks.
-	Heartbeating, Usable bool
-	// Cordoned machines are emptied by drains, not by moves.
-	Cordoned  bool
-	FetchGBPS float64
-	Images    map[string]bool // that are there
-	Attempts  []Attempt
-	Reserved  []Reservation // for tasks that are on their way
+	// Heartbeating says that heartbeats arrive and that the agent has this leader's fencing token: its work is known.
+	Heartbeating bool
+	Usable       bool // it takes new tasks
+	Cordoned     bool // it is emptied by a drain, not by moves
+	FetchGBPS    float64
+	Images       map[string]bool // the images that are there
+	Attempts     []Attempt
+	Reserved     []Reservation // for the successors of tasks that are moved or evicted
 }
 
 // Attempt is an attempt that may exist on a machine.
@@ -37,17 +37,17 @@
 	Task           disruption.Task
 	Team           string
 	Resources      resources.Vector
-	Gang           bool
-	Stopping       bool // is being stopped, or its job is over
-	Running        bool // is reported running
-	Checkpoints    bool // nothing is lost when it is stopped
+	Gang           bool // it belongs to a gang
+	Stopping       bool // it is being stopped, or its job has ended
+	Running        bool // it is reported running
+	Checkpoints    bool // no progress is lost when it is stopped
 	CheckpointTime micros.Duration
-	ExpectedEnd    micros.Timestamp // expected end of its run
+	ExpectedEnd    micros.Timestamp // of its run, by the owner's estimate
 	Image          string
 	ImageGB        float64
 }
 
-// Reservation is room on a machine that is kept for a team's task.
+// Reservation is room on a machine that is reserved for a team's task.
 type Reservation struct {
 	Team      string
 	Resources resources.Vector
@@ -56,14 +56,14 @@
 // Team is what the planner knows of a team.
 type Team struct {
 	Waiting int // tasks that could be placed if there were room
-	// Remaining is how many more of its tasks may be disturbed now, by its disruption budget.
+	// RemainingBudget is how many more of its tasks may be disrupted now.
 	RemainingBudget int
 }
 
-// Refusal says why a move was not carried out.
+// MoveOutcome is empty if a move was carried out, and says why it wasn't otherwise. Operators see it.
 type MoveOutcome string
 
-// Outcomes of a move.
+// The outcomes of a move.
 const (
 	Moved           MoveOutcome = ""
 	AttemptEnded    MoveOutcome = "it has ended"
@@ -73,11 +73,11 @@
 
 // MoveExecutor carries moves out.
 type MoveExecutor interface {
-	// MayHost tells whether a machine may take a task: it is of a kind that the task's job allows, has room, and no work that
-	// waits could use that room.
-	MayHost(t disruption.Task, machine string) bool
+	// MayHost reports whether a machine may take a task: it is of a kind that the task's job allows, it has room, and no
+	// waiting work could use that room.
+	MayHost(task disruption.Task, machine string) bool
 	// Move reserves room on a machine for a task, and has the task stopped once the move is durable.
-	Move(t disruption.Task, machine string) MoveOutcome
+	Move(task disruption.Task, machine string) MoveOutcome
 }
 
 // Move is a move that was decided on.
@@ -85,13 +85,14 @@
 	At       micros.Timestamp
 	Task     disruption.Task
 	Team     string
-	From, To string
-	// Relief is the reduction of imbalance, Gain that over the task's remaining time, Price the time that the move costs.
-	Relief     float64
+	From, To string // machines
+	// Relief is the reduction of imbalance, as a share of a machine.
+	Relief float64
+	// Gain is the relief over the task's remaining run time, Cost the run time that the move takes.
 	Gain, Cost micros.Duration
 }
 
-// Held says why a task stays where it is.
+// HeldTask says why a task stays where it is.
 type HeldTask struct {
 	Machine, Team, Task, Reason string
 }
--- a/internal/rebalance/solver_test.go
+++ b/internal/rebalance/solver_test.go
@@ -7,121 +7,118 @@
 
 	"github.com/crillab/gophersat/solver"
 
-	"saffronbend/internal/disruption"
-	"saffronbend/internal/micros"
 	"saffronbend/internal/resources"
 )
 
 // unevenFleet draws machines of eight CPUs with tasks of one to three CPUs, which fill the first half of them.
-func unevenFleet(r *rand.Rand, machines int) *fleet {
-	f := newFleet(make([]string, machines)...)
-	whole := resources.Vector{CPUs: 8, MemoryGB: 64}
-	for i := range f.machines {
-		m := &f.machines[i]
-		m.Capacity, m.Free = whole, whole
+func unevenFleet(r *rand.Rand, machines int) *fleetModel {
+	fleet := newFleet(make([]string, machines)...)
+	capacity := resources.Vector{CPUs: 8, MemoryGB: 64}
+	for i := range fleet.machines {
+		machine := &fleet.machines[i]
+		machine.Capacity, machine.Free = capacity, capacity
 		for n := 0; i < machines/2 && n < 8; n++ {
-			need := resources.Vector{CPUs: float64(1 + r.IntN(3)), MemoryGB: 1}
-			if !m.Free.Fits(need) {
-				continue
+			needs := resources.Vector{CPUs: float64(1 + r.IntN(3)), MemoryGB: 1}
+			if machine.Free.Fits(needs) {
+				machine.place(newAttempt(fmt.Sprint("r", i), n, "r", needs))
 			}
-			m.Free = m.Free.AddTasks(need, -1)
-			m.Attempts = append(m.Attempts, Attempt{Task: disruption.Task{Job: fmt.Sprint("r", i), Index: n}, Team: "r", Resources: need,
-				Running: true, Checkpoints: true, ExpectedEnd: start.Add(2000 * micros.Second), Image: "img"})
 		}
 	}
-	return f
+	return fleet
 }
 
-// needs gives the CPUs of all tasks.
-func (f *fleet) needs() []int {
-	var out []int
-	f.each(func(a *Attempt) { out = append(out, int(a.Resources.CPUs)) })
-	return out
+// taskCPUs returns the CPUs of all tasks.
+func (f *fleetModel) taskCPUs() []int {
+	var cpus []int
+	f.eachAttempt(func(attempt *Attempt) { cpus = append(cpus, int(attempt.Resources.CPUs)) })
+	return cpus
 }
 
-// greatest gives the CPUs that are used of the machine with the most load.
-func (f *fleet) greatest() int {
-	most := 0.0
+// maxUsedCPUs returns the CPUs that are used of the machine with the highest load.
+func (f *fleetModel) maxUsedCPUs() int {
+	highest := 0.0
 	for i := range f.machines {
-		most = max(most, f.machines[i].Capacity.CPUs-f.machines[i].Free.CPUs)
+		highest = max(highest, f.machines[i].Capacity.CPUs-f.machines[i].Free.CPUs)
 	}
-	return int(most)
+	return int(highest)
 }
 
-// canHold tells, by a pseudo-Boolean solver, whether machines that take so many CPUs each can hold tasks of the given CPUs.
-func canHold(machines, each int, needs []int) bool {
+// canHold reports, by a pseudo-Boolean solver, whether machines of the given CPUs each can hold the tasks.
+func canHold(machines, cpus int, taskCPUs []int) bool {
 	variable := func(task, machine int) int { return task*machines + machine + 1 }
 	var constraints []solver.PBConstr
-	for task := range needs {
-		var places, ones []int
+	for task := range taskCPUs {
+		variables, ones := make([]int, 0, machines), make([]int, 0, machines)
 		for machine := range machines {
-			places, ones = append(places, variable(task, machine)), append(ones, 1)
+			variables, ones = append(variables, variable(task, machine)), append(ones, 1)
 		}
-		constraints = append(constraints, solver.GtEq(places, ones, 1))
+		constraints = append(constraints, solver.GtEq(variables, ones, 1))
 	}
 	for machine := range machines {
-		var tasks, weights []int
-		for task, need := range needs {
-			tasks, weights = append(tasks, variable(task, machine)), append(weights, need)
+		variables, weights := make([]int, 0, len(taskCPUs)), make([]int, 0, len(taskCPUs))
+		for task, needed := range taskCPUs {
+			variables, weights = append(variables, variable(task, machine)), append(weights, needed)
 		}
-		constraints = append(constraints, solver.LtEq(tasks, weights, each))
+		constraints = append(constraints, solver.LtEq(variables, weights, cpus))
 	}
 	return solver.New(solver.ParsePBConstrs(constraints)).Solve() == solver.Sat
 }
 
-// leastLoad gives the least CPUs that the machine with the most load can have.
-func leastLoad(machines int, needs []int) int {
+// optimalMaxCPUs returns the fewest CPUs that can be used of the machine with the highest load.
+func optimalMaxCPUs(machines int, taskCPUs []int) int {
 	sum := 0
-	for _, need := range needs {
-		sum += need
+	for _, cpus := range taskCPUs {
+		sum += cpus
 	}
-	least := (sum + machines - 1) / machines
-	for !canHold(machines, least, needs) {
-		least++
+	optimum := (sum + machines - 1) / machines
+	for !canHold(machines, optimum, taskCPUs) {
+		optimum++
 	}
-	return least
+	return optimum
 }
 
-// The simple rule, moving step by step, takes the greatest load most of the way to the best that there is for the same work.
+// The simple rule, moving step by step, takes the highest load most of the way to the optimum for the same work.
 func TestSpreadAgainstSolver(t *testing.T) {
 	const fleets, machines = 60, 6
 	r := rand.New(rand.NewPCG(3, 4))
-	cfg := policy
-	cfg.MinRelief, cfg.MovesPerMinute, cfg.TaskCooldown, cfg.MachineCooldown, cfg.TeamCooldown = 0.01, 1000, 0, 0, 0
-	before, greatest, best, equal, moves := 0, 0, 0, 0, 0
+	cfg := testConfig
+	cfg.MinRelief, cfg.MovesPerMinute = 0.01, 1000
+	cfg.TaskCooldown, cfg.MachineCooldown, cfg.TeamCooldown = 0, 0, 0
+	before, reached, optimum, equal, moves := 0, 0, 0, 0, 0
 	for range fleets {
-		f := unevenFleet(r, machines)
-		least := leastLoad(machines, f.needs())
-		before += f.greatest()
-		p, now := f.ready(cfg)
+		fleet := unevenFleet(r, machines)
+		best := optimalMaxCPUs(machines, fleet.taskCPUs())
+		before += fleet.maxUsedCPUs()
+		planner, now := newPlanner(cfg), start
 		for range 60 {
-			f.round(p, now)
-			now = now.Add(2 * micros.Second)
+			fleet.round(planner, now)
+			now = now.Add(roundInterval)
 		}
-		most := f.greatest()
-		if most < least {
-			t.Fatalf("the greatest load is %d, less than can be: %d", most, least)
+		got := fleet.maxUsedCPUs()
+		if got < best {
+			t.Fatalf("the highest load is %d, less than can be: %d", got, best)
 		}
-		if most == least {
+		if got == best {
 			equal++
 		}
-		greatest, best, moves = greatest+most, best+least, moves+len(f.moves)
+		reached, optimum, moves = reached+got, optimum+best, moves+len(fleet.moves)
 	}
-	t.Logf("the greatest loads add up to %d CPUs, %d before and %d at best; at best in %d of %d fleets, with %d moves", greatest, before, best, equal, fleets, moves)
-	// Single tasks of up to three CPUs can't be traded against others.
-	const least = 0.7
-	if float64(before-greatest) < least*float64(before-best) {
-		t.Errorf("the greatest loads add up to %d CPUs, %d before and %d at best", greatest, before, best)
+	t.Logf("the highest loads add up to %d CPUs, %d before and %d at best; at best in %d of %d fleets, with %d moves",
+		reached, before, optimum, equal, fleets, moves)
+	// Single tasks of up to three CPUs can't be exchanged for others.
+	const minPart = 0.7
+	if float64(before-reached) < minPart*float64(before-optimum) {
+		t.Errorf("the highest loads add up to %d CPUs, %d before and %d at best", reached, before, optimum)
 	}
 }
 
-// BenchmarkSolver is the solver's time for the best spread of small fleets.
+// BenchmarkSolver is the solver's time for the best balance of small fleets.
 func BenchmarkSolver(b *testing.B) {
 	for _, machines := range []int{4, 6, 8} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
-			needs := unevenFleet(rand.New(rand.NewPCG(3, 4)), machines).needs()
+			taskCPUs := unevenFleet(rand.New(rand.NewPCG(3, 4)), machines).taskCPUs()
 			for b.Loop() {
-				leastLoad(machines, needs)
+				optimalMaxCPUs(machines, taskCPUs)
 			}
 		})
 	}
--- a/internal/rebalance/status.go
+++ b/internal/rebalance/status.go
@@ -8,56 +8,69 @@
 	"saffronbend/internal/micros"
 )
 
-// Status is what operators are told.
+// Status is the state of rebalancing as operators see it.
 type Status struct {
-	Now        micros.Timestamp
-	Paused     bool
-	IdleReason string // why nothing is moved at all; empty: moves are decided on
-	Machines   []MachineLoad
-	Moves      []Move // the last ones, the newest first
-	HeldTasks  []HeldTask
-	// Known is how many machines' loads are known, of which Machines holds those with the most load.
-	KnownMachines int
+	Now           micros.Timestamp
+	Paused        bool
+	IdleReason    string // why nothing is moved at all; empty: moves are decided on
+	KnownMachines int    // machines whose load is known
+	Machines      []MachineLoad
+	Moves         []Move // the last ones, the newest first
+	HeldTasks     []HeldTask
 }
 
-// MachineLoad is the load of one machine.
+// MachineLoad is the load of one machine, as dominant shares of its capacity.
 type MachineLoad struct {
 	ID             string
 	Load, Smoothed float64
-	Teams          []TeamLoad // with the most load first
+	Teams          []TeamLoad // the highest load first
 }
 
-// TeamLoad is the load of one team on a machine.
+// TeamLoad is the load of one team on a machine, as a dominant share of its capacity.
 type TeamLoad struct {
 	Team string
 	Load float64
 }
 
-// Status gives the state as of the last round, with the so many machines that have the most load.
+// Status returns the state as of the last round, with the given number of machines that have the highest load.
 func (p *Planner) Status(now micros.Timestamp, machines int) Status {
-	st := Status{Now: now, Paused: p.paused, IdleReason: p.waitsFor, HeldTasks: slices.Clone(p.held), Moves: slices.Clone(p.history), KnownMachines: len(p.usage)}
-	slices.Reverse(st.Moves)
-	for id, u := range p.usage {
-		st.Machines = append(st.Machines, MachineLoad{ID: id, Load: u.load(), Smoothed: p.loads[id].value})
+	status := Status{
+		Now:           now,
+		Paused:        p.paused,
+		IdleReason:    p.idleReason,
+		KnownMachines: len(p.usage),
+		Machines:      p.machineLoads(machines),
+		Moves:         slices.Clone(p.history),
+		HeldTasks:     slices.Clone(p.held),
 	}
-	slices.SortFunc(st.Machines, func(a, b MachineLoad) int {
+	slices.Reverse(status.Moves)
+	return status
+}
+
+// machineLoads returns the loads of the machines that have the highest, up to limit.
+func (p *Planner) machineLoads(limit int) []MachineLoad {
+	var loads []MachineLoad
+	for id, used := range p.usage {
+		loads = append(loads, MachineLoad{ID: id, Load: used.load(), Smoothed: p.loads[id].value})
+	}
+	slices.SortFunc(loads, func(a, b MachineLoad) int {
 		return cmp.Or(cmp.Compare(b.Load, a.Load), cmp.Compare(a.ID, b.ID))
 	})
-	st.Machines = st.Machines[:min(machines, len(st.Machines))]
-	for i := range st.Machines {
-		st.Machines[i].Teams = p.usage[st.Machines[i].ID].byTeam()
+	loads = loads[:min(limit, len(loads))]
+	for i := range loads {
+		loads[i].Teams = p.usage[loads[i].ID].teamLoads()
 	}
-	return st
+	return loads
 }
 
-// byTeam gives the load of each team that uses the machine.
-func (u *usage) byTeam() []TeamLoad {
-	var out []TeamLoad
+// teamLoads returns the load of each team that uses the machine, the highest first.
+func (u *usage) teamLoads() []TeamLoad {
+	var loads []TeamLoad
 	for _, team := range slices.Sorted(maps.Keys(u.teams)) {
 		if load := u.teamLoad(team); load > 0 {
-			out = append(out, TeamLoad{team, load})
+			loads = append(loads, TeamLoad{Team: team, Load: load})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b TeamLoad) int { return cmp.Compare(b.Load, a.Load) })
-	return out
+	slices.SortStableFunc(loads, func(a, b TeamLoad) int { return cmp.Compare(b.Load, a.Load) })
+	return loads
 }
