--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -8,12 +8,12 @@
 //
 // # States
 //
-//	            candidate             lease granted              claim succeeded
-//	following ────────────▶ requestingLease ────────▶ claimingKey ────────────▶ leading
-//	    ▲  ▲                  │          ▲                │  │                     │
-//	    │  └──── refused ─────┘          └─ lease expired ┘  │                     │
-//	    └──────────────────── key changed, or unknown ───────┘                     │
-//	    └─── lease expired, key changed, higher fencing token, term ended ─────────┘
+//	            candidate                lease granted              claim succeeded
+//	following -------------> requestingLease -------------> claimingKey -------------> leading
+//	 ^ ^ ^                      |       ^                     |     |                     |
+//	 | | +-- request refused ---+       +--- lease expired ---+     |                     |
+//	 | +---------------------- key changed, outcome unknown --------+                     |
+//	 +------- lease expired, key changed, higher fencing token announced, term ended -----+
 //
 // A controller becomes a candidate when the leader's key does not exist (its lease in the store has expired), when the
 // key names an earlier process of its own, or when the leader's host refuses connections. With a lease in hand it goes
--- a/internal/ingress/limit.go
+++ b/internal/ingress/limit.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Limit keeps a server's connections below a limit: at the limit, the connection that has been idle longest makes
-// room; if none is idle, the new one is closed.
+// ConnLimiter keeps the number of a server's open connections at or below a limit: a new connection beyond it replaces
+// the one that has been idle longest; if none is idle, the new one is closed. It is safe for concurrent use.
 type ConnLimiter struct {
 	mu   sync.Mutex
 	most int
@@ -16,7 +16,7 @@
 	idleSince map[net.Conn]time.Time
 }
 
-// NewLimit makes a limit of so many connections.
+// NewConnLimiter returns a limiter of a server's connections to at most so many.
 func NewConnLimiter(most int) *ConnLimiter {
 	return &ConnLimiter{most: most, idleSince: map[net.Conn]time.Time{}}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,6 +23,7 @@
 const (
 	leaderToken = 7
 	staleToken  = 6
+	testMember  = "c2" // of the clients
 )
 
 // leader is a Controller that leads under leaderToken.
@@ -152,32 +153,79 @@
 	return listener
 }
 
-// newTestClient returns a client of member c2 under a fencing token.
+// newTestClient returns a client of testMember under a fencing token.
 func newTestClient(t *testing.T, dial call.Dialer, token uint64) *Client {
 	t.Helper()
-	client := NewClient(dial, "leader", "c2", token)
+	client := NewClient(dial, "leader", testMember, token)
 	t.Cleanup(client.Close)
 	return client
 }
 
+// followCase is a stream of updates from a leader to a follower.
+type followCase struct {
+	name      string
+	token     uint64
+	published []*snapshot.Update
+	termEnds  bool   // after the updates
+	rejected  uint64 // version that the follower does not accept
+	// partitionAt is the version after which nothing that the leader sends arrives.
+	partitionAt uint64
+	cancel      time.Duration
+
+	want      []uint64 // versions that were applied
+	wantSince []uint64 // versions that the leader was asked to continue from first
+	wantErr   error    // nil: any
+	wantAfter time.Duration
+}
+
+// followed is what came of a followCase.
+type followed struct {
+	applied []uint64
+	err     error
+	after   time.Duration
+}
+
+// leader returns a leader that publishes the case's updates.
+func (c *followCase) leader() *leader {
+	l := &leader{updates: make(chan *snapshot.Update, len(c.published))}
+	for _, update := range c.published {
+		l.updates <- update
+	}
+	if c.termEnds {
+		close(l.updates)
+	}
+	return l
+}
+
+// follow follows the leader until the stream ends.
+func (c *followCase) follow(t *testing.T, l *leader) followed {
+	t.Helper()
+	listener := serveLeader(t, l)
+	client := newTestClient(t, listener.dial, c.token)
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	if c.cancel > 0 {
+		time.AfterFunc(c.cancel, cancel)
+	}
+	started := time.Now()
+	var got followed
+	got.err = client.FollowSnapshots(ctx, func(update *snapshot.Update) bool {
+		if update.Version == c.rejected {
+			return false
+		}
+		got.applied = append(got.applied, update.Version)
+		listener.partitioned.Store(update.Version == c.partitionAt)
+		return true
+	})
+	got.after = time.Since(started)
+	return got
+}
+
 func TestFollowSnapshots(t *testing.T) {
 	update := func(version uint64) *snapshot.Update {
 		return &snapshot.Update{FencingToken: leaderToken, BaseVersion: version - 1, Version: version}
 	}
-	tests := []struct {
-		name        string
-		token       uint64
-		published   []*snapshot.Update
-		termEnds    bool   // after the updates
-		rejected    uint64 // version that the follower does not accept
-		partitionAt uint64 // version after which nothing that the leader sends arrives
-		cancel      time.Duration
-
-		want      []uint64 // versions that were applied
-		wantSince []uint64 // versions that the leader was asked to continue from first
-		wantErr   error    // nil: any
-		wantAfter time.Duration
-	}{
+	tests := []followCase{
 		{
 			name: "updates continue from the version sent last until the term ends", token: leaderToken,
 			published: []*snapshot.Update{update(1), update(2), update(5)}, termEnds: true,
@@ -215,42 +263,17 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := &leader{updates: make(chan *snapshot.Update, len(test.published))}
-				for _, update := range test.published {
-					l.updates <- update
-				}
-				if test.termEnds {
-					close(l.updates)
-				}
-				listener := serveLeader(t, l)
-				client := newTestClient(t, listener.dial, test.token)
-				ctx, cancel := context.WithCancel(t.Context())
-				defer cancel()
-				if test.cancel > 0 {
-					time.AfterFunc(test.cancel, cancel)
-				}
-				started := time.Now()
-				var applied []uint64
-				err := client.FollowSnapshots(ctx, func(update *snapshot.Update) bool {
-					if update.Version == test.rejected {
-						return false
-					}
-					applied = append(applied, update.Version)
-					listener.partitioned.Store(update.Version == test.partitionAt)
-					return true
-				})
+				l := test.leader()
+				got := test.follow(t, l)
 				synctest.Wait()
-				if err == nil || test.wantErr != nil && !errors.Is(err, test.wantErr) {
-					t.Errorf("error %v, want %v", err, test.wantErr)
+				if got.err == nil || test.wantErr != nil && !errors.Is(got.err, test.wantErr) {
+					t.Errorf("error %v, want %v", got.err, test.wantErr)
 				}
-				if after := time.Since(started); after != test.wantAfter {
-					t.Errorf("the stream ended after %v, want %v", after, test.wantAfter)
+				if got.after != test.wantAfter {
+					t.Errorf("the stream ended after %v, want %v", got.after, test.wantAfter)
 				}
-				if len(test.wantSince) > 0 && l.subscriber != client.member {
-					t.Errorf("the subscriber is %q, want %q", l.subscriber, client.member)
-				}
-				if !slices.Equal(applied, test.want) {
-					t.Errorf("applied the versions %v, want %v", applied, test.want)
+				if !slices.Equal(got.applied, test.want) {
+					t.Errorf("applied the versions %v, want %v", got.applied, test.want)
 				}
 				if len(l.since) < len(test.wantSince) || !slices.Equal(l.since[:len(test.wantSince)], test.wantSince) {
 					t.Errorf("the leader was asked to continue from %v, want %v first", l.since, test.wantSince)
@@ -260,6 +283,17 @@
 	}
 }
 
+func TestSubscriberIsNamed(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		stream := followCase{token: leaderToken, termEnds: true}
+		l := stream.leader()
+		stream.follow(t, l)
+		if l.subscriber != testMember {
+			t.Errorf("the subscriber is %q, want %q", l.subscriber, testMember)
+		}
+	})
+}
+
 // Updates that come in time keep the stream alive for any length of time.
 func TestFollowSnapshotsWhileUpdatesArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -328,13 +362,15 @@
 			},
 			want:     &LeaseResponses{SnapshotVersion: 12, Results: []lease.Result{{Granted: []int{3}}}},
 			received: func(l *leader) any { return l.requests },
-			wantSent: []LeaseRequests{{Member: "c2", FencingToken: leaderToken, Requests: []lease.Transaction{transaction}}},
+			wantSent: []LeaseRequests{
+				{Member: testMember, FencingToken: leaderToken, Requests: []lease.Transaction{transaction}},
+			},
 		},
 		{
 			name: "an empty list of lease requests reaches the leader as a sign of life", token: leaderToken,
 			send: func(ctx context.Context, client *Client) (any, error) { return client.RequestLeases(ctx, nil) },
 			want: &LeaseResponses{SnapshotVersion: 12}, received: func(l *leader) any { return l.requests },
-			wantSent: []LeaseRequests{{Member: "c2", FencingToken: leaderToken}},
+			wantSent: []LeaseRequests{{Member: testMember, FencingToken: leaderToken}},
 		},
 		{
 			name: "lease requests under a stale fencing token are refused", token: staleToken,
@@ -355,7 +391,7 @@
 				Response: &wire.HeartbeatResponse{FencingToken: leaderToken}, CommandsDelivered: true,
 			},
 			received: func(l *leader) any { return l.heartbeats },
-			wantSent: []RelayedHeartbeat{{Member: "c2", FencingToken: leaderToken, Heartbeat: heartbeat}},
+			wantSent: []RelayedHeartbeat{{Member: testMember, FencingToken: leaderToken, Heartbeat: heartbeat}},
 		},
 		{
 			name: "a heartbeat relayed under a stale fencing token is refused", token: staleToken,
@@ -367,7 +403,7 @@
 			name: "an announcement carries the sender's own fencing token", token: 9,
 			send:     func(ctx context.Context, client *Client) (any, error) { return nil, client.Announce(ctx) },
 			received: func(l *leader) any { return l.announcements },
-			wantSent: []Announcement{{Member: "c2", FencingToken: 9}},
+			wantSent: []Announcement{{Member: testMember, FencingToken: 9}},
 		},
 	}
 	for _, test := range tests {
