--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,7 +1,8 @@
-// Package eventloop runs functions one after another on the goroutine that owns some state, so that the state needs no lock.
+// Package eventloop runs functions one after another on the goroutine that owns some state, so that the state needs
+// no lock.
 //
-// A Loop is owned by the goroutine that receives its events and handles them, here that of a leader's term. Any goroutine
-// may post to it and wait for an answer. It never runs a function on the caller's goroutine.
+// A Loop is owned by the goroutine that receives its events and handles them, here that of a leader's term. Any
+// goroutine may post to it and wait for an answer. It never runs a function on the caller's goroutine.
 package eventloop
 
 import (
@@ -50,8 +51,8 @@
 	}
 }
 
-// Stop ends the loop: who waits for an answer gets ErrStopped. It returns when all goroutines started by Go and Background
-// have ended, so the context that they use must have ended.
+// Stop ends the loop: who waits for an answer gets ErrStopped. It returns when all goroutines started by Go and
+// Background have ended, so the context that they use must have ended.
 func (l *Loop) Stop() {
 	close(l.stopped)
 	l.background.Wait()
@@ -60,7 +61,8 @@
 // Stopped returns a channel that is closed when the loop ends.
 func (l *Loop) Stopped() <-chan struct{} { return l.stopped }
 
-// Post queues f for the owner's goroutine. It reports whether f was queued: false means that ctx or the loop ended first.
+// Post queues f for the owner's goroutine. It reports whether f was queued: false means that ctx or the loop ended
+// first.
 func (l *Loop) Post(ctx context.Context, f func(now micros.Timestamp)) bool {
 	return l.post(ctx, func(_ context.Context, now micros.Timestamp) { f(now) })
 }
@@ -78,16 +80,17 @@
 // Go runs f in a goroutine that Stop waits for. f must end with the loop's context.
 func (l *Loop) Go(f func()) { l.background.Go(f) }
 
-// Background runs f in a goroutine that Stop waits for, with the context that ends with the loop: for work that outlasts
-// the request that caused it. It must not be called on the owner's goroutine, which has that context and calls Go.
-func (l *Loop) Background(f func(ctx context.Context)) {
-	l.post(context.Background(), func(ctx context.Context, _ micros.Timestamp) {
+// Background runs f in a goroutine that Stop waits for, with the context that ends with the loop: for work that
+// outlasts the request that caused it. It must not be called on the owner's goroutine, which has that context and
+// calls Go.
+func (l *Loop) Background(ctx context.Context, f func(ctx context.Context)) {
+	l.post(context.WithoutCancel(ctx), func(ctx context.Context, _ micros.Timestamp) {
 		l.background.Go(func() { f(ctx) })
 	})
 }
 
-// Ask runs f on the owner's goroutine and returns what f returned, or ErrStopped. The result comes over a channel since a
-// call that was given up may still be carried out.
+// Ask runs f on the owner's goroutine and returns what f returned, or ErrStopped. The result comes over a channel
+// since a call that was given up may still be carried out.
 func Ask[T any](ctx context.Context, loop *Loop, f func(now micros.Timestamp) (T, error)) (T, error) {
 	type answer struct {
 		value T
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -42,12 +42,12 @@
 	}
 }
 
-func TestAskOfStoppedLoop(t *testing.T) {
+func TestDoOfStoppedLoop(t *testing.T) {
 	loop := New()
 	loop.Stop()
 	for range queueLength + 1 { // the queue has room for some of them
-		if _, err := Ask(t.Context(), loop, func(micros.Timestamp) (int, error) { return 0, nil }); !errors.Is(err, ErrStopped) {
-			t.Fatalf("Ask of a stopped loop returned %v, want ErrStopped", err)
+		if err := loop.Do(t.Context(), func(micros.Timestamp) error { return nil }); !errors.Is(err, ErrStopped) {
+			t.Fatalf("Do of a stopped loop returned %v, want ErrStopped", err)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 		close(ended)
 	}()
 	started, finished := make(chan struct{}), false
-	loop.Background(func(ctx context.Context) {
+	loop.Background(t.Context(), func(ctx context.Context) {
 		close(started)
 		<-ctx.Done()
 		finished = true
--- a/internal/fenced/fenced_test.go
+++ b/internal/fenced/fenced_test.go
@@ -62,6 +62,30 @@
 	}
 }
 
+// runLoop returns a loop that is handled until stop is called, which waits for its end.
+func runLoop(t *testing.T) (loop *eventloop.Loop, stop func()) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	loop = eventloop.New()
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		for {
+			select {
+			case <-ctx.Done():
+				loop.Stop()
+				return
+			case event := <-loop.Events():
+				loop.Handle(ctx, event, micros.NewClock())
+			}
+		}
+	}()
+	return loop, func() {
+		cancel()
+		<-ended
+	}
+}
+
 func TestPutFindsOutWhatIsDurable(t *testing.T) {
 	errUnknown := errors.New("no answer")
 	conflict := &state.ConflictError{FailedKeys: []string{"drain/a"}}
@@ -81,28 +105,15 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, cancel := context.WithCancel(t.Context())
-				loop := eventloop.New()
-				go func() {
-					for {
-						select {
-						case <-ctx.Done():
-							loop.Stop()
-							return
-						case event := <-loop.Events():
-							loop.Handle(ctx, event, micros.NewClock())
-						}
-					}
-				}()
+				loop, stop := runLoop(t)
 				store, reloads := &fakeStore{errs: c.errs}, 0
 				records := NewRecords(NewWriter(store, 7, 1, 10), loop, func(context.Context) error { reloads++; return nil })
-				err := records.Exclusive(ctx, func() error {
-					_, err := records.Put(ctx, "drain/a", 3, "value")
+				err := records.Exclusive(t.Context(), func() error {
+					_, err := records.Put(t.Context(), "drain/a", 3, "value")
 					return err
 				})
 				time.Sleep(time.Minute)
-				cancel()
-				synctest.Wait()
+				stop()
 				if !errors.Is(err, c.err) {
 					t.Errorf("Put returned %v, want %v", err, c.err)
 				}
--- a/internal/fenced/writer.go
+++ b/internal/fenced/writer.go
@@ -1,9 +1,9 @@
-// Package fenced writes to the key-value store as the leader of one term: every transaction is conditioned on the version of
-// the leader's key, which is the fencing token, so that nothing is changed once another controller leads.
+// Package fenced writes to the key-value store as the leader of one term: every transaction is conditioned on the
+// version of the leader's key, which is the fencing token, so that nothing is changed once another controller leads.
 //
-// A Writer carries out transactions. A Records serializes the writers of one kind of record and finds out what has become
-// of writes with an unknown outcome; drains and rebalancing have one each. The progress of jobs isn't written here but by
-// the write batches of the leader's term.
+// A Writer carries out transactions. A Records serializes the writers of one kind of record and finds out what has
+// become of writes with an unknown outcome; drains and rebalancing have one each. The progress of jobs isn't written
+// here but by the write batches of the leader's term.
 package fenced
 
 import (
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -1,9 +1,9 @@
 // Package follower is a controller's part in a term that another controller leads.
 //
-// A Follower keeps a stream of the leader's snapshots and offers them to the placer, relays heartbeats of workers that don't
-// reach the leader, and, while the leader is silent, has its LeaseRenewer renew worker leases in the leader's stead. Package
-// leadership starts and ends it; the workers' service calls Heartbeat from any goroutine. It grants no lease, launches no
-// task, and writes to the key-value store only that it renews worker leases.
+// A Follower keeps a stream of the leader's snapshots and offers them to the placer, relays heartbeats of workers
+// that don't reach the leader, and, while the leader is silent, has its LeaseRenewer renew worker leases in the
+// leader's stead. Package leadership starts and ends it; the workers' service calls Heartbeat from any goroutine. It
+// grants no lease, launches no task, and writes to the key-value store only that it renews worker leases.
 package follower
 
 import (
@@ -70,8 +70,8 @@
 	lastContact atomic.Int64
 }
 
-// New returns a follower of a leader under a fencing token; Run runs it. It returns ErrUnknownLeader, wrapped, if there is no
-// address for the leader.
+// New returns a follower of a leader under a fencing token; Run runs it. It returns ErrUnknownLeader, wrapped, if
+// there is no address for the leader.
 func New(cfg Config, leader string, token uint64) (*Follower, error) {
 	addr, ok := PeerAddr(cfg.Settings, leader)
 	if !ok {
@@ -105,8 +105,9 @@
 	return f.cfg.Clock.Now().Sub(micros.Timestamp(f.lastContact.Load())) > silenceTimeout
 }
 
-// Run follows the leader's snapshots until ctx ends, and waits for all that it has started. While the leader is silent, its
-// workers' leases are renewed. unreachable is called when the leader's host, having sent snapshots, refuses connections.
+// Run follows the leader's snapshots until ctx ends, and waits for all that it has started. While the leader is
+// silent, its workers' leases are renewed. unreachable is called when the leader's host, having sent snapshots,
+// refuses connections.
 func (f *Follower) Run(ctx context.Context, unreachable func()) {
 	var group routine.Group
 	defer group.Wait()
@@ -143,10 +144,10 @@
 	}
 }
 
-// Heartbeat returns the response to a worker's heartbeat: in the leader's stead, or the leader's to the heartbeat as relayed.
-// It returns nil if the worker must turn to the leader. A worker that has the leader's fencing token has had a response of
-// the leader, and comes here only because it gets none any more; if this controller is in contact with the leader, as when
-// the leader is cut off from workers alone, its heartbeat is relayed.
+// Heartbeat returns the response to a worker's heartbeat: in the leader's stead, or the leader's to the heartbeat as
+// relayed. It returns nil if the worker must turn to the leader. A worker that has the leader's fencing token has had
+// a response of the leader, and comes here only because it gets none any more; if this controller is in contact with
+// the leader, as when the leader is cut off from workers alone, its heartbeat is relayed.
 func (f *Follower) Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) *wire.HeartbeatResponse {
 	if response := f.renewer.respond(heartbeat); response != nil {
 		return response
--- a/internal/follower/lease_renewer.go
+++ b/internal/follower/lease_renewer.go
@@ -33,14 +33,14 @@
 	RenewLease(ctx context.Context, lease uint64) error
 }
 
-// leaseRenewer renews worker leases under the leader's fencing token while that leader can't be reached from here, as when
-// zones are partitioned: a response with the token counts whichever controller sends it. It launches nothing. It stops what
-// has been cancelled, and makes the worker know attempts of it whose launch may yet arrive, so that it doesn't start them
-// then.
+// leaseRenewer renews worker leases under the leader's fencing token while that leader can't be reached from here, as
+// when zones are partitioned: a response with the token counts whichever controller sends it. It launches nothing. It
+// stops what has been cancelled, and makes the worker know attempts of it whose launch may yet arrive, so that it
+// doesn't start them then.
 //
-// The leader considers a worker's lease expired by when it has itself renewed it last. So a leaseRenewer first records in
-// the store that it renews leases, on condition that the leader's key still has the token, and the leader looks there
-// before it considers any lease expired.
+// The leader considers a worker's lease expired by when it has itself renewed it last. So a leaseRenewer first
+// records in the store that it renews leases, on condition that the leader's key still has the token, and the leader
+// looks there before it considers any lease expired.
 type leaseRenewer struct {
 	cfg   Config
 	token uint64
@@ -54,8 +54,8 @@
 	mayLaunch map[string][]endedAttempt
 }
 
-// endedAttempt is an attempt of a job that has ended. Until a time its launch and stop are sent to a worker that doesn't
-// know it.
+// endedAttempt is an attempt of a job that has ended. Until a time its launch and stop are sent to a worker that
+// doesn't know it.
 type endedAttempt struct {
 	job, task            string
 	attempt, incarnation uint64
@@ -135,8 +135,8 @@
 	return lease, nil
 }
 
-// startWatch reads which jobs have ended, and follows that in the background until stopped. An error means that it can't be
-// read now; stop is never nil.
+// startWatch reads which jobs have ended, and follows that in the background until stopped. An error means that it
+// can't be read now; stop is never nil.
 func (r *leaseRenewer) startWatch(ctx context.Context, group *routine.Group) (stop context.CancelFunc, err error) {
 	complete := openjobs.Update{RequestedAt: r.cfg.Clock.Now()}
 	var revision uint64
@@ -160,8 +160,8 @@
 	r.ended, r.mayLaunch, r.resolved = map[string]bool{}, map[string][]endedAttempt{}, openjobs.ResolvedTimestamp{}
 }
 
-// applyOpenJobs applies an update of the open records. The ended jobs in it count as known once their attempts are known,
-// too.
+// applyOpenJobs applies an update of the open records. The ended jobs in it count as known once their attempts are
+// known, too.
 func (r *leaseRenewer) applyOpenJobs(ctx context.Context, update openjobs.Update) {
 	var ended []string
 	attempts := map[string][]endedAttempt{}
@@ -203,8 +203,8 @@
 	return record.FinalState != ""
 }
 
-// readAttempts adds the recorded attempts of an ended job by machine, unless the leader itself has known that it ended. It
-// repeats reading until it succeeds, and returns false if ctx ended first.
+// readAttempts adds the recorded attempts of an ended job by machine, unless the leader itself has known that it
+// ended. It repeats reading until it succeeds, and returns false if ctx ended first.
 func (r *leaseRenewer) readAttempts(ctx context.Context, job string, attempts map[string][]endedAttempt) bool {
 	cancelledAt, needed := r.earliestCancellation(job)
 	for needed {
@@ -222,9 +222,9 @@
 	return true
 }
 
-// earliestCancellation returns the earliest time at which a job that is found to have ended can have been cancelled. ok is
-// false if the leader itself has known of the job's end. At first there is only the leader's last snapshot that was built
-// on recent cancellations: a job in it was not cancelled before.
+// earliestCancellation returns the earliest time at which a job that is found to have ended can have been cancelled.
+// ok is false if the leader itself has known of the job's end. At first there is only the leader's last snapshot that
+// was built on recent cancellations: a job in it was not cancelled before.
 func (r *leaseRenewer) earliestCancellation(job string) (at micros.Timestamp, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/health/monitor.go
+++ b/internal/health/monitor.go
@@ -1,6 +1,7 @@
-// Package health holds what a controller has last learned of the cluster: when the key-value store served it, when a leader
-// that the store serves published a snapshot, and how far that leader's jobs are. The goroutines that learn it report it
-// here; the health check, the display of jobs and the lease renewer read it. Nothing here decides about work.
+// Package health holds what a controller has last learned of the cluster: when the key-value store served it, when a
+// leader that the store serves published a snapshot, and how far that leader's jobs are. The goroutines that learn it
+// report it here; the health check, the display of jobs and the lease renewer read it. Nothing here decides about
+// work.
 package health
 
 import (
--- a/internal/leader/commandpush.go
+++ b/internal/leader/commandpush.go
@@ -9,8 +9,9 @@
 	"saffronbend/internal/worker"
 )
 
-// pushCommands sends the commands that don't wait for a machine's next heartbeat. While the processor does not keep up,
-// launches wait for heartbeats: a push takes several times the work of a heartbeat, whose response can carry the launch too.
+// pushCommands sends the commands that don't wait for a machine's next heartbeat. While the processor does not keep
+// up, launches wait for heartbeats: a push takes several times the work of a heartbeat, whose response can carry the
+// launch too.
 func (t *Term) pushCommands(ctx context.Context, now micros.Timestamp) {
 	mayLaunch := t.leaseValid(now) && !t.tickDelay.late
 	for _, push := range t.manager.CommandPushes(now, mayLaunch) {
--- a/internal/leader/drains/drains.go
+++ b/internal/leader/drains/drains.go
@@ -1,9 +1,10 @@
-// Package drains carries out the drains of a leader's term: it makes operators' requests durable, has drain.Planner decide
-// once a tick, and carries out its decisions through the manager and the scaler.
+// Package drains carries out the drains of a leader's term: it makes operators' requests durable, has drain.Planner
+// decide once a tick, and carries out its decisions through the manager and the scaler.
 //
-// The planner is owned by the goroutine of the term's event loop, on which Round, Restore, SetShortage and RemainingBudgets
-// are called. Operators' commands (Start, ChangeState, List) run on the goroutine of their request: one at a time writes
-// records, and a record is applied to the planner when it is durable. The package decides nothing about evictions itself.
+// The planner is owned by the goroutine of the term's event loop, on which Round, Restore, SetShortage and
+// RemainingBudgets are called. Operators' commands (Start, ChangeState, List) run on the goroutine of their request:
+// one at a time writes records, and a record is applied to the planner when it is durable. The package decides
+// nothing about evictions itself.
 package drains
 
 import (
--- a/internal/leader/drains/records.go
+++ b/internal/leader/drains/records.go
@@ -33,8 +33,8 @@
 	return records, err
 }
 
-// Restore applies the records of drains when a term begins, on the goroutine of the term. It deletes, in the background, the
-// lists of machines that belong to no drain.
+// Restore applies the records of drains when a term begins, on the goroutine of the term. It deletes, in the
+// background, the lists of machines that belong to no drain.
 func (e *Executor) Restore(ctx context.Context, now micros.Timestamp, records Records) error {
 	if err := e.apply(records); err != nil {
 		return err
@@ -160,8 +160,8 @@
 	return e.cfg.Writer.CommitAll(ctx, changes)
 }
 
-// prune deletes the pages of a drain that has ended, and the records of the oldest such drains. What can't be deleted now is
-// deleted when a next drain or term ends.
+// prune deletes the pages of a drain that has ended, and the records of the oldest such drains. What can't be deleted
+// now is deleted when a next drain or term ends.
 func (e *Executor) prune(ctx context.Context, record state.DrainRecord) {
 	if drain.State(record.State).Active() {
 		return
--- a/internal/leader/followers.go
+++ b/internal/leader/followers.go
@@ -14,8 +14,8 @@
 // followerTimeout is how long after its last lease request a controller that follows keeps its teams.
 const followerTimeout = 1500 * micros.Millisecond
 
-// followers are the other controllers as a term knows them: who follows, and which teams each places tasks for. Owned by the
-// loop's goroutine.
+// followers are the other controllers as a term knows them: who follows, and which teams each places tasks for. Owned
+// by the loop's goroutine.
 type followers struct {
 	controller    string // this one
 	teams         []string
@@ -77,9 +77,9 @@
 	t.manager.SetTeamAssignments(t.followers.assign(now))
 }
 
-// Subscribe registers a controller that follows, until ctx ends. It returns a function that waits for a snapshot newer than
-// the one of a version and returns what has changed since; that returns nil when the term or ctx has ended. Subscribe
-// returns nil if that is so already.
+// Subscribe registers a controller that follows, until ctx ends. It returns a function that waits for a snapshot
+// newer than the one of a version and returns what has changed since; that returns nil when the term or ctx has
+// ended. Subscribe returns nil if that is so already.
 func (t *Term) Subscribe(ctx context.Context, controller string) func(since uint64) *snapshot.Update {
 	subscribed := &subscription{controller: controller, published: make(chan struct{}, 1)}
 	subscribed.published <- struct{}{}
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -12,8 +12,8 @@
 // heartbeatTimeout is how long a worker's heartbeat waits for its response at most.
 const heartbeatTimeout = 2 * time.Second
 
-// Heartbeat applies a worker's heartbeat and returns the response, which is nil if the worker's lease may not be renewed.
-// relayedBy names the controller that relays it, "" if the worker sent it here.
+// Heartbeat applies a worker's heartbeat and returns the response, which is nil if the worker's lease may not be
+// renewed. relayedBy names the controller that relays it, "" if the worker sent it here.
 func (t *Term) Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat, relayedBy string) peer.RelayResponse {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -3,8 +3,8 @@
 // A Term owns the manager (machines, jobs, leases) and, through the packages below this one, drains, rebalancing and
 // scaling. All of these belong to the goroutine of Term.Run; everything else reaches them by the term's event loop.
 // Package leadership starts and ends terms; the controller's services call a term with heartbeats, lease requests,
-// subscriptions and operators' commands, from any goroutine. A term never decides whether it leads: when it finds out that
-// it does not, it calls StepDown of its Config and goes on until its context ends.
+// subscriptions and operators' commands, from any goroutine. A term never decides whether it leads: when it finds out
+// that it does not, it calls StepDown of its Config and goes on until its context ends.
 package leader
 
 import (
@@ -34,7 +34,8 @@
 
 // Workers pushes commands to machines, without waiting for their next heartbeat.
 type Workers interface {
-	PushCommands(ctx context.Context, addr string, push wire.CommandPush) (executed bool, heartbeat *wire.Heartbeat, err error)
+	PushCommands(ctx context.Context, addr string, push wire.CommandPush) (
+		executed bool, heartbeat *wire.Heartbeat, err error)
 }
 
 // Placer places tasks by the snapshots that it is offered.
@@ -45,7 +46,8 @@
 // Config is what the terms of a controller need.
 type Config struct {
 	Settings *settings.Settings
-	// LeaseTTL bounds how old the news of cancellations may be when something new is granted: as long as the leader's lease.
+	// LeaseTTL bounds how old the news of cancellations may be when something new is granted: as long as the leader's
+	// lease.
 	LeaseTTL micros.Duration
 	Log      *slog.Logger
 	Clock    micros.Clock
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -9,8 +9,8 @@
 	"saffronbend/internal/peer"
 )
 
-// RequestLeases grants or refuses the lease requests of a controller's framework scheduler. It returns peer.ErrNotLeader if
-// the term has ended.
+// RequestLeases grants or refuses the lease requests of a controller's framework scheduler. It returns
+// peer.ErrNotLeader if the term has ended.
 func (t *Term) RequestLeases(ctx context.Context, request peer.LeaseRequests) (*peer.LeaseResponses, error) {
 	responses, err := eventloop.Ask(ctx, t.loop, func(now micros.Timestamp) (*peer.LeaseResponses, error) {
 		t.followers.contacted(now, request.Member)
--- a/internal/leader/operators.go
+++ b/internal/leader/operators.go
@@ -21,7 +21,8 @@
 	machinesAfterPause = 5
 )
 
-// command carries out an operator's command. Whatever keeps the leader from making it durable is operator.ErrUnavailable.
+// command carries out an operator's command. Whatever keeps the leader from making it durable is
+// operator.ErrUnavailable.
 func command[T any](ctx context.Context, t *Term, carryOut func(ctx context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
@@ -61,7 +62,9 @@
 
 // RebalancingStatus returns load and moves. Rebalancing must be enabled.
 func (t *Term) RebalancingStatus(ctx context.Context, machines int) (rebalance.Status, error) {
-	return command(ctx, t, func(ctx context.Context) (rebalance.Status, error) { return t.rebalancer.Status(ctx, machines) })
+	return command(ctx, t, func(ctx context.Context) (rebalance.Status, error) {
+		return t.rebalancer.Status(ctx, machines)
+	})
 }
 
 // PauseRebalancing pauses moves or resumes them. Rebalancing must be enabled.
--- a/internal/leader/publish.go
+++ b/internal/leader/publish.go
@@ -6,8 +6,8 @@
 	"saffronbend/internal/micros"
 )
 
-// publishSnapshot builds a snapshot and publishes it: to the followers, to the health monitor, to the scaler, which decides
-// on it, and to this controller's placer.
+// publishSnapshot builds a snapshot and publishes it: to the followers, to the health monitor, to the scaler, which
+// decides on it, and to this controller's placer.
 func (t *Term) publishSnapshot(ctx context.Context, now micros.Timestamp) {
 	t.lastPublished = now
 	published := t.manager.Snapshot(now)
--- a/internal/leader/rebalancing/rebalancing.go
+++ b/internal/leader/rebalancing/rebalancing.go
@@ -1,8 +1,9 @@
-// Package rebalancing carries out the moves of running work in a leader's term: it has rebalance.Planner decide, the manager
-// carry out, and makes durable that operators have paused moves.
+// Package rebalancing carries out the moves of running work in a leader's term: it has rebalance.Planner decide, the
+// manager carry out, and makes durable that operators have paused moves.
 //
-// The planner is owned by the goroutine of the term's event loop, on which Round is called. Operators' commands (Status,
-// SetPaused) run on the goroutine of their request; one at a time writes the record. The package decides on no move itself.
+// The planner is owned by the goroutine of the term's event loop, on which Round is called. Operators' commands
+// (Status, SetPaused) run on the goroutine of their request; one at a time writes the record. The package decides on
+// no move itself.
 package rebalancing
 
 import (
@@ -87,9 +88,9 @@
 	return executor
 }
 
-// Round decides on moves, unless the last round was just now, and carries them out. Of all that a term does, moves are the
-// first to give way: nothing is moved when the leader's lease may have expired (leaseValid is false) or its processor does
-// not keep up (overloaded).
+// Round decides on moves, unless the last round was just now, and carries them out. Of all that a term does, moves
+// are the first to give way: nothing is moved when the leader's lease may have expired (leaseValid is false) or its
+// processor does not keep up (overloaded).
 func (e *Executor) Round(now micros.Timestamp, leaseValid, overloaded bool) {
 	switch {
 	case !leaseValid:
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -19,8 +19,8 @@
 	maxWriteRetryInterval = 500 * micros.Millisecond
 )
 
-// writeBatch carries out a write batch, and repeats it until its outcome is known. The manager has one batch carried out at
-// a time, so at most one has an unknown outcome.
+// writeBatch carries out a write batch, and repeats it until its outcome is known. The manager has one batch carried
+// out at a time, so at most one has an unknown outcome.
 func (t *Term) writeBatch(ctx context.Context, batch *manager.WriteBatch) {
 	txn, largestValue, err := t.encode(batch)
 	if err != nil {
@@ -80,8 +80,8 @@
 	return txn, largestValue, nil
 }
 
-// writeRefused reports that the store has lower limits now than the settings say: the same batch would be refused for ever,
-// and the manager makes a smaller one.
+// writeRefused reports that the store has lower limits now than the settings say: the same batch would be refused for
+// ever, and the manager makes a smaller one.
 func (t *Term) writeRefused(ctx context.Context, batch *manager.WriteBatch, largestValue int, err error) {
 	keys := make([]string, len(batch.Changes))
 	for i, change := range batch.Changes {
@@ -95,9 +95,9 @@
 	})
 }
 
-// explainConflict finds out why a batch's conditions failed though this controller leads: an earlier try of it was carried
-// out, or a user has cancelled a job that it was to complete or to launch tasks of. It reports false if that can't be found
-// out now.
+// explainConflict finds out why a batch's conditions failed though this controller leads: an earlier try of it was
+// carried out, or a user has cancelled a job that it was to complete or to launch tasks of. It reports false if that
+// can't be found out now.
 func (t *Term) explainConflict(ctx context.Context, batch *manager.WriteBatch) bool {
 	for _, change := range batch.Changes {
 		item, err := t.cfg.Store.Get(ctx, change.Key)
@@ -149,8 +149,9 @@
 	return false
 }
 
-// abandonBatch ends a batch that changed nothing because a user has cancelled a job of it. The watch may lag: the open
-// records are read here, so that the manager does not make the same batch again. It reports false if they can't be read.
+// abandonBatch ends a batch that changed nothing because a user has cancelled a job of it. The watch may lag: the
+// open records are read here, so that the manager does not make the same batch again. It reports false if they can't
+// be read.
 func (t *Term) abandonBatch(ctx context.Context, batch *manager.WriteBatch) bool {
 	var update openjobs.Update
 	for _, condition := range batch.OpenRecordConditions {
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -24,8 +24,8 @@
 	rebalancing rebalancing.Record
 }
 
-// recoverState reads the records until that succeeds, and builds the term's state from them. It returns the revision from
-// which the open jobs must be watched, and false if ctx ended or the records can't be used.
+// recoverState reads the records until that succeeds, and builds the term's state from them. It returns the revision
+// from which the open jobs must be watched, and false if ctx ended or the records can't be used.
 func (t *Term) recoverState(ctx context.Context) (revision uint64, ok bool) {
 	const retryInterval = 100 * micros.Millisecond
 	for {
@@ -83,7 +83,8 @@
 		t.scaler.SetTypes(types)
 	}
 	t.resolved.Advance(stored.requestedAt)
-	t.cfg.Log.Info("term begins", "fencing_token", t.token, "open_jobs", len(stored.openJobs), "records", len(stored.progress))
+	t.cfg.Log.Info("term begins", "fencing_token", t.token,
+		"open_jobs", len(stored.openJobs), "records", len(stored.progress))
 	return true
 }
 
--- a/internal/leader/scaling/scaling.go
+++ b/internal/leader/scaling/scaling.go
@@ -1,8 +1,8 @@
 // Package scaling is the part of a leader's term that speaks with the cloud: it reads machines, types and prices, has
 // fleet.Fleet decide, and repeats requests to create and delete machines until their outcome is known.
 //
-// The fleet is owned by the goroutine of the term's event loop, on which all methods but WatchMachines and WatchTypes are
-// called; those two run in goroutines of their own. The package decides nothing about the fleet's size itself.
+// The fleet is owned by the goroutine of the term's event loop, on which all methods but WatchMachines and WatchTypes
+// are called; those two run in goroutines of their own. The package decides nothing about the fleet's size itself.
 package scaling
 
 import (
@@ -91,8 +91,8 @@
 	e.fleet.SetTypes(types)
 }
 
-// ObserveSnapshot notes which machines are silent. The list of machines is then read more often: a machine that has fallen
-// silent may have been reclaimed, which the list shows soonest.
+// ObserveSnapshot notes which machines are silent. The list of machines is then read more often: a machine that has
+// fallen silent may have been reclaimed, which the list shows soonest.
 func (e *Executor) ObserveSnapshot(now micros.Timestamp, published *snapshot.Snapshot) {
 	silence := 2*e.cfg.Fleet.HeartbeatInterval + micros.Second
 	e.machineSilent.Store(slices.ContainsFunc(published.Machines, func(machine *snapshot.Machine) bool {
@@ -103,7 +103,8 @@
 // Due reports whether it is time for a next round.
 func (e *Executor) Due(now micros.Timestamp) bool { return now.Sub(e.lastRound) >= roundInterval }
 
-// Round decides on the fleet's size and carries it out. It returns why there is no room yet for tasks that are to be evicted.
+// Round decides on the fleet's size and carries it out. It returns why there is no room yet for tasks that are to be
+// evicted.
 func (e *Executor) Round(ctx context.Context, now micros.Timestamp, published *snapshot.Snapshot) fleet.Shortage {
 	e.lastRound = now
 	actions := e.fleet.Decide(now, published)
@@ -111,7 +112,8 @@
 		e.cfg.Log.Info("scaling in a machine", "machine", decision.Machine, "reason", decision.Reason)
 	}
 	for _, request := range actions.ScaleOut {
-		e.cfg.Log.Info("scaling out", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "count", request.Count)
+		e.cfg.Log.Info("scaling out", "type", request.Type, "zone", request.Zone, "spot", request.Spot,
+			"count", request.Count)
 		e.cfg.Loop.Go(func() { e.scaleOut(ctx, request) })
 	}
 	e.ScaleIn(ctx, actions.ScaleIn)
@@ -180,16 +182,16 @@
 	}
 }
 
-// listInterval is the time between two lists of so many machines. Their pages take at most a quarter of the requests that
-// the cloud allows: creation and deletion of machines have the same limit.
+// listInterval is the time between two lists of so many machines. Their pages take at most a quarter of the requests
+// that the cloud allows: creation and deletion of machines have the same limit.
 func listInterval(machines int, requestsPerSecond float64) micros.Duration {
 	const share = 4
 	pages := 1 + machines/wire.MachinePageSize
 	return max(micros.Second, micros.Seconds(share*float64(pages)/requestsPerSecond))
 }
 
-// WatchTypes reads types and prices again and again until ctx ends, and stores the types once for controllers that start
-// while the cloud does not answer.
+// WatchTypes reads types and prices again and again until ctx ends, and stores the types once for controllers that
+// start while the cloud does not answer.
 func (e *Executor) WatchTypes(ctx context.Context) {
 	stored := false
 	for {
@@ -211,7 +213,8 @@
 	}
 }
 
-// storeTypes reports whether it has stored the types, or they can't be stored: then a controller asks the cloud for them.
+// storeTypes reports whether it has stored the types, or they can't be stored: then a controller asks the cloud for
+// them.
 func (e *Executor) storeTypes(ctx context.Context, types []wire.MachineType) bool {
 	const bytesPerKB = 1024
 	value, err := json.Marshal(types)
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -77,14 +77,15 @@
 // ExtendLease sets until when the leader's lease is valid, by this controller's clock.
 func (t *Term) ExtendLease(until micros.Timestamp) { t.leaseValidUntil.Store(int64(until)) }
 
-// leaseValid reports whether something new may be granted: while the leader's lease is valid, and only if the cancellations
-// that are known are recent. After an outage the lease is renewed at once, while cancellations may still be on their way.
+// leaseValid reports whether something new may be granted: while the leader's lease is valid, and only if the
+// cancellations that are known are recent. After an outage the lease is renewed at once, while cancellations may
+// still be on their way.
 func (t *Term) leaseValid(now micros.Timestamp) bool {
 	return int64(now) < t.leaseValidUntil.Load() && t.resolved.NewerThan(now, t.cfg.LeaseTTL)
 }
 
-// mayRenewWorkerLeases reports whether a worker's lease may be renewed: cancellations must be known up to a time so recent
-// that a job cancelled since is off the worker in time.
+// mayRenewWorkerLeases reports whether a worker's lease may be renewed: cancellations must be known up to a time so
+// recent that a job cancelled since is off the worker in time.
 func (t *Term) mayRenewWorkerLeases(now micros.Timestamp) bool {
 	return t.resolved.NewerThan(now, t.cfg.Settings.MaxStaleness())
 }
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -1,9 +1,9 @@
 // Package leadership drives a controller's election and starts and ends what the controller does by its outcome: a term
 // (package leader) while it leads, a following (package follower) while another does.
 //
-// A Driver owns the election, in the goroutine of Run: it carries out the election's effects, reports their outcomes to it,
-// and watches the leader's key. The controller's services ask it for the present Role from any goroutine. Whether to claim
-// the leadership is decided by package election alone.
+// A Driver owns the election, in the goroutine of Run: it carries out the election's effects, reports their outcomes
+// to it, and watches the leader's key. The controller's services ask it for the present Role from any goroutine.
+// Whether to claim the leadership is decided by package election alone.
 package leadership
 
 import (
@@ -47,8 +47,9 @@
 	RenewLease(ctx context.Context, lease uint64) error
 }
 
-// RateLimits are what this controller may request of the store and the cloud. The leader may request more. They are set by
-// the Driver's goroutine alone: a term that ends while the next has begun must not change the limits of that one.
+// RateLimits are what this controller may request of the store and the cloud. The leader may request more. They are
+// set by the Driver's goroutine alone: a term that ends while the next has begun must not change the limits of that
+// one.
 type RateLimits interface {
 	SetLeading(leading bool)
 }
@@ -201,7 +202,10 @@
 func (d *Driver) announce(ctx context.Context, addr string, token uint64) {
 	client := peer.NewClient(d.cfg.Dial, addr, d.cfg.Settings.Member, token)
 	defer client.Close()
-	for client.Announce(ctx) != nil && routine.Sleep(ctx, announceRetryInterval) {
+	for {
+		if err := client.Announce(ctx); err == nil || !routine.Sleep(ctx, announceRetryInterval) {
+			return
+		}
 	}
 }
 
--- a/internal/leadership/watch.go
+++ b/internal/leadership/watch.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// readLeader reads the leader's key and reports it to the election. It returns the revision from which to watch the key.
+// readLeader reads the leader's key and reports it to the election. It returns the revision from which to watch the
+// key.
 func (d *Driver) readLeader(ctx context.Context) (revision uint64, ok bool) {
 	items, revision, err := d.cfg.Store.List(ctx, state.LeaderKey)
 	if err != nil {
--- a/internal/machinetypes/catalog.go
+++ b/internal/machinetypes/catalog.go
@@ -41,8 +41,8 @@
 // Replace sets the machine types. The slice must not be changed afterwards.
 func (c *Catalog) Replace(types []wire.MachineType) { c.types.Store(&types) }
 
-// Learn reads the machine types until they are known or ctx ends: those that a leader has stored, so that a controller can
-// start while the cloud does not answer, or else the cloud's.
+// Learn reads the machine types until they are known or ctx ends: those that a leader has stored, so that a
+// controller can start while the cloud does not answer, or else the cloud's.
 func (c *Catalog) Learn(ctx context.Context, store Store, cloud Cloud, log *slog.Logger) {
 	const retryInterval = 500 * micros.Millisecond
 	for c.Types() == nil {
--- a/internal/openjobs/openjobs.go
+++ b/internal/openjobs/openjobs.go
@@ -1,6 +1,6 @@
-// Package openjobs follows the records of open jobs in the key-value store, and holds the resolved timestamp up to which a
-// controller knows all cancellations. The leader's term and the lease renewer of a follower use it; each runs Watch in a
-// goroutine of its own and owns its ResolvedTimestamp. The package writes nothing.
+// Package openjobs follows the records of open jobs in the key-value store, and holds the resolved timestamp up to
+// which a controller knows all cancellations. The leader's term and the lease renewer of a follower use it; each runs
+// Watch in a goroutine of its own and owns its ResolvedTimestamp. The package writes nothing.
 package openjobs
 
 import (
@@ -15,10 +15,10 @@
 	"saffronbend/wire"
 )
 
-// ResolvedTimestamp is an instant by this controller's clock: all cancellations that any controller has confirmed before it
-// are known here. It advances by the lists and watches of the open records themselves, by when they were requested, and by
-// nothing else: that a lease could be renewed says nothing about a watch that waits, lags or is being read again.
-// The zero ResolvedTimestamp means that nothing is known.
+// ResolvedTimestamp is an instant by this controller's clock: all cancellations that any controller has confirmed
+// before it are known here. It advances by the lists and watches of the open records themselves, by when they were
+// requested, and by nothing else: that a lease could be renewed says nothing about a watch that waits, lags or is
+// being read again. The zero ResolvedTimestamp means that nothing is known.
 type ResolvedTimestamp struct{ at micros.Timestamp }
 
 // Advance moves the timestamp to when a list or watch was requested, unless it is later already.
--- a/internal/openjobs/openjobs_test.go
+++ b/internal/openjobs/openjobs_test.go
@@ -42,7 +42,9 @@
 	err    error
 }
 
-func (s *fakeStore) Watch(ctx context.Context, prefix string, from uint64, _ time.Duration) (*wire.WatchResponse, error) {
+func (s *fakeStore) Watch(
+	ctx context.Context, prefix string, from uint64, _ time.Duration,
+) (*wire.WatchResponse, error) {
 	if len(s.watches) == 0 {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -81,8 +83,9 @@
 			}
 		})
 		after := began.Add(100 * micros.Millisecond) // the pause after an error
+		changed := []wire.KeyValue{{Key: state.OpenJobKey("a"), Value: value, Version: 11}}
 		want := []Update{
-			{RequestedAt: began, Records: []wire.KeyValue{{Key: state.OpenJobKey("a"), Value: value, Version: 11}}, Removed: []string{"b"}},
+			{RequestedAt: began, Records: changed, Removed: []string{"b"}},
 			{RequestedAt: after, CompleteAt: 30, Records: listed},
 			{RequestedAt: after},
 		}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,6 +1,6 @@
-// Package placement runs a controller's framework scheduler on the leader's snapshots. A Placer owns the scheduler, in one
-// goroutine; the term or the follower of this controller offers it snapshots, and its lease requests go to the leader that
-// published them. It grants nothing and writes nothing.
+// Package placement runs a controller's framework scheduler on the leader's snapshots. A Placer owns the scheduler,
+// in one goroutine; the term or the follower of this controller offers it snapshots, and its lease requests go to the
+// leader that published them. It grants nothing and writes nothing.
 package placement
 
 import (
@@ -17,7 +17,8 @@
 	"saffronbend/wire"
 )
 
-// contactInterval is the longest time between two lease requests: an empty one shows the leader that this controller works.
+// contactInterval is the longest time between two lease requests: an empty one shows the leader that this controller
+// works.
 const contactInterval = 400 * micros.Millisecond
 
 // LeaseGranter is the leader, which grants or refuses lease requests.
@@ -66,8 +67,8 @@
 	}
 }
 
-// keepCompletedRuns returns the newer snapshot with the completed runs of the one that it replaces before its own: each is
-// published once.
+// keepCompletedRuns returns the newer snapshot with the completed runs of the one that it replaces before its own:
+// each is published once.
 func keepCompletedRuns(replaced, newer *snapshot.Snapshot) *snapshot.Snapshot {
 	if replaced.FencingToken != newer.FencingToken || len(replaced.CompletedRuns) == 0 {
 		return newer
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -1,6 +1,7 @@
 package placement
 
 import (
+	"slices"
 	"testing"
 
 	"saffronbend/internal/snapshot"
@@ -18,8 +19,11 @@
 		offers []*snapshot.Snapshot
 		want   []string
 	}{
-		"one":                 {[]*snapshot.Snapshot{offered(1, 1, "a")}, []string{"a"}},
-		"several of a term":   {[]*snapshot.Snapshot{offered(1, 1, "a"), offered(1, 2), offered(1, 3, "b", "c")}, []string{"a", "b", "c"}},
+		"one": {[]*snapshot.Snapshot{offered(1, 1, "a")}, []string{"a"}},
+		"several of a term": {
+			[]*snapshot.Snapshot{offered(1, 1, "a"), offered(1, 2), offered(1, 3, "b", "c")},
+			[]string{"a", "b", "c"},
+		},
 		"of an earlier term":  {[]*snapshot.Snapshot{offered(1, 7, "a"), offered(2, 1, "b")}, []string{"b"}},
 		"nothing was dropped": {[]*snapshot.Snapshot{offered(1, 1), offered(1, 2, "b")}, []string{"b"}},
 	}
@@ -37,13 +41,8 @@
 			for _, run := range latest.CompletedRuns {
 				got = append(got, run.Job)
 			}
-			if len(got) != len(c.want) {
-				t.Fatalf("completed runs of %v, want %v", got, c.want)
-			}
-			for i := range got {
-				if got[i] != c.want[i] {
-					t.Fatalf("completed runs of %v, want %v", got, c.want)
-				}
+			if !slices.Equal(got, c.want) {
+				t.Errorf("completed runs of %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/internal/routine/routine.go
+++ b/internal/routine/routine.go
@@ -1,6 +1,6 @@
-// Package routine holds what long-lived goroutines share: a group that waits for the goroutines of one owner, a wait that
-// ends with a context, and a time budget for a round of work. Whoever starts a goroutine in the controller does it through
-// a Group and waits for it; the package itself starts nothing else and keeps no state.
+// Package routine holds what long-lived goroutines share: a group that waits for the goroutines of one owner, a wait
+// that ends with a context, and a time budget for a round of work. Whoever starts a goroutine in the controller does
+// it through a Group and waits for it; the package itself starts nothing else and keeps no state.
 package routine
 
 import (
@@ -18,8 +18,8 @@
 	wait   sync.WaitGroup
 }
 
-// Go runs f in a goroutine of the group. Once Wait has been called, Go does nothing: the owner is ending, and whatever is
-// started through the group ends with its owner.
+// Go runs f in a goroutine of the group. Once Wait has been called, Go does nothing: the owner is ending, and
+// whatever is started through the group ends with its owner.
 func (g *Group) Go(f func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/limits.go
+++ b/limits.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// urgentWriteShare is the share of the store's writes a second that is kept for submissions and cancellations, whichever
-	// controllers they come to. The rest is the leader's, for progress, which gives way should several need their share at
-	// once.
+	// urgentWriteShare is the share of the store's writes a second that is kept for submissions and cancellations,
+	// whichever controllers they come to. The rest is the leader's, for progress, which gives way should several need
+	// their share at once.
 	urgentWriteShare = 0.375
 	// leaderCloudShare is the leader's share of the cloud's requests.
 	leaderCloudShare = 0.7
@@ -17,8 +17,8 @@
 	followerCloudDivisor = 3
 )
 
-// rateLimits sets what this controller may request of the store and the cloud. The leader does nearly all the writing and
-// all the scaling.
+// rateLimits sets what this controller may request of the store and the cloud. The leader does nearly all the writing
+// and all the scaling.
 type rateLimits struct {
 	settings *settings.Settings
 	store    *state.Client
--- a/node.go
+++ b/node.go
@@ -2,9 +2,9 @@
 // consensus-backed key-value store for what must be durable.
 //
 // A Node is one controller, and what programs embed. It wires up the packages that do the work and runs them: package
-// leadership takes part in the election and runs the controller's part in a term (packages leader and follower), package
-// placement places the tasks of the teams assigned to this controller, and the servers pass requests to whichever of them
-// is concerned. Node itself decides nothing and holds no state of the cluster.
+// leadership takes part in the election and runs the controller's part in a term (packages leader and follower),
+// package placement places the tasks of the teams assigned to this controller, and the servers pass requests to
+// whichever of them is concerned. Node itself decides nothing and holds no state of the cluster.
 package saffronbend
 
 import (
@@ -29,7 +29,8 @@
 	"saffronbend/internal/worker"
 )
 
-// leaderLeaseTTL is how long a leader that ends without notice keeps others waiting, if its host doesn't refuse connections.
+// leaderLeaseTTL is how long a leader that ends without notice keeps others waiting, if its host doesn't refuse
+// connections.
 const leaderLeaseTTL = 5 * micros.Second
 
 // Node is one controller.
@@ -115,8 +116,8 @@
 	})
 }
 
-// Run serves until ctx ends or a listener fails, and waits for all that it has started. It returns why it ended, nil if ctx
-// was cancelled.
+// Run serves until ctx ends or a listener fails, and waits for all that it has started. It returns why it ended, nil
+// if ctx was cancelled.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/server.go
+++ b/server.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	// heartbeatBatch is how many heartbeats are admitted together for each processor, heartbeatPatience how long others wait:
-	// a worker gives up after 4 s. In smaller batches, or with less patience, more workers lose their leases in a flood; in
-	// larger ones the controller's own duties wait for longer, and more leaders lose their term.
+	// heartbeatBatch is how many heartbeats are admitted together for each processor, heartbeatPatience how long others
+	// wait: a worker gives up after 4 s. In smaller batches, or with less patience, more workers lose their leases in a
+	// flood; in larger ones the controller's own duties wait for longer, and more leaders lose their term.
 	heartbeatBatch    = 32
 	heartbeatPatience = 3800 * time.Millisecond
 
@@ -40,8 +40,8 @@
 	shutdownTimeout   = time.Second
 )
 
-// serve serves users, workers and health checks until ctx ends. Heartbeats are many and regular; everything else goes before
-// them.
+// serve serves users, workers and health checks until ctx ends. Heartbeats are many and regular; everything else goes
+// before them.
 func (n *Node) serve(ctx context.Context, listener net.Listener) error {
 	router := httprouter.New()
 	// Users' clients do not follow redirects.
@@ -70,7 +70,7 @@
 		},
 		ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 	}
-	stop := context.AfterFunc(ctx, func() { shutDown(server) })
+	stop := context.AfterFunc(ctx, func() { shutDown(ctx, server) })
 	defer stop()
 	if err := server.Serve(admission.Listener(listener)); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve: %w", err)
@@ -78,9 +78,9 @@
 	return nil
 }
 
-// shutDown ends a server, leaving requests that are being served a moment.
-func shutDown(server *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+// shutDown ends a server once ctx has ended, and leaves requests that are being served a moment.
+func shutDown(ctx context.Context, server *http.Server) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
 	if server.Shutdown(ctx) != nil {
 		_ = server.Close() // its connections end with the process
--- a/services.go
+++ b/services.go
@@ -18,7 +18,7 @@
 
 var (
 	_ worker.HeartbeatHandler = workerService{}
-	_ peer.Controller             = peerService{}
+	_ peer.Controller         = peerService{}
 	_ api.Info                = (*info)(nil)
 )
 
@@ -61,7 +61,9 @@
 }
 
 // Subscribe implements peer.Controller.
-func (s peerService) Subscribe(ctx context.Context, controller string, token uint64) func(since uint64) *snapshot.Update {
+func (s peerService) Subscribe(
+	ctx context.Context, controller string, token uint64,
+) func(since uint64) *snapshot.Update {
 	if term := s.term(token); term != nil {
 		return term.Subscribe(ctx, controller)
 	}
