--- a/internal/leader/scaling/scaling.go
+++ b/internal/leader/scaling/scaling.go
@@ -100,8 +100,8 @@
 	}))
 }
 
-// Due reports whether it is time for a next round.
-func (e *Executor) Due(now micros.Timestamp) bool { return now.Sub(e.lastRound) >= roundInterval }
+// RoundDue reports whether it is time for a next round.
+func (e *Executor) RoundDue(now micros.Timestamp) bool { return now.Sub(e.lastRound) >= roundInterval }
 
 // Round decides on the fleet's size and carries it out. It returns why there is no room yet for tasks that are to be
 // evicted.
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -62,14 +62,14 @@
 		case p.offers <- offer{newest, leader}:
 			return
 		case replaced := <-p.offers:
-			newest = keepCompletedRuns(replaced.snapshot, newest)
+			newest = mergeCompletedRuns(replaced.snapshot, newest)
 		}
 	}
 }
 
-// keepCompletedRuns returns the newer snapshot with the completed runs of the one that it replaces before its own:
+// mergeCompletedRuns returns the newer snapshot with the completed runs of the one that it replaces before its own:
 // each is published once.
-func keepCompletedRuns(replaced, newer *snapshot.Snapshot) *snapshot.Snapshot {
+func mergeCompletedRuns(replaced, newer *snapshot.Snapshot) *snapshot.Snapshot {
 	if replaced.FencingToken != newer.FencingToken || len(replaced.CompletedRuns) == 0 {
 		return newer
 	}
