--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,6 @@
-// Package client talks to saffronbend as a user does: it submits, asks about and
-// withdraws jobs, and repeats requests that could not be served for as long as the
-// protocol says.
+// Package client is the client of saffronbend's interface for users: it submits, polls and cancels jobs. Command-line
+// users reach the service through it, and other programs may. It repeats requests that could not be served for as long
+// as the protocol demands, but decides nothing about jobs.
 package client
 
 import (
@@ -18,129 +18,165 @@
 	"saffronbend/wire"
 )
 
-// Client asks one service, at the given addresses in turn.
+// How long the service may take to answer one request, by the protocol.
+const (
+	changeTimeout = 5 * time.Second
+	pollTimeout   = 2 * time.Second
+)
+
+const (
+	defaultRetryTimeout = time.Minute
+	minRetryDelay       = time.Second
+	maxRetryDelay       = 30 * time.Second
+	maxResponseBytes    = 1 << 20
+)
+
+// Client makes requests of one service. It must not be used concurrently.
 type Client struct {
-	// Servers are addresses with a port. A request that could not be served goes to the
-	// next one.
+	// Servers are the service's addresses, with a port. A request that could not be served goes to the next one.
 	Servers []string
-	// Patience is how long a request is repeated; a minute if it is zero.
+	// RetryTimeout is how long a request is repeated; a minute if it is zero.
 	RetryTimeout time.Duration
-	// Retry, if set, is told why a request has to be repeated, and when.
-	OnRetry func(why string, after time.Duration)
+	// OnRetry, if set, is called before each wait with the reason and the length of it.
+	OnRetry func(reason string, delay time.Duration)
 
 	http http.Client
-	next int
+	next int // index of the server to ask next, not yet reduced by the number of servers
 }
 
-// Refused says that the service has given its final answer, and it is no.
+// RefusedError is the service's final answer that it won't serve a request.
 type RefusedError struct {
-	Status int
+	Status int // of HTTP; 0 if the request could not be formed
 	Reason string
 }
 
-func (r *RefusedError) Error() string { return r.Reason }
+// Error returns the reason.
+func (e *RefusedError) Error() string { return e.Reason }
 
-// Submit submits a job, given as the protocol's JSON.
+// Submit submits a job, in the protocol's JSON, and returns its state; repeating it is safe. The error is that of
+// wire.ParseJob, a *RefusedError, or says why the request was given up.
 func (c *Client) Submit(ctx context.Context, job []byte) (*wire.JobStatus, error) {
 	if _, err := wire.ParseJob(job); err != nil {
 		return nil, err
 	}
-	return c.ask(ctx, http.MethodPost, wire.PathJobs, job, 5*time.Second)
+	return c.retry(ctx, request{http.MethodPost, wire.PathJobs, job, changeTimeout})
 }
 
-// Status asks about a job.
+// Status returns a job's state. The error is a *RefusedError, or says why the request was given up.
 func (c *Client) Status(ctx context.Context, id string) (*wire.JobStatus, error) {
-	return c.named(ctx, http.MethodGet, id, "", 2*time.Second)
+	path, err := jobPath(id)
+	if err != nil {
+		return nil, err
+	}
+	return c.retry(ctx, request{http.MethodGet, path, nil, pollTimeout})
 }
 
-// Withdraw cancels a job; the answer says whether it was done before.
+// Cancel cancels a job; the state returned says whether it was done before. Repeating it is safe. The error is a
+// *RefusedError, or says why the request was given up.
 func (c *Client) Cancel(ctx context.Context, id string) (*wire.JobStatus, error) {
-	return c.named(ctx, http.MethodPost, id, "/"+wire.ActionCancel, 5*time.Second)
+	path, err := jobPath(id)
+	if err != nil {
+		return nil, err
+	}
+	return c.retry(ctx, request{http.MethodPost, path + "/" + wire.ActionCancel, nil, changeTimeout})
 }
 
-func (c *Client) named(ctx context.Context, method, id, suffix string, timeout time.Duration) (*wire.JobStatus, error) {
+func jobPath(id string) (string, error) {
 	if !wire.ValidJobID(id) {
-		return nil, fmt.Errorf("%q is no job id: they are of the form run-000412", id)
+		return "", fmt.Errorf("%q is no job id: they are of the form run-000412", id)
 	}
-	return c.ask(ctx, method, wire.PathJobs+"/"+id+suffix, nil, timeout)
+	return wire.PathJobs + "/" + id, nil
+}
+
+// request is what is repeated until it has a final answer.
+type request struct {
+	method  string
+	path    string
+	body    []byte
+	timeout time.Duration // of one attempt
 }
 
-// ask repeats a request until it has a final answer or the patience is over.
-func (c *Client) ask(ctx context.Context, method, path string, body []byte, timeout time.Duration) (*wire.JobStatus, error) {
+// retry repeats a request until it has a final answer or the next attempt would begin after the retry timeout.
+func (c *Client) retry(ctx context.Context, req request) (*wire.JobStatus, error) {
 	if len(c.Servers) == 0 {
 		return nil, errors.New("no server is given")
 	}
-	patience := c.RetryTimeout
-	if patience == 0 {
-		patience = time.Minute
+	retryTimeout := c.RetryTimeout
+	if retryTimeout == 0 {
+		retryTimeout = defaultRetryTimeout
 	}
-	end := time.Now().Add(patience)
+	deadline := time.Now().Add(retryTimeout)
 	for {
-		st, after, err := c.try(ctx, method, path, body, timeout)
-		var no *RefusedError
-		if err == nil || errors.As(err, &no) {
-			return st, err
+		status, delay, err := c.attempt(ctx, req)
+		var refused *RefusedError
+		if err == nil || errors.As(err, &refused) {
+			return status, err
 		}
-		if ctx.Err() != nil || time.Now().Add(after).After(end) {
+		if ctx.Err() != nil || time.Now().Add(delay).After(deadline) {
 			return nil, fmt.Errorf("given up: %w", err)
 		}
 		if c.OnRetry != nil {
-			c.OnRetry(err.Error(), after)
+			c.OnRetry(err.Error(), delay)
 		}
 		c.next++
 		select {
 		case <-ctx.Done():
 			return nil, fmt.Errorf("given up: %w", err)
-		case <-time.After(after):
+		case <-time.After(delay):
 		}
 	}
 }
 
-// try makes a request once; unless the answer is final, it says when to try again.
-func (c *Client) try(ctx context.Context, method, path string, body []byte, timeout time.Duration) (*wire.JobStatus, time.Duration, error) {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+// attempt makes a request once. After an error other than a *RefusedError it may be repeated after the delay.
+func (c *Client) attempt(
+	ctx context.Context, req request,
+) (status *wire.JobStatus, retryDelay time.Duration, err error) {
+	ctx, cancel := context.WithTimeout(ctx, req.timeout)
 	defer cancel()
 	server := c.Servers[c.next%len(c.Servers)]
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+server+path, bytes.NewReader(body))
+	url := "http://" + server + req.path
+	httpRequest, err := http.NewRequestWithContext(ctx, req.method, url, bytes.NewReader(req.body))
 	if err != nil {
 		return nil, 0, &RefusedError{Reason: fmt.Sprintf("%q is no address of a server", server)}
 	}
-	resp, err := c.http.Do(req)
+	resp, err := c.http.Do(httpRequest)
 	if err != nil {
-		return nil, time.Second, fmt.Errorf("%s does not answer: %w", server, err)
+		return nil, minRetryDelay, fmt.Errorf("%s does not answer: %w", server, err)
 	}
-	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
+	defer func() { _ = resp.Body.Close() }() // it was read, or the read's error is returned
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return nil, time.Second, fmt.Errorf("%s does not answer: %w", server, err)
+		return nil, minRetryDelay, fmt.Errorf("%s does not answer: %w", server, err)
 	}
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusCreated:
-		st := new(wire.JobStatus)
-		if err := json.Unmarshal(data, st); err != nil {
-			return nil, time.Second, fmt.Errorf("the answer of %s can't be read: %w", server, err)
+		status = new(wire.JobStatus)
+		if err := json.Unmarshal(body, status); err != nil {
+			return nil, minRetryDelay, fmt.Errorf("the answer of %s can't be read: %w", server, err)
 		}
-		return st, 0, nil
+		return status, 0, nil
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusUnprocessableEntity:
-		return nil, 0, &RefusedError{resp.StatusCode, reason(data, resp.Status)}
+		return nil, 0, &RefusedError{resp.StatusCode, refusalReason(body, resp.Status)}
 	}
-	return nil, retryAfter(resp.Header.Get("Retry-After")), fmt.Errorf("%s: %s", server, reason(data, resp.Status))
+	retryDelay = parseRetryAfter(resp.Header.Get("Retry-After"))
+	return nil, retryDelay, fmt.Errorf("%s: %s", server, refusalReason(body, resp.Status))
 }
 
-// reason gives what an answer says of itself.
-func reason(body []byte, status string) string {
-	var e wire.ErrorResponse
-	if json.Unmarshal(body, &e) == nil && e.Error != "" {
-		return e.Error
+// refusalReason returns the reason that a response states, or else its status line.
+func refusalReason(body []byte, statusLine string) string {
+	var response wire.ErrorResponse
+	if json.Unmarshal(body, &response) == nil && response.Error != "" {
+		return response.Error
 	}
-	return strings.ToLower(status)
+	return strings.ToLower(statusLine)
 }
 
-// retryAfter is a second or more, as the answer says, up to 30 s.
-func retryAfter(header string) time.Duration {
-	s, err := strconv.Atoi(header)
+// parseRetryAfter returns the delay that a Retry-After header of whole seconds asks for, within the protocol's bounds.
+func parseRetryAfter(header string) time.Duration {
+	seconds, err := strconv.Atoi(header)
 	if err != nil {
-		s = 1
+		return minRetryDelay
 	}
-	return time.Duration(min(max(s, 1), 30)) * time.Second
+	const minSeconds, maxSeconds = int(minRetryDelay / time.Second), int(maxRetryDelay / time.Second)
+	return time.Duration(min(max(seconds, minSeconds), maxSeconds)) * time.Second
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -3,90 +3,180 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
 )
 
-const job = `{"id":"run-000412","lane":"train","owner":"vision","shape":"batch","urgency":"high","pieces":1,"cores":1,"cards":0,
-"memory_gb":1,"bundle":"img","size_gb":1,"together":false,"scatter":false,"loaners":true,"guess_s":1,"snapshot_s":0,"stash_s":0}`
+const job = `{"id":"run-000412","lane":"train","owner":"vision","shape":"batch","urgency":"high","pieces":1,"cores":1,
+"cards":0,"memory_gb":1,"bundle":"img","size_gb":1,"together":false,"scatter":false,"loaners":true,"guess_s":1,
+"snapshot_s":0,"stash_s":0}`
 
-// answers gives a client whose servers answer one after the other as given.
-func answers(c *Client, list ...string) *[]string {
-	asked := new([]string)
-	c.http.Transport = roundTripper(func(r *http.Request) (*http.Response, error) {
-		*asked = append(*asked, r.Method+" "+r.URL.Host+r.URL.Path)
-		if len(list) == 0 {
-			return nil, &net.OpError{Op: "dial", Err: errors.New("connection refused")}
-		}
-		code, body, _ := strings.Cut(list[0], " ")
-		list = list[1:]
-		resp := &http.Response{StatusCode: map[string]int{"201": 201, "200": 200, "422": 422, "503": 503, "429": 429, "404": 404}[code],
-			Status: code, Header: http.Header{"Retry-After": {"7"}}, Body: io.NopCloser(strings.NewReader(body))}
-		return resp, nil
-	})
-	return asked
+type response struct {
+	status int
+	body   string
 }
 
-type roundTripper func(*http.Request) (*http.Response, error)
+// servers answers the requests of a client one after the other with the given responses, and records them.
+type servers struct {
+	responses []response // none left: the connection is refused
+	requests  []string
+}
 
-func (f roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+func (s *servers) RoundTrip(r *http.Request) (*http.Response, error) {
+	s.requests = append(s.requests, r.Method+" "+r.URL.Host+r.URL.Path)
+	if len(s.responses) == 0 {
+		return nil, &net.OpError{Op: "dial", Err: errors.New("connection refused")}
+	}
+	next := s.responses[0]
+	s.responses = s.responses[1:]
+	return &http.Response{
+		StatusCode: next.status,
+		Status:     fmt.Sprint(next.status),
+		Header:     http.Header{"Retry-After": {"7"}},
+		Body:       io.NopCloser(strings.NewReader(next.body)),
+	}, nil
+}
+
+// newClient returns a client of two servers that give these responses.
+func newClient(responses ...response) (*Client, *servers) {
+	servers := &servers{responses: responses}
+	client := &Client{Servers: []string{"a:1", "b:2"}}
+	client.http.Transport = servers
+	return client, servers
+}
 
 func TestRepeatsWhatCouldNotBeServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &Client{Servers: []string{"a:1", "b:2"}}
-		asked := answers(c, `503 {"error":"busy"}`, `429 {}`, `201 {"id":"run-000412","status":"pending"}`)
-		began := time.Now()
-		st, err := c.Submit(context.Background(), []byte(job))
-		if err != nil || st.State != "pending" {
-			t.Fatal(st, err)
+		client, servers := newClient(
+			response{503, `{"error":"busy"}`}, response{429, `{}`},
+			response{201, `{"id":"run-000412","status":"pending"}`})
+		var reasons []string
+		client.OnRetry = func(reason string, delay time.Duration) {
+			reasons = append(reasons, fmt.Sprintf("%s, %s", reason, delay))
 		}
-		if time.Since(began) != 14*time.Second {
-			t.Errorf("it took %v, Retry-After says twice 7 s", time.Since(began))
+		start := time.Now()
+		status, err := client.Submit(t.Context(), []byte(job))
+		if err != nil || status.State != "pending" {
+			t.Fatal(status, err)
 		}
-		if got := strings.Join(*asked, ","); got != "POST a:1/v1/jobs,POST b:2/v1/jobs,POST a:1/v1/jobs" {
-			t.Error(got)
+		if took := time.Since(start); took != 14*time.Second {
+			t.Errorf("it took %v, Retry-After says twice 7 s", took)
+		}
+		want := []string{"POST a:1/v1/jobs", "POST b:2/v1/jobs", "POST a:1/v1/jobs"}
+		if !slices.Equal(servers.requests, want) {
+			t.Errorf("requested %v, want %v", servers.requests, want)
+		}
+		if want := []string{"a:1: busy, 7s", "b:2: 429, 7s"}; !slices.Equal(reasons, want) {
+			t.Errorf("reported %q, want %q", reasons, want)
 		}
 	})
 }
 
 func TestGivesUp(t *testing.T) {
+	cases := []struct {
+		name         string
+		retryTimeout time.Duration
+		cancelAfter  time.Duration // 0: never
+		longest      time.Duration
+		minAttempts  int
+	}{
+		{"after a minute", 0, 0, time.Minute, 30},
+		{"after the retry timeout", 5 * time.Second, 0, 5 * time.Second, 3},
+		{"when its context ends", 0, 2500 * time.Millisecond, 2500 * time.Millisecond, 2},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				client, servers := newClient()
+				client.RetryTimeout = c.retryTimeout
+				ctx, cancel := context.WithCancel(t.Context())
+				defer cancel()
+				if c.cancelAfter > 0 {
+					time.AfterFunc(c.cancelAfter, cancel)
+				}
+				start := time.Now()
+				_, err := client.Status(ctx, "run-000412")
+				took, attempts := time.Since(start), len(servers.requests)
+				if attempts < c.minAttempts || took > c.longest {
+					t.Fatalf("%d attempts in %v", attempts, took)
+				}
+				lastServer := []string{"a:1", "b:2"}[(attempts-1)%2]
+				want := "given up: " + lastServer + " does not answer"
+				if err == nil || !strings.HasPrefix(err.Error(), want) {
+					t.Errorf("got %v, want %s", err, want)
+				}
+			})
+		})
+	}
+}
+
+func TestRepeatsAfterAResponseThatCannotBeRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &Client{Servers: []string{"a:1"}}
-		asked := answers(c)
-		began := time.Now()
-		_, err := c.Status(context.Background(), "run-000412")
-		if err == nil || !strings.HasPrefix(err.Error(), "given up: a:1 does not answer") {
-			t.Error(err)
-		}
-		if n := len(*asked); n < 30 || time.Since(began) > time.Minute {
-			t.Errorf("%d tries in %v", n, time.Since(began))
+		client, servers := newClient(response{200, `{"id":`}, response{200, `{"id":"run-1","status":"done"}`})
+		status, err := client.Status(t.Context(), "run-1")
+		if err != nil || status.State != "done" || len(servers.requests) != 2 {
+			t.Errorf("got %v, %v after %d requests", status, err, len(servers.requests))
 		}
 	})
 }
 
 func TestFinalRefusals(t *testing.T) {
-	c := &Client{Servers: []string{"a:1"}}
-	asked := answers(c, `422 {"error":"unknown team"}`, `404 {"error":"no such job"}`)
-	_, err := c.Submit(context.Background(), []byte(job))
-	var no *RefusedError
-	if !errors.As(err, &no) || no.Status != 422 || err.Error() != "unknown team" {
-		t.Error(err)
+	client, servers := newClient(
+		response{422, `{"error":"unknown team"}`}, response{404, `{"error":"no such job"}`}, response{400, ``})
+	ctx := t.Context()
+	_, err := client.Submit(ctx, []byte(job))
+	var refused *RefusedError
+	if !errors.As(err, &refused) || refused.Status != 422 || err.Error() != "unknown team" {
+		t.Errorf("submission: got %v", err)
+	}
+	if _, err = client.Cancel(ctx, "run-1"); err == nil || err.Error() != "no such job" {
+		t.Errorf("cancellation: got %v", err)
+	}
+	if _, err = client.Status(ctx, "run-1"); !errors.As(err, &refused) || refused.Status != 400 || err.Error() != "400" {
+		t.Errorf("poll: got %v", err)
+	}
+	want := []string{"POST a:1/v1/jobs", "POST a:1/v1/jobs/run-1/withdraw", "GET a:1/v1/jobs/run-1"}
+	if !slices.Equal(servers.requests, want) {
+		t.Errorf("requested %v, want %v", servers.requests, want)
+	}
+}
+
+func TestRefusesWithoutARequest(t *testing.T) {
+	client, servers := newClient()
+	ctx := t.Context()
+	_, err := client.Submit(ctx, []byte(`{"id":"run-1"}`))
+	if err == nil || err.Error() != `field "lane" is missing` {
+		t.Errorf("invalid submission: got %v", err)
+	}
+	if _, err = client.Status(ctx, "412"); err == nil {
+		t.Error("polled for an ID that is none")
+	}
+	if _, err = client.Cancel(ctx, "412"); err == nil {
+		t.Error("cancelled an ID that is none")
 	}
-	if _, err = c.Cancel(context.Background(), "run-1"); err == nil || err.Error() != "no such job" {
-		t.Error(err)
+	if _, err = new(Client).Status(ctx, "run-1"); err == nil {
+		t.Error("polled without a server")
 	}
-	if _, err = c.Submit(context.Background(), []byte(`{"id":"run-1"}`)); err == nil || err.Error() != `field "lane" is missing` {
-		t.Error(err)
+	if len(servers.requests) != 0 {
+		t.Errorf("requested %v", servers.requests)
 	}
-	if _, err = c.Status(context.Background(), "412"); err == nil {
-		t.Error("an id that is none was asked about")
+}
+
+func TestParseRetryAfter(t *testing.T) {
+	cases := map[string]time.Duration{
+		"": time.Second, "soon": time.Second, "-5": time.Second, "0": time.Second, "7": 7 * time.Second,
+		"30": 30 * time.Second, "3600": 30 * time.Second, "999999999999": 30 * time.Second,
 	}
-	if len(*asked) != 2 {
-		t.Error(*asked)
+	for header, want := range cases {
+		if got := parseRetryAfter(header); got != want {
+			t.Errorf("%q: got %v, want %v", header, got, want)
+		}
 	}
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,6 @@
-// Package cloud is the client of the cloud that rents machines.
+// Package cloud is the client of the cloud that rents machines by the second. The leader uses it to list machines and
+// their types and to scale out and in, within its part of the cloud's rate limit. It decides nothing and never retries;
+// package fleet decides which machines are rented and returned.
 package cloud
 
 import (
@@ -17,105 +19,135 @@
 	"saffronbend/wire"
 )
 
-// ErrNoCapacity says that none of the machines asked for can be had now.
-var ErrNoCapacity = errors.New("no capacity")
+// Errors after which it is certain that the request was not carried out. After any other error of a request that scales
+// out or in the outcome is unknown: it may have been carried out, or may yet be.
+var (
+	// ErrNoCapacity means that none of the machines asked for can be had now. Its text is the protocol's.
+	ErrNoCapacity = errors.New("no capacity")
+	// ErrUnavailable means an outage, or that the rate limit was exceeded.
+	ErrUnavailable = errors.New("the cloud does not serve now")
+)
 
-// ErrUnavailable says that the cloud did not carry the request out.
-var ErrUnavailable = errors.New("the cloud does not serve now")
+// requestTimeout includes the wait for the rate limit.
+const requestTimeout = 5 * time.Second
 
-// Client talks to the cloud within its limits.
+// Client makes requests of the cloud within this controller's part of its rate limit. Its methods may be called
+// concurrently.
 type Client struct {
-	base string
-	http *http.Client
-	lim  *rate.Limiter
+	baseURL string
+	http    *http.Client
+	limiter *rate.Limiter
 }
 
-// New makes a client.
-func New(dial call.Dialer, addr string, rps float64) *Client {
-	tr := &http.Transport{DialContext: dial, MaxConnsPerHost: 4, MaxIdleConnsPerHost: 4,
-		IdleConnTimeout: time.Minute, DisableCompression: true}
-	return &Client{base: "http://" + addr, http: &http.Client{Transport: tr},
-		lim: rate.NewLimiter(rate.Limit(rps), max(1, int(rps)))}
+// New returns a client of the cloud at an address with a port. It starts no goroutine of its own.
+func New(dial call.Dialer, addr string, requestsPerSecond float64) *Client {
+	const connections = 4
+	transport := &http.Transport{
+		DialContext:         dial,
+		MaxConnsPerHost:     connections,
+		MaxIdleConnsPerHost: connections,
+		IdleConnTimeout:     time.Minute,
+		DisableCompression:  true,
+	}
+	return &Client{
+		baseURL: "http://" + addr,
+		http:    &http.Client{Transport: transport},
+		limiter: rate.NewLimiter(rate.Limit(requestsPerSecond), burst(requestsPerSecond)),
+	}
 }
 
-// SetShare changes how many requests a second this controller may send.
-func (c *Client) SetRate(rps float64) {
-	c.lim.SetLimit(rate.Limit(rps))
-	c.lim.SetBurst(max(1, int(rps)))
+// SetRate changes how many requests a second this controller may make.
+func (c *Client) SetRate(requestsPerSecond float64) {
+	c.limiter.SetLimit(rate.Limit(requestsPerSecond))
+	c.limiter.SetBurst(burst(requestsPerSecond))
 }
 
-func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
+// burst returns how many requests may be made at once: a second's worth.
+func burst(requestsPerSecond float64) int { return max(1, int(requestsPerSecond)) }
+
+// do waits for the rate limit, carries a request out and decodes the response unless that is nil.
+func (c *Client) do(ctx context.Context, method, path string, body, response any) error {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	if err := c.lim.Wait(ctx); err != nil {
-		return ErrUnavailable
+	if err := c.limiter.Wait(ctx); err != nil {
+		return ErrUnavailable // for the caller it is as if the cloud had refused: nothing was sent
 	}
-	status, data, err := call.JSON(ctx, c.http, method, c.base+path, in)
+	status, encoded, err := call.JSON(ctx, c.http, method, c.baseURL+path, body)
 	if err != nil {
 		return fmt.Errorf("cloud: %w", err)
 	}
+	if err := statusError(status, encoded); err != nil {
+		return err
+	}
+	if response == nil {
+		return nil
+	}
+	if err := json.Unmarshal(encoded, response); err != nil {
+		return fmt.Errorf("cloud: decode response: %w", err)
+	}
+	return nil
+}
+
+// statusError returns what a response's status means. The body distinguishes a lack of capacity from an outage.
+func statusError(status int, body []byte) error {
 	switch status {
 	case http.StatusOK:
+		return nil
+	case http.StatusTooManyRequests:
+		return ErrUnavailable
 	case http.StatusServiceUnavailable:
-		var e wire.ErrorResponse
-		if json.Unmarshal(data, &e) == nil && e.Error == ErrNoCapacity.Error() {
+		var refusal wire.ErrorResponse
+		if json.Unmarshal(body, &refusal) == nil && refusal.Error == ErrNoCapacity.Error() {
 			return ErrNoCapacity
 		}
 		return ErrUnavailable
-	case http.StatusTooManyRequests:
-		return ErrUnavailable
-	default:
-		return fmt.Errorf("cloud: status %d", status)
-	}
-	if out != nil {
-		if err := json.Unmarshal(data, out); err != nil {
-			return fmt.Errorf("cloud: answer: %w", err)
-		}
 	}
-	return nil
+	return fmt.Errorf("cloud: status %d", status)
 }
 
-// Types lists the machine types with their current prices.
+// MachineTypes lists the machine types, with their present prices.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
-	var t wire.MachineTypes
-	if err := c.do(ctx, http.MethodGet, "/machine_types", nil, &t); err != nil {
+	var list wire.MachineTypes
+	if err := c.do(ctx, http.MethodGet, "/machine_types", nil, &list); err != nil {
 		return nil, err
 	}
-	return t.Types, nil
+	return list.Types, nil
 }
 
-// ScaleOut rents machines. After an error other than ErrNoCapacity and ErrUnavailable
-// the machines may exist all the same; repeating the same request is safe.
-func (c *Client) ScaleOut(ctx context.Context, h wire.ScaleOutRequest) ([]string, error) {
-	var n wire.MachineIDs
-	if err := c.do(ctx, http.MethodPost, "/machines", h, &n); err != nil {
+// ScaleOut rents machines and returns their IDs, which may be fewer than asked for. After an error other than
+// ErrNoCapacity and ErrUnavailable the machines may exist all the same; repeating the same request is safe.
+func (c *Client) ScaleOut(ctx context.Context, request wire.ScaleOutRequest) (ids []string, err error) {
+	var machines wire.MachineIDs
+	if err := c.do(ctx, http.MethodPost, "/machines", request, &machines); err != nil {
 		return nil, err
 	}
-	return n.IDs, nil
+	return machines.IDs, nil
 }
 
-// ScaleIn returns machines; nil means that they and all on them are gone.
-func (c *Client) ScaleIn(ctx context.Context, names []string) error {
-	return c.do(ctx, http.MethodPost, "/machines/delete", wire.MachineIDs{IDs: names}, nil)
+// ScaleIn returns machines to the cloud, 100 at most; unknown ones are ignored. nil means that they are gone and all
+// tasks on them with them.
+func (c *Client) ScaleIn(ctx context.Context, ids []string) error {
+	return c.do(ctx, http.MethodPost, "/machines/delete", wire.MachineIDs{IDs: ids}, nil)
 }
 
-// List reads the whole list of machines.
+// ListMachines lists all machines, in the order of their creation. The list lags, and may be older than the one before:
+// that a machine is missing proves nothing.
 func (c *Client) ListMachines(ctx context.Context) ([]wire.Machine, error) {
-	var all []wire.Machine
-	from := ""
+	var machines []wire.Machine
+	after := ""
 	for {
-		q := url.Values{"page": {strconv.Itoa(wire.MachinePageSize)}}
-		if from != "" {
-			q.Set("from", from)
+		query := url.Values{"page": {strconv.Itoa(wire.MachinePageSize)}}
+		if after != "" {
+			query.Set("from", after)
 		}
-		var l wire.MachinePage
-		if err := c.do(ctx, http.MethodGet, "/machines?"+q.Encode(), nil, &l); err != nil {
+		var page wire.MachinePage
+		if err := c.do(ctx, http.MethodGet, "/machines?"+query.Encode(), nil, &page); err != nil {
 			return nil, err
 		}
-		all = append(all, l.Machines...)
-		if !l.More || len(l.Machines) == 0 {
-			return all, nil
+		machines = append(machines, page.Machines...)
+		if !page.More || len(page.Machines) == 0 {
+			return machines, nil
 		}
-		from = l.Machines[len(l.Machines)-1].ID
+		after = machines[len(machines)-1].ID
 	}
 }
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -30,7 +30,7 @@
 	return client
 }
 
-// respond returns a handler that gives every request the same response.
+// respond returns a handler that answers every request alike.
 func respond(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -31,6 +31,7 @@
 	FailedKeys []string // whose versions were other than expected
 }
 
+// Error names the keys.
 func (e *ConflictError) Error() string { return fmt.Sprintf("conditions failed: %v", e.FailedKeys) }
 
 // RecordError means that a stored record can't be used.
@@ -39,6 +40,7 @@
 	Err error
 }
 
+// Error names the key and the cause.
 func (e *RecordError) Error() string { return "record " + e.Key + ": " + e.Err.Error() }
 
 // Unwrap returns the cause.
--- a/internal/state/lease.go
+++ b/internal/state/lease.go
@@ -27,7 +27,7 @@
 	return lease.ID, nil
 }
 
-// RenewLease gives a lease its full time to live again. ErrLeaseExpired means that it has expired, and that its keys
+// RenewLease restores a lease's full time to live. ErrLeaseExpired means that it has expired, and that its keys
 // are removed.
 func (c *Client) RenewLease(ctx context.Context, id uint64) error {
 	status, err := c.do(ctx, request{
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -17,7 +17,7 @@
 // LeaderRecord names a member that leads, or renews worker leases.
 type LeaderRecord struct {
 	Member string `json:"member"`
-	// Incarnation tells the processes apart that have run under the member's name.
+	// Incarnation distinguishes the processes that have run under the member's name.
 	Incarnation uint64 `json:"run"`
 }
 
--- a/wire/job_validation.go
+++ b/wire/job_validation.go
@@ -34,6 +34,7 @@
 	Problem string
 }
 
+// Error returns the text that users read.
 func (e *FieldError) Error() string { return fmt.Sprintf("field %q %s", e.Field, e.Problem) }
 
 // requiredFields must be present and not null in a submission.
@@ -91,7 +92,8 @@
 	return job, nil
 }
 
-// requireFields tells a field that is missing or null, which decoding into a Job would not, from one that is zero.
+// requireFields distinguishes a field that is missing or null, which decoding into a Job would not do, from one that
+// is zero.
 func requireFields(body []byte) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
