--- a/internal/manager/bench_test.go
+++ b/internal/manager/bench_test.go
@@ -165,9 +165,9 @@
 func BenchmarkDirectsAllOut(b *testing.B) {
 	bySize(b, func(b *testing.B, machines int) {
 		m, now, _ := largeFleet(b, machines)
-		m.pushesInFlight = m.cfg.MaxCommandPushes
+		m.pushes.inFlight = m.pushes.maxInFlight
 		for id := range m.machines {
-			m.pushCandidates[id] = true
+			m.pushes.candidates[id] = true
 		}
 		for b.Loop() {
 			m.CommandPushes(*now, true)
--- a/internal/manager/disruptions.go
+++ b/internal/manager/disruptions.go
@@ -9,92 +9,106 @@
 	"saffronbend/wire"
 )
 
-// This file keeps the ledger of disturbed work, and its records: one beside each progress record whose tasks are disturbed.
-// Both are written in the same transaction, so that an attempt does not vanish from the one before it is found in the other.
-
-// disruptionRecord is the durable part of the ledger that belongs to a progress record.
+// disruptionRecord is the record of the ledger's entries that belong to a progress shard. Both records are written in the
+// same transaction, so that an attempt does not vanish from the one before it is found in the other.
 type disruptionRecord struct {
-	version uint64 // 0: it does not exist
+	version uint64 // 0: the record does not exist
 	stored  string // its entries as they are stored
-	writing string // its entries in the write that is out
-}
-
-func taskID(attempt *taskAttempt) disruption.Task {
-	return disruption.Task{Job: attempt.job.record.Job.ID, Index: attempt.taskIndex}
+	writing string // its entries in the write that is in flight
 }
 
-// launched tells whether the worker may know of an attempt.
-func (attempt *taskAttempt) launched() bool {
-	return !attempt.grantedThisTerm || attempt.launchSentSeq != 0 || attempt.pushInFlight || attempt.pushOutcomeUnknown || attempt.listed
+// committed applies that the write of the record was executed.
+func (record *disruptionRecord) committed(revision uint64) {
+	record.stored, record.version = record.writing, revision
+	if record.stored == "" {
+		record.version = 0
+	}
 }
 
-// disturb notes that an attempt which may run is stopped or lost. The job's own end is no disturbance, nor is that of an
-// attempt which has given its result.
-func (m *Manager) beginDisturbance(now micros.Timestamp, attempt *taskAttempt, cause disruption.Cause) {
+// beginDisruption records that an attempt which may run is being stopped, or was lost. The job's own end is no
+// disruption, nor is the end of an attempt whose result is known.
+func (m *Manager) beginDisruption(now micros.Timestamp, attempt *taskAttempt, cause disruption.Cause) {
 	job := attempt.job
-	if m.ledger == nil || job.finalState != "" || job.taskStates[attempt.taskIndex] != taskActive || !attempt.launched() || attempt.failed {
+	if m.ledger == nil || job.final() || job.taskPhases[attempt.taskIndex] != taskActive || neverLaunched(attempt) {
 		return
 	}
-	if m.ledger.Begin(disruption.Disruption{Task: taskID(attempt), Team: job.record.Job.Team, Attempt: attempt.id, Cause: cause, Since: now}) {
+	begun := m.ledger.Begin(disruption.Disruption{
+		Task: attempt.task(), Team: job.spec().Team, Attempt: attempt.id, Cause: cause, Since: now,
+	})
+	if begun {
 		m.markShardDirty(now, job, attempt.taskIndex, false)
-		m.event("work is disturbed", "task", attempt.taskName, "attempt", attempt.id, "team", job.record.Job.Team, "cause", string(cause), "machine", attempt.machine.id)
+		m.event("task disrupted", "task", attempt.taskName, "attempt", attempt.id, "team", job.spec().Team,
+			"reason", string(cause), "machine", attempt.machine.id)
 	}
 }
 
-// runs notes that an attempt is reported running, which ends the disturbance of its task. Where it is the very attempt that
-// was to be stopped, an earlier leader has decided so and not carried it out, and won't any more: the worker has our token.
-func (m *Manager) endDisturbanceIfRunning(now micros.Timestamp, attempt *taskAttempt) {
-	d, ok := m.ledger.Get(taskID(attempt))
-	if !ok || d.Attempt == attempt.id && (attempt.stopping || attempt.evictionPending) {
+// endDisruptionIfRunning applies that an attempt is reported as running, which ends its task's disruption. If it is the
+// very attempt that was to be stopped, an earlier leader has decided that and not carried it out, and will not any more:
+// the agent has our token.
+func (m *Manager) endDisruptionIfRunning(now micros.Timestamp, attempt *taskAttempt) {
+	disrupted, ok := m.ledger.Get(attempt.task())
+	if !ok || disrupted.Attempt == attempt.id && attempt.ending() {
 		return
 	}
-	m.endDisturbance(now, attempt.job, attempt.taskIndex)
+	m.endDisruption(now, attempt.job, attempt.taskIndex)
 }
 
-// endDisturbance notes that a task runs again, or need not any more.
-func (m *Manager) endDisturbance(now micros.Timestamp, job *jobState, task int) {
-	if d, ok := m.ledger.End(disruption.Task{Job: job.record.Job.ID, Index: task}); ok {
-		m.markShardDirty(now, job, task, false)
-		m.event("work is disturbed no longer", "task", d.Task.String(), "team", d.Team, "cause", string(d.Cause), "after_s", now.Sub(d.Since).Seconds())
+// endDisruption records that a task runs again, or need not any more.
+func (m *Manager) endDisruption(now micros.Timestamp, job *jobState, task int) {
+	disrupted, ok := m.ledger.End(disruption.Task{Job: job.id(), Index: task})
+	if !ok {
+		return
 	}
+	m.markShardDirty(now, job, task, false)
+	m.event("task disruption ended", "task", disrupted.Task.String(), "team", disrupted.Team,
+		"reason", string(disrupted.Cause), "after_s", now.Sub(disrupted.Since).Seconds())
 }
 
-// RestoreDisruptions takes the records that an earlier leader has left. It is called before anything is granted.
+// RestoreDisruptions recovers the ledger from the records below the disruption prefix. It must be called before anything
+// is granted, and fails with a state.RecordError if a record cannot be decoded.
 func (m *Manager) RestoreDisruptions(now micros.Timestamp, items []wire.KeyValue) error {
 	if m.ledger == nil {
 		return nil
 	}
-	for _, it := range items {
-		id, n, ok := state.ParseDisruptionKey(it.Key)
+	for _, item := range items {
+		id, shardIndex, ok := state.ParseDisruptionKey(item.Key)
 		job := m.jobs[id]
 		if !ok || job == nil {
-			m.orphanRecords = append(m.orphanRecords, RecordChange{Key: it.Key, Version: it.Version})
+			m.writes.orphanRecords = append(m.writes.orphanRecords, RecordChange{Key: item.Key, Version: item.Version})
 			continue
 		}
-		var rec state.DisruptionRecord
-		if err := state.DecodeRecord(it, &rec); err != nil {
+		var record state.DisruptionRecord
+		if err := state.DecodeRecord(item, &record); err != nil {
 			return err
 		}
-		stored, err := encodeDisturbances(rec.Open)
+		stored, err := encodeDisruptions(record.Open)
 		if err != nil {
-			return &state.RecordError{Key: it.Key, Err: err}
+			return &state.RecordError{Key: item.Key, Err: err}
 		}
-		job.shard(n).disruptions = disruptionRecord{version: it.Version, stored: stored}
-		for _, o := range rec.Open {
-			if o.Task < 0 || o.Task >= len(job.taskStates) || job.taskStates[o.Task] >= taskDone || job.finalState != "" {
-				continue
-			}
-			task := disruption.Task{Job: id, Index: o.Task}
-			m.ledger.Begin(disruption.Disruption{Task: task, Team: job.record.Job.Team, Attempt: o.Attempt, Cause: disruption.Cause(o.Cause), Since: now})
-			if o.ReservedMachine != "" {
-				m.inheritedReservations[task] = o.ReservedMachine
-			}
+		job.shard(shardIndex).disruptions = disruptionRecord{version: item.Version, stored: stored}
+		for _, open := range record.Open {
+			m.restoreDisruption(now, job, open)
 		}
 	}
 	return nil
 }
 
-func encodeDisturbances(open []state.OpenDisruption) (string, error) {
+// restoreDisruption recovers one entry, unless its task is done or its job is final by now.
+func (m *Manager) restoreDisruption(now micros.Timestamp, job *jobState, open state.OpenDisruption) {
+	if open.Task < 0 || open.Task >= len(job.taskPhases) || job.taskPhases[open.Task] >= taskDone || job.final() {
+		return
+	}
+	task := disruption.Task{Job: job.id(), Index: open.Task}
+	m.ledger.Begin(disruption.Disruption{
+		Task: task, Team: job.spec().Team, Attempt: open.Attempt, Cause: disruption.Cause(open.Cause), Since: now,
+	})
+	if open.ReservedMachine != "" {
+		m.reservations.inherited[task] = open.ReservedMachine
+	}
+}
+
+// encodeDisruptions returns entries as they are stored; empty: there are none.
+func encodeDisruptions(open []state.OpenDisruption) (string, error) {
 	if len(open) == 0 {
 		return "", nil
 	}
@@ -102,62 +116,58 @@
 	return string(data), err
 }
 
-// disturbances gives the entries of the ledger that belong to a progress record.
-func (m *Manager) openDisturbances(job *jobState, chunk int) []state.OpenDisruption {
-	var open []state.OpenDisruption
-	for _, task := range m.ledger.TasksOfJob(job.record.Job.ID) {
-		if task/job.record.ShardSize != chunk {
+// openDisruptions returns the ledger's entries that belong to a progress shard.
+func (m *Manager) openDisruptions(job *jobState, shardIndex int) []state.OpenDisruption {
+	var entries []state.OpenDisruption
+	for _, index := range m.ledger.TasksOfJob(job.id()) {
+		if job.shardIndex(index) != shardIndex {
+			continue
+		}
+		disrupted, ok := m.ledger.Get(disruption.Task{Job: job.id(), Index: index})
+		if !ok {
 			continue
 		}
-		if d, ok := m.ledger.Get(disruption.Task{Job: job.record.Job.ID, Index: task}); ok {
-			o := state.OpenDisruption{Task: task, Attempt: d.Attempt, Cause: string(d.Cause)}
-			if held := m.reservations[d.Task]; held != nil {
-				o.ReservedMachine = held.machine.id
-			}
-			open = append(open, o)
+		open := state.OpenDisruption{Task: index, Attempt: disrupted.Attempt, Cause: string(disrupted.Cause)}
+		if reserved := m.reservations.byTask[disrupted.Task]; reserved != nil {
+			open.ReservedMachine = reserved.machine.id
 		}
+		entries = append(entries, open)
 	}
-	return open
+	return entries
 }
 
-// disruptionChange gives the change of the record beside a progress record, if it has to change with that.
-func (m *Manager) disruptionChange(job *jobState, chunk int, mark string) (RecordChange, bool) {
+// disruptionChange returns the change of the record of a shard's disruptions that has to be written together with its
+// progress; changed is false if the stored record is up to date.
+func (m *Manager) disruptionChange(job *jobState, shardIndex int, mark string) (change RecordChange, changed bool) {
 	if m.ledger == nil {
 		return RecordChange{}, false
 	}
-	r := &job.shards[chunk].disruptions
-	open := m.openDisturbances(job, chunk)
-	encoded, err := encodeDisturbances(open)
-	if err != nil || encoded == r.stored {
+	record := &job.shards[shardIndex].disruptions
+	open := m.openDisruptions(job, shardIndex)
+	encoded, err := encodeDisruptions(open)
+	if err != nil || encoded == record.stored {
 		return RecordChange{}, false
 	}
-	r.writing = encoded
-	change := RecordChange{Key: state.DisruptionKey(job.record.Job.ID, chunk), Version: r.version}
+	record.writing = encoded
+	change = RecordChange{Key: state.DisruptionKey(job.id(), shardIndex), Version: record.version}
 	if len(open) > 0 {
-		change.Value, change.IdempotencyMark = state.DisruptionRecord{Open: open, IdempotencyMark: mark}, mark
+		change.Value = state.DisruptionRecord{Open: open, IdempotencyMark: mark}
+		change.IdempotencyMark = mark
 	}
 	return change, true
 }
 
-// written takes the outcome of a change that disruptionChange gave.
-func (r *disruptionRecord) committed(revision uint64) {
-	r.stored, r.version = r.writing, revision
-	if r.stored == "" {
-		r.version = 0
-	}
-}
-
-// evicting gives the attempts of a progress record whose eviction is being recorded.
-func (m *Manager) evictionsRecordedIn(job *jobState, chunk int) []*taskAttempt {
+// evictionsRecordedIn returns the attempts of a progress shard whose eviction is being recorded.
+func (m *Manager) evictionsRecordedIn(job *jobState, shardIndex int) []*taskAttempt {
 	if m.ledger == nil {
 		return nil
 	}
-	var out []*taskAttempt
-	first := chunk * job.record.ShardSize
-	for task := first; task < min(first+job.record.ShardSize, len(job.taskStates)); task++ {
-		if attempt := job.active[task]; attempt != nil && attempt.evictionPending {
-			out = append(out, attempt)
+	var evictions []*taskAttempt
+	first, end := job.tasksOf(shardIndex)
+	for task := first; task < end; task++ {
+		if attempt := job.active[task]; attempt != nil && attempt.pendingEviction != "" {
+			evictions = append(evictions, attempt)
 		}
 	}
-	return out
+	return evictions
 }
--- /dev/null
+++ b/internal/manager/drains.go
@@ -0,0 +1,177 @@
+package manager
+
+import (
+	"maps"
+	"slices"
+
+	"saffronbend/internal/disruption"
+	"saffronbend/internal/drain"
+	"saffronbend/internal/gang"
+	"saffronbend/internal/micros"
+	"saffronbend/internal/snapshot"
+	"saffronbend/wire"
+)
+
+// lateListFactor is how many list lags it takes, in a new term, until a machine that is not listed is gone: a list may lag
+// by twice the usual time and be older than the one before.
+const lateListFactor = 4
+
+// SetCordons sets which machines get nothing new, and in which pools the fleet rents no machine that it can rent
+// elsewhere. What was granted on a machine that is newly cordoned and was not launched is withdrawn.
+func (m *Manager) SetCordons(now micros.Timestamp, cordons map[string]bool, vacatedPools []drain.VacatedPool) {
+	m.vacatedPools = vacatedPools
+	before := m.cordons
+	m.cordons = cordons
+	for id := range before {
+		if machine := m.machines[id]; machine != nil && !cordons[id] {
+			m.publisher.markMachine(machine)
+		}
+	}
+	for _, id := range slices.Sorted(maps.Keys(cordons)) {
+		if machine := m.machines[id]; machine != nil && !before[id] {
+			m.withdrawUnlaunched(now, machine)
+			m.publisher.markMachine(machine)
+		}
+	}
+}
+
+// withdrawUnlaunched withdraws what was granted on a machine and never launched.
+func (m *Manager) withdrawUnlaunched(now micros.Timestamp, machine *machineState) {
+	for _, attempt := range attemptsByID(machine.attempts) {
+		switch {
+		case attempt.launched():
+		case attempt.job.gang != nil:
+			m.applyGangAction(now, attempt.job, attempt.job.gang.Abort(), disruption.Drain)
+		default:
+			m.stopAttempt(now, attempt, 0, disruption.Drain)
+		}
+	}
+}
+
+// SetReplacements sets which tasks are to be evicted once there is room for them elsewhere; a gang counts as a whole. The
+// next snapshot shows them to the fleet.
+func (m *Manager) SetReplacements(tasks []disruption.Task) {
+	clear(m.replacements)
+	for _, task := range tasks {
+		if job := m.jobs[task.Job]; job != nil && job.gang != nil {
+			m.replacements[task.Job] = len(job.active)
+		} else if job != nil {
+			m.replacements[task.Job]++
+		}
+	}
+}
+
+// publishedReplacements returns the jobs with tasks that cannot leave their machines for lack of room elsewhere.
+func (m *Manager) publishedReplacements() []*snapshot.Job {
+	var jobs []*snapshot.Job
+	for _, id := range slices.Sorted(maps.Keys(m.replacements)) {
+		if job := m.jobs[id]; job != nil && !job.final() {
+			published := m.publishedJob(job)
+			published.Waiting = m.replacements[id]
+			jobs = append(jobs, published)
+		}
+	}
+	return jobs
+}
+
+// DrainSnapshot returns the cordoned machines with their attempts, and how many tasks of each team run and are disrupted.
+func (m *Manager) DrainSnapshot(now micros.Timestamp) drain.Snapshot {
+	published := drain.Snapshot{
+		Now:            now,
+		Machines:       map[string]drain.Machine{},
+		Teams:          m.TeamUsage(now),
+		MachinesListed: m.machinesListed && now.Sub(m.termStart) > lateListFactor*m.cfg.ListLag,
+	}
+	for id := range m.cordons {
+		if machine := m.machines[id]; machine != nil {
+			published.Machines[id] = m.drainMachine(now, machine)
+		}
+	}
+	return published
+}
+
+func (m *Manager) drainMachine(now micros.Timestamp, machine *machineState) drain.Machine {
+	drained := drain.Machine{
+		ID:           machine.id,
+		Heartbeating: m.known(now, machine),
+		Deleting:     machine.deleting,
+		Empty:        machine.empty() && m.resultsDurable(machine),
+	}
+	for _, attempt := range attemptsByID(machine.attempts) {
+		drained.Attempts = append(drained.Attempts, m.drainAttempt(now, attempt))
+	}
+	return drained
+}
+
+func (m *Manager) drainAttempt(now micros.Timestamp, attempt *taskAttempt) drain.Attempt {
+	spec := attempt.spec()
+	drained := drain.Attempt{
+		Task:           attempt.task(),
+		Team:           spec.Team,
+		DisruptedTasks: 1,
+		ExpectedEnd:    m.estimates.expectedEnd(now, attempt),
+		Stopping:       !m.evictable(attempt),
+		Checkpoints:    spec.CheckpointIntervalS > 0, // one that is reported as fetching may run by now
+	}
+	if peers := attempt.job.gang; peers != nil {
+		phase := peers.Phase()
+		drained.Gang, drained.DisruptedTasks = true, len(attempt.job.active)
+		drained.Stopping = drained.Stopping ||
+			phase == gang.Checkpointing || phase == gang.Ending || phase == gang.Complete
+		drained.Checkpoints = drained.Checkpoints && (phase == gang.Launched || m.savesInTime(now, attempt.job))
+	}
+	return drained
+}
+
+// resultsDurable reports whether all results that came from a machine are durable: only then may it be deleted.
+func (m *Manager) resultsDurable(machine *machineState) bool {
+	machine.unwrittenResults = slices.DeleteFunc(machine.unwrittenResults, func(result completedTask) bool {
+		job := result.job
+		return m.jobs[job.id()] != job || job.taskPhases[result.task] == taskDurable || job.final()
+	})
+	return len(machine.unwrittenResults) == 0
+}
+
+// TeamUsage returns how many tasks of each team run and are disrupted, by team.
+func (m *Manager) TeamUsage(now micros.Timestamp) map[string]drain.TeamUsage {
+	usage := map[string]drain.TeamUsage{}
+	for name := range m.quota {
+		disrupted := m.ledger.CountForTeam(name)
+		usage[name] = drain.TeamUsage{Disrupted: disrupted, Running: disrupted}
+	}
+	for _, machine := range m.machines {
+		m.addTeamUsage(now, machine, usage)
+	}
+	return usage
+}
+
+// addTeamUsage adds the tasks on a machine. What is on a machine that does not report may be lost already, so it counts as
+// disrupted until more is known.
+func (m *Manager) addTeamUsage(now micros.Timestamp, machine *machineState, usage map[string]drain.TeamUsage) {
+	known := m.known(now, machine)
+	for _, attempt := range machine.attempts {
+		if _, disrupted := m.ledger.Get(attempt.task()); disrupted || !attempt.launched() || attempt.job.final() {
+			continue
+		}
+		team := usage[attempt.spec().Team]
+		team.Running++
+		if !known || !attempt.listed {
+			team.Disrupted++
+		}
+		usage[attempt.spec().Team] = team
+	}
+}
+
+// KnownMachines returns the machines that a drain may name, by identifier.
+func (m *Manager) KnownMachines(now micros.Timestamp) []drain.KnownMachine {
+	var known []drain.KnownMachine
+	for _, id := range slices.Sorted(maps.Keys(m.machines)) {
+		machine := m.machines[id]
+		if !machine.deleting && machine.listing.state != wire.MachineFailed {
+			known = append(known, drain.KnownMachine{
+				ID: id, Zone: machine.zone, Type: machine.typeName, Age: now.Sub(machine.registeredAt),
+			})
+		}
+	}
+	return known
+}
--- a/internal/manager/evictions_test.go
+++ b/internal/manager/evictions_test.go
@@ -290,7 +290,7 @@
 func TestLedgerInSmallTransactions(t *testing.T) {
 	b := drainBench(t, nil, nil, nil)
 	b.runningTask()
-	b.m.limits.maxOps = 2
+	b.m.writes.limits.maxOps = 2
 	b.job("run-2", 1, nil)
 	b.grant("run-2", "n-2-a", 1)
 	b.m.SetCordons(b.now, map[string]bool{"n-1-a": true}, nil)
--- a/internal/manager/limits_test.go
+++ b/internal/manager/limits_test.go
@@ -29,7 +29,7 @@
 // takes, and the others follow.
 func TestPlacementsWithinTheLimit(t *testing.T) {
 	b := newBench(t, nil, nil)
-	b.m.limits = newWriteLimits(settings.StoreLimits{ValueKB: 1, TxnOps: 4})
+	b.m.writes.limits = newWriteLimits(settings.StoreLimits{ValueKB: 1, TxnOps: 4})
 	b.job("run-1", 48, small)
 	b.up("n-1-a")
 	got := b.grant("run-1", "n-1-a", 48)
@@ -58,7 +58,7 @@
 		rec.Active = append(rec.Active, state.Placement{Task: i, Machine: "n-000001-a", Attempt: 99<<20 + uint64(i), Incarnation: 1})
 	}
 	b := newBench(t, open, []wire.KeyValue{item(state.ProgressKey("run-1", 0), 6, rec)})
-	b.m.limits = newWriteLimits(settings.StoreLimits{ValueKB: 1, TxnOps: 4})
+	b.m.writes.limits = newWriteLimits(settings.StoreLimits{ValueKB: 1, TxnOps: 4})
 	b.up("n-2-a")
 	b.want(b.grant("run-1", "n-2-a", 1), 0)
 	tasks := make([]string, 30)
@@ -68,7 +68,7 @@
 	b.report("n-000001-a", token, 1, tasks...)
 	tasks[0] = fmt.Sprintf("run-1/0 %d ended done", 99<<20)
 	b.report("n-000001-a", token, 1, tasks...)
-	b.wait(5 * progressDelay)
+	b.wait(5 * minProgressDelay)
 	if batch := b.m.NextWrite(b.now); batch != nil {
 		t.Errorf("written while it is too long: %+v", batch.Changes)
 	}
@@ -142,7 +142,7 @@
 // promised, the less urgent the sooner; a job that has waited long is the last to be refused.
 func TestNothingPromisedBeyondWhatCanBeWritten(t *testing.T) {
 	b := newBench(t, nil, nil)
-	b.m.limits = newWriteLimits(settings.StoreLimits{ValueKB: 4, TxnOps: 2})
+	b.m.writes.limits = newWriteLimits(settings.StoreLimits{ValueKB: 4, TxnOps: 2})
 	b.m.cfg.Tuning.ReserveAfter = 45 * micros.Second
 	b.up("n-1-a", "n-2-a", "n-3-a")
 	for i := range 40 {
@@ -153,7 +153,7 @@
 			}
 		})
 	}
-	b.m.lastWriteDuration = micros.Second
+	b.m.writes.lastDuration = micros.Second
 	granted := map[int]int{}
 	for i := range 40 {
 		granted[i%2] += b.grant(fmt.Sprintf("run-%d", i), "n-1-a", 1)
--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -395,7 +395,7 @@
 func TestKeepingRoomLooksOnce(t *testing.T) {
 	const machines, most = 200, 4
 	b := newBench(t, nil, nil)
-	b.m.teams["blue"].CPUsMax = 0
+	b.m.quota["blue"].CPUsMax = 0
 	b.m.SetTypes([]wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 16, Zones: []string{"a", "b"}}})
 	var ids []string
 	for i := range machines {
@@ -526,7 +526,7 @@
 	ended := fmt.Sprintf("run-1/0 %d ended done", first)
 	running := fmt.Sprintf("run-1/1 %d running", first+1)
 	b.want(b.report("n-1-a", token, 1, ended, running), "")
-	b.wait(progressDelay)
+	b.wait(minProgressDelay)
 	b.write()
 	b.want(b.report("n-1-a", token, 1, ended, running), fmt.Sprintf("clear run-1/0 %d", first))
 }
@@ -596,7 +596,7 @@
 		b.report(m, token, 1, fmt.Sprintf("run-1/0 %d ended error", first+i))
 	}
 	b.want(b.grant("run-1", "n-3-a", 1), 0)
-	b.want(b.m.machines["n-3-a"].quarantineReason, "")
+	b.want(b.m.machines["n-3-a"].health.quarantineReason, "")
 	b.wait(3 * micros.Second)
 	b.up("n-3-a")
 	b.want(b.grant("run-1", "n-3-a", 1), 1)
@@ -667,9 +667,9 @@
 	run("n-1-a", 10*micros.Second)
 	run("n-1-a", 10*micros.Second)
 	run("n-2-a", 40*micros.Second)
-	b.want(b.m.machines["n-2-a"].quarantineReason, "")
+	b.want(b.m.machines["n-2-a"].health.quarantineReason, "")
 	run("n-2-a", 40*micros.Second)
-	b.want(b.m.machines["n-1-a"].quarantineReason, "")
+	b.want(b.m.machines["n-1-a"].health.quarantineReason, "")
 	b.up("n-2-a")
 	b.want(b.grant("run-1", "n-2-a", 1), 0)
 	b.want(b.grant("run-1", "n-1-a", 1), 0) // silent by now
@@ -790,7 +790,7 @@
 			Tasks: []wire.TaskStatus{{Task: "run-1/0", Attempt: first, State: wire.TaskRunning}, {Task: "run-1/1", Attempt: first + 1, State: wire.TaskRunning}}})
 		done := fmt.Sprintf("run-1/0 %d ended done", first)
 		b.report("n-1-a", token, 1, done, fmt.Sprintf("run-1/1 %d running", first+1))
-		b.wait(progressDelay)
+		b.wait(minProgressDelay)
 		b.write()
 		b.want(b.report("n-1-a", token, 1, done, fmt.Sprintf("run-1/1 %d running", first+1)), "")
 		b.report("n-1-a", token, 1, done, fmt.Sprintf("run-1/1 %d ended done", first+1))
@@ -862,7 +862,7 @@
 	// The answer did not come through as far as the report shows, but the worker has stayed
 	// where it got it from.
 	b.want(passed(), fmt.Sprintf("launch run-1/0 %d", first))
-	b.want(b.m.machines["n-1-a"].unreachableSince, micros.Timestamp(0))
+	b.want(b.m.machines["n-1-a"].agent.unreachableSince, micros.Timestamp(0))
 	for range 2 {
 		b.wait(15 * micros.Second / 2)
 		passed()
@@ -928,20 +928,20 @@
 	b.m.MachinesListed(b.now, []wire.Machine{{ID: "n-1-a", Addr: "10.1.0.1:9000", Type: "small", Zone: "a", State: wire.MachineRunning}})
 	b.wait(workerLease + 2*micros.Second)
 	b.tick()
-	b.want(b.m.machines["n-1-a"].reporting, false)
+	b.want(b.m.machines["n-1-a"].agent.reporting, false)
 	out := b.m.CommandPushes(b.now, true)
 	b.want(len(out), 1)
 	b.seq++
 	b.m.CommandPushDone(b.now, out[0], PushExecuted, &wire.Heartbeat{Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: 2, Sequence: b.seq, FencingToken: token})
 	b.tick()
-	b.want(b.m.machines["n-1-a"].reporting, true)
+	b.want(b.m.machines["n-1-a"].agent.reporting, true)
 	b.wait(workerLease)
 	b.tick()
-	b.want(b.m.machines["n-1-a"].reporting, true)
+	b.want(b.m.machines["n-1-a"].agent.reporting, true)
 	b.want(b.report("n-1-a", token, 2), "")
 	b.wait(workerLease + 2*micros.Second)
 	b.tick()
-	b.want(b.m.machines["n-1-a"].reporting, false)
+	b.want(b.m.machines["n-1-a"].agent.reporting, false)
 	// An answer of the session that has ended brings nothing, and no second question at once.
 	out = b.m.CommandPushes(b.now, true)
 	b.want(len(out), 1)
--- a/internal/manager/moves.go
+++ b/internal/manager/moves.go
@@ -11,140 +11,155 @@
 	"saffronbend/wire"
 )
 
-// This file carries out moves: evictions to a named destination. They take the path of the evictions that drains ask for, so
-// that one attempt is never stopped for two reasons.
+// Moves are evictions to a named destination. They take the path of the evictions that drains request, so that one attempt
+// is never stopped for two reasons.
 
-// RebalanceSnapshot shows the work on all machines; remaining is how many more tasks of each team may be disturbed.
+// RebalanceSnapshot returns the work on all machines. remaining is how many more tasks of each team may be disrupted.
 func (m *Manager) RebalanceSnapshot(now micros.Timestamp, remaining map[string]int) rebalance.Snapshot {
-	status := rebalance.Snapshot{Now: now, Teams: map[string]rebalance.Team{}, MachinesListed: m.machinesListed}
-	for name := range m.teams {
-		status.Teams[name] = rebalance.Team{RemainingBudget: remaining[name]}
+	published := rebalance.Snapshot{Now: now, Teams: map[string]rebalance.Team{}, MachinesListed: m.machinesListed}
+	for name := range m.quota {
+		published.Teams[name] = rebalance.Team{RemainingBudget: remaining[name]}
 	}
 	for _, job := range m.jobs {
-		if waiting := m.waitingForRoom(job); waiting > 0 && now >= job.backoffUntil {
-			team := status.Teams[job.record.Job.Team]
+		if waiting := m.waitingWithoutReservation(job); waiting > 0 && now >= job.backoffUntil {
+			team := published.Teams[job.spec().Team]
 			team.Waiting += waiting
-			status.Teams[job.record.Job.Team] = team
+			published.Teams[job.spec().Team] = team
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(m.machines)) {
 		machine := m.machines[id]
 		if m.mayStillReport(now, machine) {
-			status.UnreportedMachines++
+			published.UnreportedMachines++
 		}
 		if machine.machineType != nil {
-			status.Machines = append(status.Machines, m.rebalanceMachine(now, machine))
+			published.Machines = append(published.Machines, m.rebalanceMachine(now, machine))
 		}
 	}
-	return status
+	return published
 }
 
-// mayStillReport tells whether a machine can hold work and has not reported to this leader, though it may yet do so: a worker
-// that goes without an answer for a lease ends its work.
+// mayStillReport reports whether a machine can hold work, has not reported to this leader and may yet do so: an agent that
+// goes without an answer for a worker lease stops its tasks.
 func (m *Manager) mayStillReport(now micros.Timestamp, machine *machineState) bool {
-	if machine.reporting && machine.tokenAcknowledged || machine.deleting || machine.cloudState == wire.MachineFailed {
+	if machine.agent.reporting && machine.agent.tokenAcknowledged || machine.deleting ||
+		machine.listing.state == wire.MachineFailed {
 		return false
 	}
-	if machine.cloudState == wire.MachineStarting && len(machine.attempts) == 0 {
+	if machine.listing.state == wire.MachineStarting && len(machine.attempts) == 0 {
 		return false
 	}
 	return now.Sub(m.termStart) <= m.cfg.WorkerLease+m.cfg.HeartbeatInterval+m.cfg.LeaseMargin
 }
 
 func (m *Manager) rebalanceMachine(now micros.Timestamp, machine *machineState) rebalance.Machine {
-	r := rebalance.Machine{ID: machine.id, Capacity: resources.ForMachine(machine.machineType), Free: m.freeResources(machine),
-		Heartbeating: m.known(now, machine), Usable: m.usable(now, machine) && machine.reservedForJob == "", Cordoned: m.cordons[machine.id],
-		FetchGBPS: machine.machineType.FetchGBPS, Images: map[string]bool{}}
+	published := rebalance.Machine{
+		ID:           machine.id,
+		Capacity:     resources.ForMachine(machine.machineType),
+		Free:         m.freeResources(machine),
+		Heartbeating: m.known(now, machine),
+		Usable:       m.usable(now, machine) && machine.reservedForJob == "",
+		Cordoned:     m.cordons[machine.id],
+		FetchGBPS:    machine.machineType.FetchGBPS,
+		Images:       map[string]bool{},
+	}
 	for name, image := range machine.images {
-		r.Images[name] = image.ready
+		published.Images[name] = image.ready
 	}
 	for _, attempt := range attemptsByID(machine.attempts) {
-		r.Attempts = append(r.Attempts, m.rebalanceAttempt(now, attempt))
+		published.Attempts = append(published.Attempts, m.rebalanceAttempt(now, attempt))
 	}
 	for task, reserved := range machine.reservations {
 		if job := m.jobs[task.Job]; job != nil {
-			r.Reserved = append(r.Reserved, rebalance.Reservation{Team: job.record.Job.Team, Resources: reserved.need})
+			reservation := rebalance.Reservation{Team: job.spec().Team, Resources: reserved.need}
+			published.Reserved = append(published.Reserved, reservation)
 		}
 	}
-	return r
+	return published
 }
 
 func (m *Manager) rebalanceAttempt(now micros.Timestamp, attempt *taskAttempt) rebalance.Attempt {
-	spec := &attempt.job.record.Job
-	return rebalance.Attempt{Task: taskID(attempt), Team: spec.Team, Resources: resources.ForTask(spec), Gang: attempt.job.gang != nil,
-		Stopping: m.leaving(attempt), Running: attempt.listed && attempt.reportedState == wire.TaskRunning, Checkpoints: spec.CheckpointIntervalS > 0,
-		CheckpointTime: micros.Seconds(spec.CheckpointSaveS), ExpectedEnd: m.expectedEnd(now, attempt), Image: spec.Image, ImageGB: spec.ImageGB}
-}
-
-// leaving tells whether an attempt is being stopped for whatever reason. The successor of one that was is not: it is load on
-// its machine from the moment at which it is placed, though its task is still disturbed.
-func (m *Manager) leaving(attempt *taskAttempt) bool {
-	d, disturbed := m.ledger.Get(taskID(attempt))
-	return attempt.stopping || attempt.evictionPending || disturbed && d.Attempt == attempt.id || attempt.job.finalState != ""
+	spec := attempt.spec()
+	return rebalance.Attempt{
+		Task:           attempt.task(),
+		Team:           spec.Team,
+		Resources:      resources.ForTask(spec),
+		Gang:           attempt.job.gang != nil,
+		Stopping:       m.leaving(attempt),
+		Running:        attempt.listed && attempt.reportedState == wire.TaskRunning,
+		Checkpoints:    spec.CheckpointIntervalS > 0,
+		CheckpointTime: micros.Seconds(spec.CheckpointSaveS),
+		ExpectedEnd:    m.estimates.expectedEnd(now, attempt),
+		Image:          spec.Image,
+		ImageGB:        spec.ImageGB,
+	}
 }
 
-// mover carries out one round of moves. What waits for room does not change by moves, so it is looked for once.
+// moveExecutor executes one round of moves. Which jobs wait for room does not change by moves, so they are looked up once.
 type moveExecutor struct {
-	m       *Manager
+	manager *Manager
 	now     micros.Timestamp
 	waiting []*jobState
 }
 
-// MoveExecutor gives what carries out a round of moves that is decided on now.
+// MoveExecutor returns the executor of a round of moves that is decided now.
 func (m *Manager) MoveExecutor(now micros.Timestamp) rebalance.MoveExecutor {
-	r := moveExecutor{m: m, now: now}
+	executor := moveExecutor{manager: m, now: now}
 	for _, job := range m.jobs {
-		if m.waitingForRoom(job) > 0 {
-			r.waiting = append(r.waiting, job)
+		if m.waitingWithoutReservation(job) > 0 {
+			executor.waiting = append(executor.waiting, job)
 		}
 	}
-	return r
+	return executor
 }
 
-// MayHost tells whether a machine may take a task that is moved: it has room that no work which waits could use.
-func (r moveExecutor) MayHost(task disruption.Task, machine string) bool {
-	job, mc := r.m.jobs[task.Job], r.m.machines[machine]
-	if job == nil || mc == nil || mc.reservedForJob != "" || !r.m.suitsMove(r.now, mc, job) {
+// MayHost reports whether a machine may take a task that is moved: it has room that no waiting work could use.
+func (executor moveExecutor) MayHost(task disruption.Task, machineID string) bool {
+	m := executor.manager
+	job, machine := m.jobs[task.Job], m.machines[machineID]
+	if job == nil || machine == nil || machine.reservedForJob != "" || !m.suitsMove(executor.now, machine, job) {
 		return false
 	}
-	free := r.m.freeResources(mc)
-	return !slices.ContainsFunc(r.waiting, func(other *jobState) bool {
-		return r.m.suits(mc, other) && free.Fits(resources.ForTask(&other.record.Job))
+	free := m.freeResources(machine)
+	return !slices.ContainsFunc(executor.waiting, func(other *jobState) bool {
+		return m.suits(machine, other) && free.Fits(resources.ForTask(other.spec()))
 	})
 }
 
 // Move has a task leave its machine for another.
-func (r moveExecutor) Move(task disruption.Task, to string) rebalance.MoveOutcome {
-	return r.m.Move(r.now, task, to)
+func (executor moveExecutor) Move(task disruption.Task, destination string) rebalance.MoveOutcome {
+	return executor.manager.Move(executor.now, task, destination)
 }
 
-// waitingForRoom is how many tasks of a job wait within its team's limit and have no room reserved.
-func (m *Manager) waitingForRoom(job *jobState) int {
-	if job.finalState != "" || job.waiting == 0 {
+// waitingWithoutReservation returns how many tasks of a job wait, within its team's limit, and have no room reserved.
+func (m *Manager) waitingWithoutReservation(job *jobState) int {
+	if job.final() || job.waiting == 0 {
 		return 0
 	}
 	waiting := job.waiting
-	for _, task := range m.ledger.TasksOfJob(job.record.Job.ID) {
-		if _, reserved := m.reservations[disruption.Task{Job: job.record.Job.ID, Index: task}]; reserved && job.taskStates[task] == taskWaiting {
+	for _, index := range m.ledger.TasksOfJob(job.id()) {
+		_, reserved := m.reservations.byTask[disruption.Task{Job: job.id(), Index: index}]
+		if reserved && job.taskPhases[index] == taskWaiting {
 			waiting--
 		}
 	}
-	return min(waiting, m.quotaHeadroom(job))
+	return min(waiting, m.quota.headroom(job.spec()))
 }
 
-// suitsMove tells whether a task of a job can be moved to a machine.
+// suitsMove reports whether a task of a job can be moved to a machine.
 func (m *Manager) suitsMove(now micros.Timestamp, machine *machineState, job *jobState) bool {
-	return m.usable(now, machine) && !m.preemptedForOther(now, machine, job) && m.suits(machine, job) && m.freeResources(machine).Fits(resources.ForTask(&job.record.Job))
+	return m.usable(now, machine) && !m.preemptedForOther(now, machine, job) && m.suits(machine, job) &&
+		m.freeResources(machine).Fits(resources.ForTask(job.spec()))
 }
 
-// Move has a task leave its machine for another: room there is reserved, and the attempt is stopped once the move is durable.
-func (m *Manager) Move(now micros.Timestamp, task disruption.Task, to string) rebalance.MoveOutcome {
+// Move has a task leave its machine for another: room there is reserved, and the attempt is stopped once the move is
+// durable. If that is not possible, nothing changes.
+func (m *Manager) Move(now micros.Timestamp, task disruption.Task, destination string) rebalance.MoveOutcome {
 	job := m.jobs[task.Job]
 	if job == nil || job.active[task.Index] == nil {
 		return rebalance.AttemptEnded
 	}
-	attempt := job.active[task.Index]
-	machine := m.machines[to]
+	attempt, machine := job.active[task.Index], m.machines[destination]
 	switch {
 	case !m.evictable(attempt):
 		return rebalance.AlreadyStopping
@@ -155,15 +170,16 @@
 	return rebalance.Moved
 }
 
-// destinationStands tells whether the room that is reserved for an attempt's successor can still be used.
+// destinationUsable reports whether the room that is reserved for an attempt's successor can still be used.
 func (m *Manager) destinationUsable(now micros.Timestamp, attempt *taskAttempt) bool {
-	held := m.reservations[taskID(attempt)]
-	return held != nil && m.reservationUsable(now, held)
+	reserved := m.reservations.byTask[attempt.task()]
+	return reserved != nil && m.reservationUsable(now, reserved)
 }
 
 // abandonMove leaves a task where it is: its destination was lost before it was stopped.
 func (m *Manager) abandonMove(now micros.Timestamp, attempt *taskAttempt) {
-	m.event("a move is abandoned: its destination is lost", "task", attempt.taskName, "machine", attempt.machine.id)
-	m.releaseReservation(taskID(attempt))
-	m.endDisturbance(now, attempt.job, attempt.taskIndex)
+	m.event("move abandoned: destination lost", "task", attempt.taskName, "attempt", attempt.id,
+		"machine", attempt.machine.id)
+	m.reservations.release(attempt.task())
+	m.endDisruption(now, attempt.job, attempt.taskIndex)
 }
--- a/internal/manager/moves_test.go
+++ b/internal/manager/moves_test.go
@@ -126,11 +126,11 @@
 			b.up("n-2-a")
 		}
 		b.m.Tick(b.now)
-		b.want(len(b.m.reservations) == 1, there)
+		b.want(len(b.m.reservations.byTask) == 1, there)
 		b.want(b.m.machines["n-2-a"] != nil, there)
 		b.wait(b.m.cfg.ReservationTTL + micros.Second)
 		b.m.Tick(b.now)
-		b.want(len(b.m.inheritedReservations), 0)
+		b.want(len(b.m.reservations.inherited), 0)
 	}
 }
 
--- /dev/null
+++ b/internal/manager/quota.go
@@ -0,0 +1,103 @@
+package manager
+
+import (
+	"saffronbend/internal/resources"
+	"saffronbend/internal/settings"
+	"saffronbend/internal/snapshot"
+	"saffronbend/wire"
+)
+
+// quotaUsage tracks what each team uses of its guarantee and its limit, by team. It counts every attempt that may
+// exist, also one that is being stopped: what is not provably gone still uses the team's quota.
+type quotaUsage map[string]*teamUsage
+
+type teamUsage struct {
+	settings.Team
+	usedCPUs, usedGPUs float64
+}
+
+func newQuotaUsage(teams []settings.Team) quotaUsage {
+	quota := quotaUsage{}
+	for _, team := range teams {
+		quota[team.Name] = &teamUsage{Team: team}
+	}
+	return quota
+}
+
+// charge adds one attempt of a job.
+func (quota quotaUsage) charge(spec *wire.Job) {
+	if team := quota[spec.Team]; team != nil {
+		team.usedCPUs += spec.CPUs
+		team.usedGPUs += spec.GPUs
+	}
+}
+
+// refund removes one attempt of a job.
+func (quota quotaUsage) refund(spec *wire.Job) {
+	if team := quota[spec.Team]; team != nil {
+		team.usedCPUs -= spec.CPUs
+		team.usedGPUs -= spec.GPUs
+	}
+}
+
+// headroom returns how many more tasks of a job its team's limit allows.
+func (quota quotaUsage) headroom(spec *wire.Job) int {
+	team := quota[spec.Team]
+	if team == nil {
+		return 0
+	}
+	tasks := wire.MaxTasks
+	if team.CPUsMax > 0 {
+		tasks = resources.FitCount(tasks, team.CPUsMax-team.usedCPUs, spec.CPUs)
+	}
+	if team.GPUsMax > 0 {
+		tasks = resources.FitCount(tasks, team.GPUsMax-team.usedGPUs, spec.GPUs)
+	}
+	return max(0, tasks)
+}
+
+// limited reports whether a team has a limit.
+func (quota quotaUsage) limited(name string) bool {
+	team := quota[name]
+	return team != nil && team.CPUsMax+team.GPUsMax != 0
+}
+
+// withinGuarantee reports whether the team's guarantee covers another task of the job, in addition to what this round
+// of preemption has planned for the team.
+func (quota quotaUsage) withinGuarantee(spec *wire.Job, planned resources.Vector) bool {
+	team := quota[spec.Team]
+	return team != nil && team.CPUs+team.GPUs > 0 &&
+		team.usedCPUs+planned.CPUs+spec.CPUs <= team.CPUs &&
+		team.usedGPUs+planned.GPUs+spec.GPUs <= team.GPUs
+}
+
+// beyondGuarantee reports whether the team still uses all of its guarantee without one task of the job.
+func (quota quotaUsage) beyondGuarantee(spec *wire.Job) bool {
+	team := quota[spec.Team]
+	return team != nil && (team.usedCPUs-spec.CPUs >= team.CPUs && spec.CPUs > 0 ||
+		team.usedGPUs-spec.GPUs >= team.GPUs && spec.GPUs > 0)
+}
+
+// headrooms returns what the limits leave the teams that have one.
+func (quota quotaUsage) headrooms() map[string]snapshot.QuotaHeadroom {
+	var headrooms map[string]snapshot.QuotaHeadroom
+	for name, team := range quota {
+		if team.CPUsMax <= 0 && team.GPUsMax <= 0 {
+			continue
+		}
+		var headroom snapshot.QuotaHeadroom
+		if team.CPUsMax > 0 {
+			left := team.CPUsMax - team.usedCPUs
+			headroom.CPUs = &left
+		}
+		if team.GPUsMax > 0 {
+			left := team.GPUsMax - team.usedGPUs
+			headroom.GPUs = &left
+		}
+		if headrooms == nil {
+			headrooms = map[string]snapshot.QuotaHeadroom{}
+		}
+		headrooms[name] = headroom
+	}
+	return headrooms
+}
--- /dev/null
+++ b/internal/manager/recovery.go
@@ -0,0 +1,143 @@
+package manager
+
+import (
+	"cmp"
+	"slices"
+
+	"saffronbend/internal/disruption"
+	"saffronbend/internal/micros"
+	"saffronbend/internal/state"
+	"saffronbend/wire"
+)
+
+// New returns the Manager of a term that begins now, recovered from the records in the key-value store. openJobs and
+// progress are the records below the open and the progress prefix; wall is the wall clock in microseconds since the
+// epoch, for the age of jobs. It fails with a state.RecordError if a record cannot be decoded.
+//
+// What a new leader knows is exactly what these records say: the jobs, which of their tasks are done, and for each
+// other task whether an attempt of it may exist, on which machine, under which number and agent incarnation. Since
+// every attempt is durable before its launch, no attempt of an earlier leader should be missing; should an agent report
+// a task all the same that no record names, adoptTask registers it. A recovered attempt counts against quota and capacity
+// until it is provably gone. Leases, run times, images, health and connectivity are not recorded: they are learned anew
+// from heartbeats, and until a machine has sent one that carries this term's token it gets nothing new. Disruptions and
+// the machines reserved for successors follow with RestoreDisruptions.
+func New(now micros.Timestamp, cfg Config, wall int64, openJobs, progress []wire.KeyValue) (*Manager, error) {
+	m := newEmptyManager(now, cfg)
+	if err := m.recoverJobs(now, wall, openJobs); err != nil {
+		return nil, err
+	}
+	if err := m.recoverProgress(now, progress); err != nil {
+		return nil, err
+	}
+	for _, job := range m.jobsByArrival(func(*jobState) bool { return true }) {
+		m.resumeJob(now, job)
+	}
+	return m, nil
+}
+
+func newEmptyManager(now micros.Timestamp, cfg Config) *Manager {
+	m := &Manager{
+		cfg:             cfg,
+		termStart:       now,
+		jobs:            map[string]*jobState{},
+		removedJobs:     map[string]uint64{},
+		machines:        map[string]*machineState{},
+		deletedMachines: map[string]bool{},
+		machineTypes:    map[string]*wire.MachineType{},
+		quota:           newQuotaUsage(cfg.Teams),
+		attemptIDs:      attemptIDs{fencingToken: cfg.FencingToken},
+		writes:          writePipeline{limits: newWriteLimits(cfg.StoreLimits)},
+		pushes:          pushQueue{candidates: map[string]bool{}, maxInFlight: cfg.MaxCommandPushes},
+		estimates:       runTimeEstimator{bias: map[string]float64{}},
+		publisher: snapshotPublisher{
+			dirtyMachines: map[string]bool{}, dirtyJobs: map[string]bool{}, stale: true,
+		},
+		teamAssignments: map[string]string{},
+		storeAvailable:  true,
+		replacements:    map[string]int{},
+	}
+	m.reservations = newReservationTable(&m.publisher)
+	if cfg.TrackDisruptions {
+		m.ledger = disruption.NewLedger()
+	}
+	return m
+}
+
+// recoverJobs adds the jobs in the order in which they were accepted. The key-value store lists them by their
+// identifiers, which users choose.
+func (m *Manager) recoverJobs(now micros.Timestamp, wall int64, openJobs []wire.KeyValue) error {
+	type versionedRecord struct {
+		record  state.OpenJobRecord
+		version uint64
+	}
+	records := make([]versionedRecord, len(openJobs))
+	for i, item := range openJobs {
+		records[i].version = item.Version
+		if err := state.DecodeRecord(item, &records[i].record); err != nil {
+			return err
+		}
+	}
+	slices.SortStableFunc(records, func(a, b versionedRecord) int {
+		return cmp.Compare(a.record.AcceptedAt, b.record.AcceptedAt)
+	})
+	for _, r := range records {
+		m.addJob(now, wall, r.record, r.version)
+	}
+	return nil
+}
+
+// recoverProgress restores done tasks and attempts from the progress records. A record without a job is one that a
+// late copy of an earlier leader's write has created again: it counts for nothing and is deleted.
+func (m *Manager) recoverProgress(now micros.Timestamp, progress []wire.KeyValue) error {
+	for _, item := range progress {
+		id, shardIndex, ok := state.ParseProgressKey(item.Key)
+		job := m.jobs[id]
+		if !ok || job == nil {
+			m.writes.orphanRecords = append(m.writes.orphanRecords, RecordChange{Key: item.Key, Version: item.Version})
+			continue
+		}
+		var record state.ProgressRecord
+		if err := state.DecodeRecord(item, &record); err != nil {
+			return err
+		}
+		job.shards[shardIndex] = &progressShard{version: item.Version}
+		if err := job.restoreDone(shardIndex, record.Done); err != nil {
+			return &state.RecordError{Key: item.Key, Err: err}
+		}
+		m.recoverAttempts(now, job, record.Active)
+	}
+	return nil
+}
+
+// recoverAttempts registers the attempts that earlier leaders have placed. When their leases expire is not recorded:
+// they count as granted now, for the duration of a first lease.
+func (m *Manager) recoverAttempts(now micros.Timestamp, job *jobState, placements []state.Placement) {
+	for _, placement := range placements {
+		if placement.Task < 0 || placement.Task >= len(job.taskPhases) || job.taskPhases[placement.Task] != taskWaiting {
+			continue
+		}
+		m.registerAttempt(&taskAttempt{
+			job:         job,
+			taskIndex:   placement.Task,
+			id:          placement.Attempt,
+			machine:     m.ensureMachine(now, placement.Machine),
+			incarnation: placement.Incarnation,
+			durable:     true,
+			lease:       taskLease{expiry: now.Add(m.cfg.Tuning.FirstLease)},
+		})
+	}
+}
+
+// resumeJob continues a job once all its records have been read.
+func (m *Manager) resumeJob(now micros.Timestamp, job *jobState) {
+	// No earlier leader has placed a task of it, so it has waited since it was accepted. When one of another job's tasks
+	// was last placed is not recorded.
+	if len(job.active) == 0 && job.done == 0 {
+		job.waitingSince = job.acceptedAt
+	}
+	m.finishGangRecovery(now, job)
+	if job.final() {
+		m.stopJob(now, job) // cancelled under an earlier leader: tasks of it may still run
+	}
+	m.queueFinalWrite(job)
+}
--- a/internal/manager/writes.go
+++ b/internal/manager/writes.go
@@ -1,431 +1,321 @@
 package manager
 
 import (
-	"cmp"
 	"maps"
 	"slices"
 	"strconv"
 
-	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
 	"saffronbend/internal/state"
 	"saffronbend/wire"
 )
 
-type shardKey struct {
-	job   string
-	shard int
+// RecordChange is a change of a record in the key-value store.
+type RecordChange struct {
+	Key string
+	// Version is the version that the key must have; 0: it must not exist.
+	Version uint64
+	// Value is encoded as JSON; nil deletes the key.
+	Value any
+	// IdempotencyMark is found in the value of a progress record once this write has been executed; empty for the others.
+	IdempotencyMark string
 }
 
-type pendingWrite struct {
-	id        uint64
-	startedAt micros.Timestamp
-	shards    []shardKey
-	attempts  []*taskAttempt
-	// disruptions are the chunks of which the record of disturbed tasks changes, too.
-	disruptions   []shardKey
-	evictions     []*taskAttempt
-	completed     []completedTask
-	completions   []string
-	deletedShards map[string][]int
-	deletedJobs   []string
-	jobsToBeOpen  []string // jobs that must not be over yet
+// WriteBatch is a transaction to be executed by compare-and-swap: on the versions of its changes and conditions, and on
+// the leader's key.
+type WriteBatch struct {
+	ID      uint64
+	Changes []RecordChange
+	// OpenRecordConditions are the open records of the jobs that the write completes or places tasks of, with the versions
+	// that they must have: a user may have cancelled a job through another controller.
+	OpenRecordConditions []RecordChange
 }
 
-type completedTask struct {
-	job  *jobState
-	task int
-}
+// writePipeline holds what waits to be written, and the one write that is in flight.
+type writePipeline struct {
+	limits      writeLimits
+	dirtyShards []shardKey
+	completions []string // jobs whose tasks are all done
+	cleanups    []string // final jobs whose records are to be deleted
+	// orphanRecords are deletions of records without a job: late copies of writes have created them again.
+	orphanRecords []RecordChange
 
-// touch marks the chunk of a task for writing.
-func (m *Manager) markShardDirty(now micros.Timestamp, job *jobState, task int, launch bool) {
-	n := task / job.record.ShardSize
-	shard := m.shardOf(job, task)
-	shard.launchPending = shard.launchPending || launch
-	if !shard.dirty {
-		shard.dirty = true
-		shard.dirtySince = now
-		m.dirtyShards = append(m.dirtyShards, shardKey{job.record.Job.ID, n})
-	}
+	inFlight     *writeInFlight // nil: none
+	lastID       uint64
+	lastDuration micros.Duration // of the last write that was committed
 }
 
-// chunkOf is the progress record of a task.
-func (m *Manager) shardOf(job *jobState, task int) *progressShard {
-	return job.shard(task / job.record.ShardSize)
+// writeInFlight is what a write that is being executed changes, to apply its outcome.
+type writeInFlight struct {
+	id          uint64
+	startedAt   micros.Timestamp
+	shards      []shardKey
+	disruptions []shardKey // shards whose record of disruptions changes as well
+	attempts    []*taskAttempt
+	evictions   []*taskAttempt
+	results     []completedTask
+	completions []string
+	deletions   map[string][]int // indices of deleted shards by job
+	deletedJobs []string
+	openJobs    []string // jobs that must still be open
 }
 
-// chunk is the progress record of a number.
-func (job *jobState) shard(n int) *progressShard {
-	shard := job.shards[n]
-	if shard == nil {
-		shard = &progressShard{}
-		job.shards[n] = shard
+// jobIDs returns the jobs whose records the write changes.
+func (write *writeInFlight) jobIDs() []string {
+	ids := slices.Concat(write.completions, write.deletedJobs, slices.Collect(maps.Keys(write.deletions)))
+	for _, key := range write.shards {
+		ids = append(ids, key.job)
 	}
-	return shard
-}
-
-// RecordChange is a durable change with the version that its key must have. Value nil
-// deletes the key.
-type RecordChange struct {
-	Key     string
-	Version uint64
-	Value   any
-	// IdempotencyMark is found in the value of a chunk once this write has been carried out.
-	IdempotencyMark string
+	return ids
 }
 
-// WriteBatch is a transaction to be carried out under the leader's key.
-type WriteBatch struct {
-	ID      uint64
-	Changes []RecordChange
-	// OpenRecordConditions are the open records of the jobs that it completes or places tasks of, with the versions that
-	// they must have: a user may have cancelled a job through another controller.
-	OpenRecordConditions []RecordChange
+// finish returns the write in flight and makes way for the next; nil if another or none is in flight.
+func (pipeline *writePipeline) finish(id uint64) *writeInFlight {
+	write := pipeline.inFlight
+	if write == nil || write.id != id {
+		return nil
+	}
+	pipeline.inFlight = nil
+	return write
 }
 
-// NextWrite gives the next transaction, if one is due and none is out: first what completes jobs, then progress, then what
-// deletes the records of jobs that are over.
+// NextWrite returns the next transaction, or nil if none is due or one is in flight. It contains first what completes
+// jobs, then progress, then the deletion of the records of final jobs. The caller executes it and reports the outcome with
+// WriteCommitted, WriteConflicted or WriteRefused.
+//
+// What was written before a launch is decided here: an attempt is launched only after WriteCommitted for a transaction
+// that contains its placement, in the progress record of its task (writeBuilder.addShard), together with the condition
+// that its job's open record is unchanged. An eviction is carried out only after the transaction with its disruption.
 func (m *Manager) NextWrite(now micros.Timestamp) *WriteBatch {
-	if m.writeInFlight != nil {
+	if m.writes.inFlight != nil {
 		return nil
 	}
-	pending := &pendingWrite{id: m.lastWriteID + 1, deletedShards: map[string][]int{}}
-	batch := &WriteBatch{ID: pending.id}
-	mark := strconv.FormatUint(m.cfg.FencingToken, 36) + "." + strconv.FormatUint(pending.id, 36)
-	maxOps := m.limits.maxOps
-	m.completeJobs(now, pending, batch, maxOps)
-	m.writeShards(now, pending, batch, maxOps, mark)
-	m.deleteRecords(now, pending, batch, maxOps)
-	n := min(len(m.orphanRecords), maxOps-len(batch.Changes))
-	batch.Changes = append(batch.Changes, m.orphanRecords[:n]...)
-	m.orphanRecords = m.orphanRecords[n:]
-	if len(batch.Changes) == 0 {
+	id := m.writes.lastID + 1
+	builder := writeBuilder{
+		manager: m,
+		now:     now,
+		maxOps:  m.writes.limits.maxOps,
+		mark:    strconv.FormatUint(m.cfg.FencingToken, 36) + "." + strconv.FormatUint(id, 36),
+		batch:   &WriteBatch{ID: id},
+		write:   &writeInFlight{id: id, startedAt: now, deletions: map[string][]int{}},
+	}
+	builder.addCompletions()
+	builder.addDirtyShards()
+	builder.addCleanups()
+	builder.addOrphanRecords()
+	if len(builder.batch.Changes) == 0 {
 		return nil
 	}
-	slices.Sort(pending.jobsToBeOpen)
-	for _, id := range slices.Compact(pending.jobsToBeOpen) {
-		batch.OpenRecordConditions = append(batch.OpenRecordConditions, RecordChange{Key: state.OpenJobKey(id), Version: m.jobs[id].version})
-	}
-	m.lastWriteID++
-	pending.startedAt = now
-	m.writeInFlight = pending
-	return batch
+	builder.addConditions()
+	m.writes.lastID = id
+	m.writes.inFlight = builder.write
+	return builder.batch
 }
 
-// completeJobs adds the jobs to a write whose tasks are all done. Each is final in one transaction, together with its records
-// where they fit: its tasks need no record of their own then.
-func (m *Manager) completeJobs(now micros.Timestamp, pending *pendingWrite, batch *WriteBatch, maxOps int) {
-	for i := 0; i < len(m.completions) && len(batch.Changes)+2 <= maxOps; {
-		id := m.completions[i]
-		job := m.jobs[id]
-		if job == nil || job.finalState != "" || job.done < len(job.taskStates) {
-			m.completions = slices.Delete(m.completions, i, i+1)
-			continue
-		}
-		if now < job.writesHeldUntil {
-			i++
-			continue
-		}
-		deletions := job.recordDeletions()
-		full := len(deletions)+2 <= maxOps && len(job.active) == 0
-		if full && len(batch.Changes)+2+len(deletions) > maxOps {
-			break
-		}
-		m.completions = slices.Delete(m.completions, i, i+1)
-		job.completionInFlight = true
-		pending.completions = append(pending.completions, id)
-		pending.jobsToBeOpen = append(pending.jobsToBeOpen, id)
-		batch.Changes = append(batch.Changes, RecordChange{Key: state.JobStatusKey(id), Version: job.version, Value: state.JobStatusRecord{State: wire.JobDone}})
-		if full {
-			batch.Changes = append(batch.Changes, RecordChange{Key: state.OpenJobKey(id), Version: job.version})
-			batch.Changes = append(batch.Changes, deletions...)
-			pending.deletedJobs = append(pending.deletedJobs, id)
-		} else {
-			batch.Changes = append(batch.Changes, RecordChange{Key: state.OpenJobKey(id), Version: job.version, Value: job.record.Finalized(wire.JobDone)})
-		}
-	}
+// writeBuilder builds one transaction within the limits of the key-value store.
+type writeBuilder struct {
+	manager *Manager
+	now     micros.Timestamp
+	maxOps  int
+	mark    string // idempotency mark
+	batch   *WriteBatch
+	write   *writeInFlight
 }
 
-// deleteRecords adds the deletion of the records of jobs that are over, as far as there is room in the write.
-func (m *Manager) deleteRecords(now micros.Timestamp, pending *pendingWrite, batch *WriteBatch, maxOps int) {
-	for i := 0; i < len(m.cleanups) && len(batch.Changes) < maxOps; {
-		id := m.cleanups[i]
-		job := m.jobs[id]
-		if job == nil || len(job.active) > 0 {
-			m.cleanups = slices.Delete(m.cleanups, i, i+1)
+// left returns how many changes the transaction has space for.
+func (builder *writeBuilder) left() int { return builder.maxOps - len(builder.batch.Changes) }
+
+func (builder *writeBuilder) add(changes ...RecordChange) {
+	builder.batch.Changes = append(builder.batch.Changes, changes...)
+}
+
+// addCompletions adds jobs whose tasks are all done.
+func (builder *writeBuilder) addCompletions() {
+	m := builder.manager
+	for i := 0; i < len(m.writes.completions) && builder.left() >= completionOps; {
+		job := m.jobs[m.writes.completions[i]]
+		if job == nil || job.final() || !job.allDone() {
+			m.writes.completions = slices.Delete(m.writes.completions, i, i+1)
 			continue
 		}
-		if now < job.writesHeldUntil {
+		if builder.now < job.writesHeldUntil {
 			i++
 			continue
 		}
-		// The open record goes last: while it stands, a new leader finds the chunks.
-		if !job.deleteShards(pending, batch, maxOps) || len(batch.Changes) >= maxOps {
+		if !builder.addCompletion(job) {
 			return
 		}
-		batch.Changes = append(batch.Changes, RecordChange{Key: state.OpenJobKey(id), Version: job.version})
-		pending.deletedJobs = append(pending.deletedJobs, id)
-		m.cleanups = slices.Delete(m.cleanups, i, i+1)
+		m.writes.completions = slices.Delete(m.writes.completions, i, i+1)
 	}
 }
 
-// deleteChunks adds the deletion of a job's chunks to a write; all: they have found room in it.
-func (job *jobState) deleteShards(pending *pendingWrite, batch *WriteBatch, maxOps int) (all bool) {
-	id := job.record.Job.ID
-	for _, n := range slices.Sorted(maps.Keys(job.shards)) {
-		shard := job.shards[n]
-		deletions := shard.recordDeletions(id, n)
-		if len(deletions) == 0 || shard.deletionInFlight {
-			continue
-		}
-		if len(batch.Changes)+len(deletions) > maxOps {
-			return false
-		}
-		shard.deletionInFlight = true
-		pending.deletedShards[id] = append(pending.deletedShards[id], n)
-		batch.Changes = append(batch.Changes, deletions...)
-	}
-	return true
-}
-
-// deletions gives the changes that delete a chunk's records.
-func (shard *progressShard) recordDeletions(id string, n int) []RecordChange {
-	var out []RecordChange
-	if shard.version != 0 {
-		out = append(out, RecordChange{Key: state.ProgressKey(id, n), Version: shard.version})
+// addCompletion makes a job final, together with the deletion of its records if that fits into one transaction: its tasks
+// need no record of their own then. It reports false if that has to wait for the next transaction.
+func (builder *writeBuilder) addCompletion(job *jobState) bool {
+	id := job.id()
+	deletions := job.recordDeletions()
+	deletable := len(deletions)+completionOps <= builder.maxOps && len(job.active) == 0
+	if deletable && len(deletions)+completionOps > builder.left() {
+		return false
 	}
-	if shard.disruptions.version != 0 {
-		out = append(out, RecordChange{Key: state.DisruptionKey(id, n), Version: shard.disruptions.version})
+	job.completionInFlight = true
+	builder.write.completions = append(builder.write.completions, id)
+	builder.write.openJobs = append(builder.write.openJobs, id)
+	status := state.JobStatusRecord{State: wire.JobDone}
+	builder.add(RecordChange{Key: state.JobStatusKey(id), Version: job.version, Value: status})
+	if deletable {
+		builder.add(RecordChange{Key: state.OpenJobKey(id), Version: job.version})
+		builder.add(deletions...)
+		builder.write.deletedJobs = append(builder.write.deletedJobs, id)
+	} else {
+		final := job.record.Finalized(wire.JobDone)
+		builder.add(RecordChange{Key: state.OpenJobKey(id), Version: job.version, Value: final})
 	}
-	return out
+	return true
 }
 
-// deletions gives the changes that delete all of a job's records of progress and of disturbed tasks.
+// recordDeletions returns the changes that delete all of a job's records of progress and disruptions.
 func (job *jobState) recordDeletions() []RecordChange {
-	var out []RecordChange
-	for _, n := range slices.Sorted(maps.Keys(job.shards)) {
-		out = append(out, job.shards[n].recordDeletions(job.record.Job.ID, n)...)
+	var changes []RecordChange
+	for _, index := range slices.Sorted(maps.Keys(job.shards)) {
+		changes = append(changes, job.shards[index].recordDeletions(shardKey{job: job.id(), index: index})...)
 	}
-	return out
+	return changes
 }
 
-// gather is how long progress may wait for more of it in the same chunk. A leader that
-// ends meanwhile loses nothing: workers go on listing what ended until it is cleared. Where
-// writes take long, as when few changes a second are allowed, progress makes way for the
-// launches and the results that people wait for.
-const progressDelay, maxProgressDelay, writesPerProgressDelay = 2 * micros.Second, 15 * micros.Second, 10
-
-func (m *Manager) currentProgressDelay() micros.Duration {
-	return min(maxProgressDelay, max(progressDelay, writesPerProgressDelay*m.lastWriteDuration))
-}
-
-// writeChunks adds progress to a write: first what launches wait for, then, while no
-// transaction is worth keeping free for them, what has waited long enough.
-func (m *Manager) writeShards(now micros.Timestamp, pending *pendingWrite, batch *WriteBatch, maxOps int, mark string) {
-	gather := m.currentProgressDelay()
-	m.sortDirtyShards(maxOps)
+// addDirtyShards adds progress: first what launches wait for, then, while no transaction is worth keeping free for them,
+// what has waited long enough.
+func (builder *writeBuilder) addDirtyShards() {
+	m := builder.manager
+	m.sortDirtyShards()
+	delay := m.writes.progressDelay()
 	for _, launches := range []bool{true, false} {
-		rest := m.dirtyShards[:0]
-		for _, key := range m.dirtyShards {
+		rest := m.writes.dirtyShards[:0]
+		for _, key := range m.writes.dirtyShards {
 			job := m.jobs[key.job]
-			if job == nil || job.finalState != "" || job.completionInFlight || job.done == len(job.taskStates) {
-				if job != nil && job.shards[key.shard] != nil {
-					job.shards[key.shard].dirty, job.shards[key.shard].launchPending = false, false
+			if job == nil || job.final() || job.completionInFlight || job.allDone() {
+				if job != nil && job.shards[key.index] != nil {
+					job.shards[key.index].markWritten()
 				}
 				continue
 			}
-			shard := job.shards[key.shard]
-			if len(batch.Changes) >= maxOps || launches != shard.launchPending || !launches && now.Sub(shard.dirtySince) < gather || now < job.writesHeldUntil ||
-				!m.limits.hasRoom(job, key.shard*job.record.ShardSize, 0) {
+			shard := job.shards[key.index]
+			due := launches == shard.launchPending && (launches || builder.now.Sub(shard.dirtySince) >= delay)
+			if !due || !builder.addShard(job, key) {
 				rest = append(rest, key)
-				continue
 			}
-			disturbed, beside := m.disruptionChange(job, key.shard, mark)
-			if beside && len(batch.Changes)+2 > maxOps {
-				rest = append(rest, key)
-				continue
-			}
-			batch.Changes = append(batch.Changes, m.shardChange(pending, job, key, mark))
-			if beside {
-				batch.Changes = append(batch.Changes, disturbed)
-				pending.disruptions = append(pending.disruptions, key)
-			}
-			pending.evictions = append(pending.evictions, m.evictionsRecordedIn(job, key.shard)...)
 		}
-		m.dirtyShards = rest
+		m.writes.dirtyShards = rest
 	}
 }
 
-// headStart is by how much earlier a record counts as changed for each step of its job's
-// priority, when not all that are due can be written at once.
-const priorityHeadStart = 10 * micros.Second
-
-// urgentFirst orders the records to be written by how urgent their jobs are and how long they
-// have waited, if not all can be written at once.
-func (m *Manager) sortDirtyShards(maxOps int) {
-	if len(m.dirtyShards) <= maxOps {
-		return
-	}
-	rank := func(key shardKey) micros.Timestamp {
-		job := m.jobs[key.job]
-		if job == nil {
-			return 0
-		}
-		return job.shards[key.shard].dirtySince.Add(-priorityHeadStart * micros.Duration(job.record.Job.Priority()))
-	}
-	slices.SortStableFunc(m.dirtyShards, func(a, b shardKey) int { return cmp.Compare(rank(a), rank(b)) })
-}
-
-// backlogged tells whether more records with launches wait to be written than can be in a few
-// seconds, so that nothing new is to be promised to a job: the more urgent it is, or if it has
-// waited long, the later. What can't be written for long would only hold room, and jobs that
-// are placed bit by bit take a write for each bit.
-func (m *Manager) backlogged(now micros.Timestamp, job *jobState) bool {
-	const patience, overdue = 2 * micros.Second, 5
-	if m.lastWriteDuration <= 0 {
+// addShard adds a shard's progress record, with the record of its disruptions if that changes too. It reports false if
+// there is no space for them, or the record may not be written now.
+func (builder *writeBuilder) addShard(job *jobState, key shardKey) bool {
+	m := builder.manager
+	first, _ := job.tasksOf(key.index)
+	if builder.left() <= 0 || builder.now < job.writesHeldUntil || !m.writes.limits.hasSpace(job, first, 0) {
 		return false
 	}
-	times := 1 + micros.Duration(job.record.Job.Priority())
-	if now.Sub(job.waitingSince) > m.cfg.Tuning.ReserveAfter {
-		times = overdue
-	}
-	most := int(patience*times/m.lastWriteDuration) * m.limits.maxOps
-	if len(m.dirtyShards) <= most {
+	disruptions, changed := m.disruptionChange(job, key.index, builder.mark)
+	if changed && builder.left() < 2 {
 		return false
 	}
-	launches := 0
-	for _, key := range m.dirtyShards {
-		if job := m.jobs[key.job]; job != nil && job.shards[key.shard].launchPending {
-			launches++
-		}
+	builder.add(builder.progressChange(job, key))
+	if changed {
+		builder.add(disruptions)
+		builder.write.disruptions = append(builder.write.disruptions, key)
 	}
-	return launches > most
+	builder.write.evictions = append(builder.write.evictions, m.evictionsRecordedIn(job, key.index)...)
+	return true
 }
 
-func (m *Manager) shardChange(pending *pendingWrite, job *jobState, key shardKey, mark string) RecordChange {
-	shard := job.shards[key.shard]
-	shard.dirty, shard.launchPending = false, false
-	pending.shards = append(pending.shards, key)
-	base := key.shard * job.record.ShardSize
-	size := min(job.record.ShardSize, len(job.taskStates)-base)
-	rec := state.ProgressRecord{IdempotencyMark: mark}
-	rec.Done = state.EncodeDoneBitmap(size, func(i int) bool { return job.taskStates[base+i] >= taskDone })
-	for i := range size {
-		t := base + i
-		if job.taskStates[t] == taskDone {
-			pending.completed = append(pending.completed, completedTask{job, t})
+// progressChange returns the change of a shard's progress record: its done tasks, and the placement of each attempt that
+// may exist.
+func (builder *writeBuilder) progressChange(job *jobState, key shardKey) RecordChange {
+	shard := job.shards[key.index]
+	shard.markWritten()
+	write := builder.write
+	write.shards = append(write.shards, key)
+	first, end := job.tasksOf(key.index)
+	record := state.ProgressRecord{IdempotencyMark: builder.mark}
+	record.Done = state.EncodeDoneBitmap(end-first, func(i int) bool { return job.taskPhases[first+i] >= taskDone })
+	for task := first; task < end; task++ {
+		if job.taskPhases[task] == taskDone {
+			write.results = append(write.results, completedTask{job: job, task: task})
 		}
-		if attempt := job.active[t]; attempt != nil && job.taskStates[t] == taskActive {
-			rec.Active = append(rec.Active, attempt.placement())
-			if !attempt.durable {
-				pending.attempts = append(pending.attempts, attempt)
-				pending.jobsToBeOpen = append(pending.jobsToBeOpen, job.record.Job.ID)
-			}
+		attempt := job.active[task]
+		if attempt == nil || job.taskPhases[task] != taskActive {
+			continue
+		}
+		record.Active = append(record.Active, attempt.placement())
+		if !attempt.durable {
+			write.attempts = append(write.attempts, attempt)
+			write.openJobs = append(write.openJobs, job.id())
 		}
 	}
-	return RecordChange{Key: state.ProgressKey(job.record.Job.ID, key.shard), Version: shard.version, Value: rec, IdempotencyMark: mark}
-}
-
-// jobs gives the jobs whose records the write changes.
-func (pending *pendingWrite) jobIDs() []string {
-	out := slices.Concat(pending.completions, pending.deletedJobs, slices.Collect(maps.Keys(pending.deletedShards)))
-	for _, key := range pending.shards {
-		out = append(out, key.job)
-	}
-	return out
-}
-
-// endWrite gives what the write that is out consists of, and makes way for the next; nil
-// if it is another.
-func (m *Manager) takeWriteInFlight(id uint64) *pendingWrite {
-	pending := m.writeInFlight
-	if pending == nil || pending.id != id {
-		return nil
+	return RecordChange{
+		Key:             state.ProgressKey(job.id(), key.index),
+		Version:         shard.version,
+		Value:           record,
+		IdempotencyMark: builder.mark,
 	}
-	m.writeInFlight = nil
-	return pending
 }
 
-// WriteCommitted takes the outcome of a write that was carried out.
-func (m *Manager) WriteCommitted(now micros.Timestamp, id, revision uint64) {
-	pending := m.takeWriteInFlight(id)
-	if pending == nil {
-		return
-	}
-	m.lastWriteDuration = now.Sub(pending.startedAt)
-	for _, key := range pending.shards {
-		if job := m.jobs[key.job]; job != nil {
-			job.shards[key.shard].version = revision
-		}
-	}
-	for _, key := range pending.disruptions {
-		if job := m.jobs[key.job]; job != nil {
-			job.shards[key.shard].disruptions.committed(revision)
-		}
-	}
-	for _, attempt := range pending.attempts {
-		attempt.durable = true
-		m.pushCandidates[attempt.machine.id] = true
-		if job := attempt.job; job.gang != nil && job.active[attempt.taskIndex] == attempt {
-			m.applyGangAction(now, job, job.gang.PlacementDurable(), disruption.Gang)
-		}
-	}
-	for _, completed := range pending.completed {
-		if completed.job.taskStates[completed.task] == taskDone {
-			completed.job.taskStates[completed.task] = taskDurable
-			completed.job.durable++
+// addCleanups adds the deletion of the records of final jobs, as far as there is space.
+func (builder *writeBuilder) addCleanups() {
+	m := builder.manager
+	for i := 0; i < len(m.writes.cleanups) && builder.left() > 0; {
+		job := m.jobs[m.writes.cleanups[i]]
+		if job == nil || len(job.active) > 0 {
+			m.writes.cleanups = slices.Delete(m.writes.cleanups, i, i+1)
+			continue
 		}
-	}
-	for id, ns := range pending.deletedShards {
-		if job := m.jobs[id]; job != nil {
-			for _, n := range ns {
-				delete(job.shards, n)
-			}
+		if builder.now < job.writesHeldUntil {
+			i++
+			continue
 		}
-	}
-	for _, id := range pending.completions {
-		if job := m.jobs[id]; job != nil {
-			job.completionInFlight = false
-			job.finalState, job.finalSince = wire.JobDone, now
-			job.version = revision
-			m.markJobChanged(job)
-			if !slices.Contains(pending.deletedJobs, id) {
-				m.queueFinalWrite(now, job)
-			}
+		// The open record goes last: while it stands, a new leader finds the progress records.
+		if !builder.addShardDeletions(job) || builder.left() <= 0 {
+			return
 		}
+		builder.add(RecordChange{Key: state.OpenJobKey(job.id()), Version: job.version})
+		builder.write.deletedJobs = append(builder.write.deletedJobs, job.id())
+		m.writes.cleanups = slices.Delete(m.writes.cleanups, i, i+1)
 	}
-	for _, id := range pending.deletedJobs {
-		m.removedJobs[id] = revision
-		m.publisher.dirtyJobs[id] = true
-		delete(m.jobs, id)
-	}
-	m.executeEvictions(now, pending.evictions)
-	m.publisher.stale = true
 }
 
-// WriteConflicted takes the outcome of a write that changed nothing because a user has
-// cancelled a job of it meanwhile. What has become of its jobs has been told before.
-func (m *Manager) WriteConflicted(now micros.Timestamp, id uint64) {
-	pending := m.takeWriteInFlight(id)
-	if pending == nil {
-		return
-	}
-	for _, key := range pending.shards {
-		if job := m.jobs[key.job]; job != nil {
-			m.markShardDirty(now, job, key.shard*job.record.ShardSize, true)
+// addShardDeletions adds the deletion of a job's progress records and reports whether there was space for all of them.
+func (builder *writeBuilder) addShardDeletions(job *jobState) bool {
+	for _, index := range slices.Sorted(maps.Keys(job.shards)) {
+		shard := job.shards[index]
+		deletions := shard.recordDeletions(shardKey{job: job.id(), index: index})
+		if len(deletions) == 0 || shard.deletionInFlight {
+			continue
 		}
-	}
-	for id, ns := range pending.deletedShards {
-		if job := m.jobs[id]; job != nil {
-			for _, n := range ns {
-				job.shards[n].deletionInFlight = false
-			}
+		if len(deletions) > builder.left() {
+			return false
 		}
+		shard.deletionInFlight = true
+		builder.write.deletions[job.id()] = append(builder.write.deletions[job.id()], index)
+		builder.add(deletions...)
 	}
-	for _, id := range slices.Concat(pending.completions, pending.deletedJobs) {
-		if job := m.jobs[id]; job != nil {
-			job.completionInFlight = false
-			m.queueFinalWrite(now, job)
-		}
+	return true
+}
+
+// addOrphanRecords adds the deletion of records without a job, as far as there is space.
+func (builder *writeBuilder) addOrphanRecords() {
+	pipeline := &builder.manager.writes
+	n := min(len(pipeline.orphanRecords), builder.left())
+	builder.add(pipeline.orphanRecords[:n]...)
+	pipeline.orphanRecords = pipeline.orphanRecords[n:]
+}
+
+// addConditions adds the conditions that jobs are still open.
+func (builder *writeBuilder) addConditions() {
+	slices.Sort(builder.write.openJobs)
+	for _, id := range slices.Compact(builder.write.openJobs) {
+		condition := RecordChange{Key: state.OpenJobKey(id), Version: builder.manager.jobs[id].version}
+		builder.batch.OpenRecordConditions = append(builder.batch.OpenRecordConditions, condition)
 	}
 }
--- a/internal/scenario/loopback_test.go
+++ b/internal/scenario/loopback_test.go
@@ -16,8 +16,8 @@
 // Words of the controllers' logs: a term begins, a disturbance begins, it ends.
 var (
 	leads = regexp.MustCompile(`msg=leading controller=(\S+) fencing_token=`)
-	begun = regexp.MustCompile(`msg="work is disturbed" controller=(\S+) task=(\S+) attempt=(\d+) team=\S+ cause=(\S+)`)
-	ended = regexp.MustCompile(`msg="work is disturbed no longer" controller=(\S+) task=(\S+)`)
+	begun = regexp.MustCompile(`msg="task disrupted" controller=(\S+) task=(\S+) attempt=(\d+) team=\S+ reason=(\S+)`)
+	ended = regexp.MustCompile(`msg="task disruption ended" controller=(\S+) task=(\S+)`)
 )
 
 // counts is what the controllers' logs say of disturbances.
@@ -56,10 +56,10 @@
 // The reading of the logs finds what is counted twice, and nothing else.
 func TestReadCounts(t *testing.T) {
 	begin := func(member, task, attempt, cause string) string {
-		return `msg="work is disturbed" controller=` + member + " task=" + task + " attempt=" + attempt + " team=red cause=" + cause + " machine=n-1\n"
+		return `msg="task disrupted" controller=` + member + " task=" + task + " attempt=" + attempt + " team=red reason=" + cause + " machine=n-1\n"
 	}
 	end := func(member, task string) string {
-		return `msg="work is disturbed no longer" controller=` + member + " task=" + task + " team=red\n"
+		return `msg="task disruption ended" controller=` + member + " task=" + task + " team=red\n"
 	}
 	const next = "msg=leading controller=c1 fencing_token=9\n"
 	for _, c := range []struct {
