--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -103,7 +103,7 @@
 	return responses, nil
 }
 
-// RelayHeartbeat passes an agent's heartbeat on to the leader and returns the leader's response.
+// RelayHeartbeat passes a worker's heartbeat on to the leader and returns the leader's response.
 func (c *Client) RelayHeartbeat(ctx context.Context, heartbeat *wire.Heartbeat) (*RelayResponse, error) {
 	response := new(RelayResponse)
 	message := RelayedHeartbeat{Member: c.member, FencingToken: c.fencingToken, Heartbeat: heartbeat}
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -35,7 +35,7 @@
 	RequestLeases(ctx context.Context, requests LeaseRequests) (*LeaseResponses, error)
 	// LeaderAnnounced applies another controller's announcement that it leads.
 	LeaderAnnounced(ctx context.Context, announcement Announcement)
-	// HeartbeatRelayed serves a heartbeat that an agent has sent to another controller; ErrNotLeader if the fencing
+	// HeartbeatRelayed serves a heartbeat that a worker has sent to another controller; ErrNotLeader if the fencing
 	// token is not this controller's.
 	HeartbeatRelayed(ctx context.Context, heartbeat RelayedHeartbeat) (*RelayResponse, error)
 }
@@ -55,8 +55,8 @@
 	Results         []lease.Result `json:"results,omitempty"`
 }
 
-// RelayedHeartbeat carries an agent's heartbeat to the leader from the controller that the agent has turned to, since
-// the leader does not reach it though the agent has the leader's fencing token.
+// RelayedHeartbeat carries a worker's heartbeat to the leader from the controller that the worker has turned to, since
+// the leader does not reach it though the worker has the leader's fencing token.
 type RelayedHeartbeat struct {
 	Member       string          `json:"member"`
 	FencingToken uint64          `json:"token"`
@@ -64,7 +64,7 @@
 }
 
 // RelayResponse carries the leader's response to a relayed heartbeat. CommandsDelivered means that commands that the
-// leader pushes reach the agent again, so that the agent should be redirected to the leader.
+// leader pushes reach the worker again, so that the worker should be redirected to the leader.
 type RelayResponse struct {
 	Response          *wire.HeartbeatResponse `json:"answer,omitempty"`
 	CommandsDelivered bool                    `json:"reached,omitempty"`
--- /dev/null
+++ b/internal/worker/server.go
@@ -0,0 +1,64 @@
+// Package worker is the interface to the workers, which run tasks on the machines: it serves their heartbeats and
+// pushes commands to them. It owns the statuses, the limits and the connections of both directions.
+//
+// It decides nothing: a HeartbeatHandler responds to heartbeats, and the leader's term says which commands to push. It
+// keeps no state of machines or tasks and retries nothing.
+package worker
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+
+	"github.com/julienschmidt/httprouter"
+
+	"saffronbend/internal/ingress"
+	"saffronbend/wire"
+)
+
+// maxHeartbeatBytes bounds the body of a heartbeat.
+const maxHeartbeatBytes = 1 << 20
+
+// HeartbeatHandler serves heartbeats. Its method is called from many goroutines at once.
+type HeartbeatHandler interface {
+	// Heartbeat returns the response to a heartbeat, or nil if this controller must not respond to it. Then leader is the
+	// controller to which the worker should turn; "" if nobody is known to lead.
+	Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) (response *wire.HeartbeatResponse, leader string)
+}
+
+// Register adds the workers' interface to a router. Heartbeats have low priority: see ingress.Admission.
+func Register(router *httprouter.Router, handler HeartbeatHandler) {
+	router.POST(wire.PathHeartbeat, func(w http.ResponseWriter, req *http.Request, _ httprouter.Params) {
+		ingress.LowPriority(req.Context())
+		heartbeat, err := readHeartbeat(w, req)
+		if err != nil {
+			http.Error(w, `{"error":"malformed report"}`, http.StatusBadRequest)
+			return
+		}
+		response, leader := handler.Heartbeat(req.Context(), heartbeat)
+		switch {
+		case response != nil:
+			respond(w, http.StatusOK, response)
+		case leader != "":
+			respond(w, http.StatusMisdirectedRequest, wire.LeaderRedirect{Leader: leader})
+		default:
+			respond(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no leader"})
+		}
+	})
+}
+
+func readHeartbeat(w http.ResponseWriter, req *http.Request) (*wire.Heartbeat, error) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxHeartbeatBytes))
+	if err != nil {
+		return nil, err
+	}
+	return wire.DecodeHeartbeat(body)
+}
+
+func respond(w http.ResponseWriter, status int, body any) {
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(status)
+	// An error means that the worker has gone. It sends its next heartbeat all the same.
+	_ = json.NewEncoder(w).Encode(body)
+}
