--- /dev/null
+++ b/internal/follower/lease_renewer_test.go
@@ -0,0 +1,155 @@
+package follower
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"reflect"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"saffronbend/internal/health"
+	"saffronbend/internal/micros"
+	"saffronbend/internal/openjobs"
+	"saffronbend/internal/settings"
+	"saffronbend/internal/state"
+	"saffronbend/wire"
+)
+
+const token = 7
+
+// fakeStore lists its records.
+type fakeStore struct {
+	Store
+	records []wire.KeyValue
+}
+
+func (s *fakeStore) List(_ context.Context, prefix string) ([]wire.KeyValue, uint64, error) {
+	var found []wire.KeyValue
+	for _, record := range s.records {
+		if strings.HasPrefix(record.Key, prefix) {
+			found = append(found, record)
+		}
+	}
+	return found, 1, nil
+}
+
+func record(t *testing.T, key string, value any) wire.KeyValue {
+	t.Helper()
+	encoded, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return wire.KeyValue{Key: key, Value: encoded}
+}
+
+// newTestRenewer returns a renewer that may renew leases for a second, and knows that run-1 has ended, with an
+// attempt 3 of its first task recorded on machine m1 under incarnation 5, and that run-2 has not.
+func newTestRenewer(t *testing.T) *leaseRenewer {
+	t.Helper()
+	set := &settings.Settings{}
+	set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 10, 30
+	clock := micros.NewClock()
+	progress := state.ProgressRecord{Active: []state.Placement{{Task: 0, Machine: "m1", Attempt: 3, Incarnation: 5}}}
+	store := &fakeStore{records: []wire.KeyValue{record(t, state.ProgressKey("run-1", 0), progress)}}
+	renewer := newLeaseRenewer(Config{
+		Settings: set,
+		Log:      slog.New(slog.DiscardHandler),
+		Clock:    clock,
+		Store:    store,
+		Health:   health.NewMonitor(clock),
+	}, token)
+	renewer.reset()
+	renewer.applyOpenJobs(t.Context(), openjobs.Update{RequestedAt: clock.Now()})
+	renewer.applyOpenJobs(t.Context(), openjobs.Update{
+		RequestedAt: clock.Now(),
+		Records: []wire.KeyValue{
+			record(t, state.OpenJobKey("run-1"), state.OpenJobRecord{FinalState: wire.JobCancelled}),
+			record(t, state.OpenJobKey("run-2"), state.OpenJobRecord{}),
+		},
+	})
+	renewer.setValidUntil(clock.Now().Add(micros.Second))
+	return renewer
+}
+
+func TestLeaseRenewerRespond(t *testing.T) {
+	running := func(task string, attempt uint64) []wire.TaskStatus {
+		return []wire.TaskStatus{{Task: task, Attempt: attempt, State: wire.TaskRunning}}
+	}
+	taskA, taskB := wire.TaskName("run-1", 0), wire.TaskName("run-2", 0)
+	launch := wire.Command{Op: wire.OpStart, Task: taskA, Attempt: 3}
+	stop := wire.StopCommand(taskA, 3, 0)
+	onOther := wire.Heartbeat{Machine: "m2"}
+	onRecorded := wire.Heartbeat{Machine: "m1", Incarnation: 5}
+	onRestarted := wire.Heartbeat{Machine: "m1", Incarnation: 6}
+	cases := map[string]struct {
+		heartbeat wire.Heartbeat
+		token     uint64 // that the worker has seen
+		tasks     []wire.TaskStatus
+		after     time.Duration
+		refused   bool
+		want      []wire.Command
+	}{
+		"nothing to stop":           {heartbeat: onOther, tasks: running(taskB, 4)},
+		"a task of an ended job":    {heartbeat: onOther, tasks: running(taskA, 3), want: []wire.Command{stop}},
+		"a launch may yet arrive":   {heartbeat: onRecorded, want: []wire.Command{launch, stop}},
+		"the launch has arrived":    {heartbeat: onRecorded, tasks: running(taskA, 3), want: []wire.Command{stop}},
+		"of a later incarnation":    {heartbeat: onRestarted},
+		"a higher token was seen":   {heartbeat: onOther, token: token + 1, refused: true},
+		"the token is the leader's": {heartbeat: onOther, token: token},
+		"no longer confirmed":       {heartbeat: onOther, after: time.Second, refused: true},
+		"still confirmed":           {heartbeat: onOther, after: 999 * time.Millisecond},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				renewer := newTestRenewer(t)
+				time.Sleep(c.after)
+				c.heartbeat.FencingToken, c.heartbeat.Tasks = c.token, c.tasks
+				response := renewer.respond(&c.heartbeat)
+				if c.refused {
+					if response != nil {
+						t.Errorf("the response is %+v, want none", response)
+					}
+					return
+				}
+				want := &wire.HeartbeatResponse{FencingToken: token, Commands: append([]wire.Command{}, c.want...)}
+				if !reflect.DeepEqual(response, want) {
+					t.Errorf("the response is %+v, want %+v", response, want)
+				}
+			})
+		})
+	}
+}
+
+func TestLeaseIsNotRenewedOnceLaunchAndStopAreTooLate(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		renewer := newTestRenewer(t)
+		heartbeat := &wire.Heartbeat{Machine: "m1", Incarnation: 5}
+		time.Sleep(time.Minute)
+		now := renewer.cfg.Clock.Now()
+		renewer.setValidUntil(now.Add(micros.Second))
+		renewer.applyOpenJobs(t.Context(), openjobs.Update{RequestedAt: now})
+		if response := renewer.respond(heartbeat); response != nil {
+			t.Errorf("the response is %+v, want none: a late launch could start the attempt", response)
+		}
+		// Once the job's records are deleted, none of its attempts can exist.
+		renewer.applyOpenJobs(t.Context(), openjobs.Update{RequestedAt: now, Removed: []string{"run-1"}})
+		if response := renewer.respond(heartbeat); response == nil {
+			t.Error("there is no response though the job's records are deleted")
+		}
+	})
+}
+
+func TestLeaseIsNotRenewedOnOldCancellations(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		renewer := newTestRenewer(t)
+		time.Sleep(renewer.cfg.Settings.MaxStaleness().AsDuration())
+		renewer.setValidUntil(renewer.cfg.Clock.Now().Add(micros.Second))
+		if response := renewer.respond(&wire.Heartbeat{Machine: "m2"}); response != nil {
+			t.Errorf("the response is %+v, want none", response)
+		}
+	})
+}
--- /dev/null
+++ b/internal/leader/scaling/scaling_test.go
@@ -0,0 +1,164 @@
+package scaling
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"reflect"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"saffronbend/internal/cloud"
+	"saffronbend/internal/eventloop"
+	"saffronbend/internal/fleet"
+	"saffronbend/internal/micros"
+	"saffronbend/internal/snapshot"
+	"saffronbend/wire"
+)
+
+func TestListInterval(t *testing.T) {
+	cases := map[string]struct {
+		machines          int
+		requestsPerSecond float64
+		want              micros.Duration
+	}{
+		"a small fleet":    {10, 100, micros.Second},
+		"one page":         {wire.MachinePageSize - 1, 2, 2 * micros.Second},
+		"eight pages":      {4000 - 1, 8, 4 * micros.Second},
+		"nothing known":    {0, 4, micros.Second},
+		"a very slow rate": {0, 0.5, 8 * micros.Second},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			if got := listInterval(c.machines, c.requestsPerSecond); got != c.want {
+				t.Errorf("listInterval(%d, %g) is %v, want %v", c.machines, c.requestsPerSecond, got, c.want)
+			}
+		})
+	}
+}
+
+func TestSilentMachines(t *testing.T) {
+	const heartbeatInterval = 2 * micros.Second
+	const limit = 2*heartbeatInterval + micros.Second
+	const now = micros.Timestamp(micros.Minute)
+	machine := func(silence micros.Duration) *snapshot.Machine {
+		return &snapshot.Machine{State: wire.MachineRunning, LastHeartbeat: now.Add(-silence)}
+	}
+	starting, deleting := machine(micros.Minute), machine(micros.Minute)
+	starting.State, deleting.Deleting = wire.MachineStarting, true
+	cases := map[string]struct {
+		machine *snapshot.Machine
+		want    bool
+	}{
+		"a heartbeat in time": {machine(limit), false},
+		"silent":              {machine(limit + 1), true},
+		"starting":            {starting, false},
+		"being deleted":       {deleting, false},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			executor := New(Config{Fleet: fleet.Config{HeartbeatInterval: heartbeatInterval}}, 0)
+			executor.ObserveSnapshot(now, &snapshot.Snapshot{Machines: []*snapshot.Machine{machine(0), c.machine}})
+			if got := executor.machineSilent.Load(); got != c.want {
+				t.Errorf("silent is %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// fakeCloud answers each request by the next of its errors, nil after the last.
+type fakeCloud struct {
+	Cloud
+	errs     []error
+	requests int
+}
+
+func (c *fakeCloud) next() error {
+	c.requests++
+	if c.requests > len(c.errs) {
+		return nil
+	}
+	return c.errs[c.requests-1]
+}
+
+func (c *fakeCloud) ScaleOut(context.Context, wire.ScaleOutRequest) ([]string, error) {
+	if err := c.next(); err != nil {
+		return nil, err
+	}
+	return []string{"m1"}, nil
+}
+
+func (c *fakeCloud) ScaleIn(context.Context, []string) error { return c.next() }
+
+// fakeManager keeps what it is told.
+type fakeManager struct {
+	Manager
+	scaledOut, deleted [][]string
+}
+
+func (m *fakeManager) MachinesScaledOut(_ micros.Timestamp, _ wire.ScaleOutRequest, machines []string) {
+	m.scaledOut = append(m.scaledOut, machines)
+}
+
+func (m *fakeManager) DeletionRequested([]string) {}
+
+func (m *fakeManager) MachinesDeleted(_ micros.Timestamp, machines []string) {
+	m.deleted = append(m.deleted, machines)
+}
+
+// play runs f on the goroutine of an event loop, waits a minute and ends the loop.
+func play(t *testing.T, errs []error, f func(ctx context.Context, executor *Executor)) (*fakeCloud, *fakeManager) {
+	t.Helper()
+	fake, manager := &fakeCloud{errs: errs}, &fakeManager{}
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
+		defer cancel()
+		loop := eventloop.New()
+		executor := New(Config{Log: slog.New(slog.DiscardHandler), Loop: loop, Cloud: fake, Manager: manager}, 0)
+		f(ctx, executor)
+		for {
+			select {
+			case event := <-loop.Events():
+				loop.Handle(ctx, event, micros.NewClock())
+			case <-ctx.Done():
+				loop.Stop()
+				return
+			}
+		}
+	})
+	return fake, manager
+}
+
+func TestScaleOutIsRepeatedUntilItsOutcomeIsKnown(t *testing.T) {
+	errUnknown := errors.New("no answer")
+	cases := map[string]struct {
+		errs     []error
+		requests int
+		want     [][]string
+	}{
+		"created":                    {nil, 1, [][]string{{"m1"}}},
+		"created after two errors":   {[]error{errUnknown, errUnknown}, 3, [][]string{{"m1"}}},
+		"no capacity after an error": {[]error{errUnknown, cloud.ErrNoCapacity}, 2, [][]string{nil}},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			fake, manager := play(t, c.errs, func(ctx context.Context, executor *Executor) {
+				executor.cfg.Loop.Go(func() { executor.scaleOut(ctx, wire.ScaleOutRequest{Count: 1}) })
+			})
+			if fake.requests != c.requests || !reflect.DeepEqual(manager.scaledOut, c.want) {
+				t.Errorf("%d requests, reported %v; want %d and %v", fake.requests, manager.scaledOut, c.requests, c.want)
+			}
+		})
+	}
+}
+
+func TestDeletionIsRepeatedUntilCarriedOut(t *testing.T) {
+	errUnknown := errors.New("no answer")
+	fake, manager := play(t, []error{errUnknown}, func(ctx context.Context, executor *Executor) {
+		executor.ScaleIn(ctx, []string{"m1", "m2"})
+	})
+	if want := [][]string{{"m1", "m2"}}; fake.requests != 2 || !reflect.DeepEqual(manager.deleted, want) {
+		t.Errorf("%d requests, reported %v; want 2 and %v", fake.requests, manager.deleted, want)
+	}
+}
