--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -10,47 +10,56 @@
 	"saffronbend/wire"
 )
 
-// flood is a fleet and its view: 600 full machines, 200 jobs of 50 tasks that wait.
-func flood() (*Fleet, *snapshot.Snapshot) {
+// overload returns a fleet and a snapshot of it: 600 full machines, 200 jobs of 50 tasks that wait.
+func overload() (*Fleet, *snapshot.Snapshot) {
 	const machines, jobs = 600, 200
 	zones := []string{"a", "b", "c", "d"}
-	f := newFleet(1.5)
-	f.SetTypes([]wire.MachineType{
+	fleet := newFleet(1.5)
+	fleet.SetTypes([]wire.MachineType{
 		{Name: "small", CPUs: 8, MemoryGB: 16, Price: 1, SpotPrice: 0.3, BootS: 40, Zones: zones},
-		{Name: "large", CPUs: 64, MemoryGB: 128, Price: 8, SpotPrice: 2.4, BootS: 40, Zones: zones}})
-	v := &snapshot.Snapshot{Now: start}
+		{Name: "large", CPUs: 64, MemoryGB: 128, Price: 8, SpotPrice: 2.4, BootS: 40, Zones: zones},
+	})
+	published := &snapshot.Snapshot{Now: start}
 	for i := range machines {
-		v.Machines = append(v.Machines, &snapshot.Machine{ID: fmt.Sprintf("n-%03d", i), Type: "small", Zone: zones[i%len(zones)], Usable: true,
-			Up: true, State: wire.MachineRunning, LastHeartbeat: start, Leases: []snapshot.JobLeases{{Job: "run-0", Vector: resources.Vector{CPUs: 4, MemoryGB: 1},
-				Leases: []snapshot.Lease{{ExpectedEnd: start.Add(micros.Minute)}, {ExpectedEnd: start.Add(micros.Second)}}}}})
+		machine := newMachine(fmt.Sprintf("n-%03d", i), "small", resources.Vector{})
+		machine.Zone = zones[i%len(zones)]
+		machine.Leases = []snapshot.JobLeases{{
+			Job:    "run-0",
+			Vector: resources.Vector{CPUs: 4, MemoryGB: 1},
+			Leases: []snapshot.Lease{
+				{ExpectedEnd: start.Add(micros.Minute)},
+				{ExpectedEnd: start.Add(micros.Second)},
+			},
+		}}
+		published.Machines = append(published.Machines, machine)
 	}
 	for i := range jobs {
-		v.Jobs = append(v.Jobs, jobView(fmt.Sprintf("run-%d", i), "rush", 50, 4))
+		published.Jobs = append(published.Jobs, newJob(fmt.Sprintf("run-%d", i), "rush", 50, 4))
 	}
-	return f, v
+	return fleet, published
 }
 
-// BenchmarkHandle is what the leader does twice a second in a flood.
+// BenchmarkHandle is what the leader does twice a second under overload.
 func BenchmarkHandle(b *testing.B) {
-	f, v := flood()
+	fleet, published := overload()
 	b.ReportAllocs()
 	for b.Loop() {
-		clear(f.out)
-		f.Decide(start, v)
+		clear(fleet.requests.pending)
+		fleet.Decide(start, published)
 	}
 }
 
-// To weigh a place for new machines must not copy what waits for them: that was ten times as much.
+// To evaluate a pool must not copy the demands: that was ten times as much.
 func TestHandleAllocations(t *testing.T) {
-	const most = 4000
-	f, v := flood()
+	const limit = 4000
+	fleet, published := overload()
 	got := testing.AllocsPerRun(3, func() {
-		clear(f.out)
-		if acts := f.Decide(start, v); len(acts.ScaleOut) == 0 {
-			t.Error("nothing is rented")
+		clear(fleet.requests.pending)
+		if actions := fleet.Decide(start, published); len(actions.ScaleOut) == 0 {
+			t.Error("nothing is requested")
 		}
 	})
-	if got > most {
-		t.Errorf("%v allocations, at most %d", got, most)
+	if got > limit {
+		t.Errorf("%v allocations, at most %d", got, limit)
 	}
 }
