--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -10,11 +10,24 @@
 	"io"
 	"net"
 	"net/http"
+	"time"
 )
 
 // Dialer opens connections, like net.Dialer.DialContext.
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
+// NewClient returns a client with at most so many connections to each host, busy and idle ones together. Idle ones are
+// closed after a minute.
+func NewClient(dial Dialer, connectionsPerHost int) *http.Client {
+	return &http.Client{Transport: &http.Transport{
+		DialContext:         dial,
+		MaxConnsPerHost:     connectionsPerHost,
+		MaxIdleConnsPerHost: connectionsPerHost,
+		IdleConnTimeout:     time.Minute,
+		DisableCompression:  true,
+	}}
+}
+
 // UnencryptedHTTP2 returns the protocols of the connections between controllers: HTTP/2 without TLS, and nothing else.
 func UnencryptedHTTP2() *http.Protocols {
 	protocols := new(http.Protocols)
--- a/internal/call/call_test.go
+++ b/internal/call/call_test.go
@@ -5,9 +5,13 @@
 	"errors"
 	"io"
 	"math"
+	"net"
 	"net/http"
 	"net/http/httptest"
+	"sync"
+	"sync/atomic"
 	"testing"
+	"time"
 )
 
 // serve starts a server for the test and returns its URL.
@@ -98,3 +102,30 @@
 		t.Errorf("got %v", protocols)
 	}
 }
+
+// More requests than connections wait for one; none is refused.
+func TestNewClientBoundsConnections(t *testing.T) {
+	const connections, requests = 2, 6
+	var open, most atomic.Int32
+	url := serve(t, func(http.ResponseWriter, *http.Request) {
+		if now := open.Add(1); now > most.Load() {
+			most.Store(now)
+		}
+		time.Sleep(5 * time.Millisecond) // long enough for the others to come, if they may
+		open.Add(-1)
+	})
+	client := NewClient(new(net.Dialer).DialContext, connections)
+	defer client.CloseIdleConnections()
+	var group sync.WaitGroup
+	for range requests {
+		group.Go(func() {
+			if status, _, err := JSON(t.Context(), client, http.MethodGet, url, nil); err != nil || status != http.StatusOK {
+				t.Errorf("got %d, %v", status, err)
+			}
+		})
+	}
+	group.Wait()
+	if most.Load() > connections {
+		t.Errorf("%d requests at once", most.Load())
+	}
+}
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -42,16 +42,9 @@
 // New returns a client of the cloud at an address with a port. It starts no goroutine of its own.
 func New(dial call.Dialer, addr string, requestsPerSecond float64) *Client {
 	const connections = 4
-	transport := &http.Transport{
-		DialContext:         dial,
-		MaxConnsPerHost:     connections,
-		MaxIdleConnsPerHost: connections,
-		IdleConnTimeout:     time.Minute,
-		DisableCompression:  true,
-	}
 	return &Client{
 		baseURL: "http://" + addr,
-		http:    &http.Client{Transport: transport},
+		http:    call.NewClient(dial, connections),
 		limiter: rate.NewLimiter(rate.Limit(requestsPerSecond), burst(requestsPerSecond)),
 	}
 }
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -55,8 +55,8 @@
 	const requestConnections, watchConnections = 16, 4
 	return &Client{
 		baseURL:     "http://" + addr,
-		requests:    newHTTPClient(dial, requestConnections),
-		watches:     newHTTPClient(dial, watchConnections),
+		requests:    call.NewClient(dial, requestConnections),
+		watches:     call.NewClient(dial, watchConnections),
 		requestRate: rate.NewLimiter(rate.Limit(requestsPerSecond), max(1, int(requestsPerSecond))),
 		urgentRate: rate.NewLimiter(rate.Limit(urgentChangesPerSecond),
 			changeBurst(urgentChangesPerSecond)),
@@ -64,16 +64,6 @@
 	}
 }
 
-func newHTTPClient(dial call.Dialer, connections int) *http.Client {
-	return &http.Client{Transport: &http.Transport{
-		DialContext:         dial,
-		MaxConnsPerHost:     connections,
-		MaxIdleConnsPerHost: connections,
-		IdleConnTimeout:     time.Minute,
-		DisableCompression:  true,
-	}}
-}
-
 // SetWriteRate sets how many deferrable changes a second this controller may make.
 func (c *Client) SetWriteRate(changesPerSecond float64) { c.deferrableRate.configure(changesPerSecond) }
 
