--- a/internal/ingress/admission_test.go
+++ b/internal/ingress/admission_test.go
@@ -11,88 +11,91 @@
 )
 
 const (
-	testBatch    = 2
-	testPatience = 3 * time.Second
+	testBatchSize = 2
+	testMaxWait   = 3 * time.Second
 )
 
-// admitted starts an admission for the length of a test.
-func admitted(t *testing.T) *Admission {
-	a := NewAdmission(testBatch, testPatience)
+// startAdmission runs an admission until the test ends.
+func startAdmission(t *testing.T) *Admission {
+	t.Helper()
+	admission := NewAdmission(testBatchSize, testMaxWait)
 	ctx, cancel := context.WithCancel(t.Context())
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		a.Run(ctx)
+		admission.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		<-stopped
 	})
-	return a
+	return admission
 }
 
-// request is a connection of low priority on which one byte has arrived; read has the server read it.
-type request struct {
+// arrival is a connection of low priority on which one byte has arrived; err is the outcome of the server's read.
+type arrival struct {
 	*conn
 	err chan error
 }
 
-func arrive(t *testing.T, a *Admission) *request {
+// arrive opens such a connection.
+func arrive(t *testing.T, admission *Admission) *arrival {
+	t.Helper()
 	server, client := net.Pipe()
-	r := &request{&conn{Conn: server, admission: a, lowPriority: true}, make(chan error, 1)}
+	arrived := &arrival{&conn{Conn: server, admission: admission, lowPriority: true}, make(chan error, 1)}
 	ended := make(chan struct{})
 	t.Cleanup(func() {
 		_ = client.Close()
 		_ = server.Close()
-		<-ended // at the latest when its patience is over
+		<-ended // at the latest when its longest wait is over
 	})
 	go func() { _, _ = client.Write([]byte{1}) }()
 	go func() {
 		defer close(ended)
-		_, err := r.Read(make([]byte, 1))
-		r.err <- err
+		_, err := arrived.Read(make([]byte, 1))
+		arrived.err <- err
 	}()
-	return r
+	return arrived
 }
 
-// atWork tells how many of the requests have been admitted by now.
-func atWork(requests []*request) int {
+// admittedCount returns how many of the arrivals have been admitted by now.
+func admittedCount(arrivals []*arrival) int {
 	synctest.Wait()
-	n := 0
-	for _, r := range requests {
-		r.mu.Lock()
-		if r.batch != nil {
-			n++
+	count := 0
+	for _, arrived := range arrivals {
+		arrived.mu.Lock()
+		if arrived.batch != nil {
+			count++
 		}
-		r.mu.Unlock()
+		arrived.mu.Unlock()
 	}
-	return n
+	return count
 }
 
 func TestBatchEndsBeforeTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := admitted(t)
-		var rs []*request
+		admission := startAdmission(t)
+		var arrivals []*arrival
 		for range 5 {
-			rs = append(rs, arrive(t, a))
+			arrivals = append(arrivals, arrive(t, admission))
 		}
-		time.Sleep(longestBatch / 2)
-		if n := atWork(rs); n != testBatch {
-			t.Fatalf("%d at work, want %d", n, testBatch)
+		time.Sleep(maxBatchDuration / 2)
+		if count := admittedCount(arrivals); count != testBatchSize {
+			t.Fatalf("%d admitted, want %d", count, testBatchSize)
 		}
 		ended := 0
-		for _, r := range rs {
-			if !r.mustWait() {
-				a.ConnState(r.conn, http.StateIdle)
+		for _, arrived := range arrivals {
+			if !arrived.mustWait() {
+				admission.ConnState(arrived.conn, http.StateIdle)
 				ended++
 			}
 		}
-		if n := atWork(rs); ended != testBatch || n != 0 {
-			t.Fatalf("%d ended, %d at work before the pause is over", ended, n)
+		if count := admittedCount(arrivals); ended != testBatchSize || count != 0 {
+			t.Fatalf("%d ended, %d admitted before the pause is over", ended, count)
 		}
-		time.Sleep(pause)
-		if n := atWork(rs); n != testBatch {
-			t.Fatalf("%d at work after the pause, want %d", n, testBatch)
+		time.Sleep(batchPause)
+		if count := admittedCount(arrivals); count != testBatchSize {
+			t.Fatalf("%d admitted after the pause, want %d", count, testBatchSize)
 		}
 	})
 }
@@ -100,37 +103,37 @@
 // A request that is stuck must not hold up the others for good.
 func TestStuckRequestHoldsUpOneBatchOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := admitted(t)
-		rs := []*request{arrive(t, a), arrive(t, a)}
-		if n := atWork(rs); n != testBatch {
-			t.Fatalf("%d at work, want %d", n, testBatch)
+		admission := startAdmission(t)
+		stuck := []*arrival{arrive(t, admission), arrive(t, admission)}
+		if count := admittedCount(stuck); count != testBatchSize {
+			t.Fatalf("%d admitted, want %d", count, testBatchSize)
 		}
-		next := []*request{arrive(t, a)}
-		if n := atWork(next); n != 0 {
+		next := []*arrival{arrive(t, admission)}
+		if count := admittedCount(next); count != 0 {
 			t.Fatal("admitted beside a full batch")
 		}
-		time.Sleep(longestBatch + pause)
-		if n := atWork(next); n != 1 {
+		time.Sleep(maxBatchDuration + batchPause)
+		if count := admittedCount(next); count != 1 {
 			t.Fatal("still held up by the batch that is stuck")
 		}
 		// What ends late belongs to its own batch.
-		a.ConnState(rs[0].conn, http.StateClosed)
-		a.ConnState(rs[1].conn, http.StateClosed)
-		a.ConnState(next[0].conn, http.StateClosed)
+		admission.ConnState(stuck[0].conn, http.StateClosed)
+		admission.ConnState(stuck[1].conn, http.StateClosed)
+		admission.ConnState(next[0].conn, http.StateClosed)
 	})
 }
 
-func TestOverloadedAfterPatience(t *testing.T) {
+func TestOverloadedAfterTheLongestWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := NewAdmission(testBatch, testPatience) // admits nobody
-		r := arrive(t, a)
-		time.Sleep(testPatience - time.Millisecond)
+		admission := NewAdmission(testBatchSize, testMaxWait) // admits nobody
+		arrived := arrive(t, admission)
+		time.Sleep(testMaxWait - time.Millisecond)
 		synctest.Wait()
-		if len(r.err) != 0 {
+		if len(arrived.err) != 0 {
 			t.Fatal("gave up early")
 		}
 		time.Sleep(time.Millisecond)
-		if err := <-r.err; !errors.Is(err, ErrOverloaded) {
+		if err := <-arrived.err; !errors.Is(err, ErrOverloaded) {
 			t.Fatalf("got %v", err)
 		}
 	})
@@ -139,19 +142,19 @@
 // A request that yields makes room, and can end after that without being counted twice.
 func TestYield(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := admitted(t)
-		rs := []*request{arrive(t, a), arrive(t, a)}
-		if n := atWork(rs); n != testBatch {
-			t.Fatalf("%d at work, want %d", n, testBatch)
+		admission := startAdmission(t)
+		yielding := []*arrival{arrive(t, admission), arrive(t, admission)}
+		if count := admittedCount(yielding); count != testBatchSize {
+			t.Fatalf("%d admitted, want %d", count, testBatchSize)
 		}
-		for _, r := range rs {
-			Yield(ConnContext(t.Context(), r.conn))
-			a.ConnState(r.conn, http.StateIdle)
+		for _, arrived := range yielding {
+			Yield(ConnContext(t.Context(), arrived.conn))
+			admission.ConnState(arrived.conn, http.StateIdle)
 		}
-		time.Sleep(pause)
-		more := []*request{arrive(t, a), arrive(t, a)}
-		if n := atWork(more); n != testBatch {
-			t.Fatalf("%d at work after the others yielded, want %d", n, testBatch)
+		time.Sleep(batchPause)
+		more := []*arrival{arrive(t, admission), arrive(t, admission)}
+		if count := admittedCount(more); count != testBatchSize {
+			t.Fatalf("%d admitted after the others yielded, want %d", count, testBatchSize)
 		}
 	})
 }
@@ -159,13 +162,13 @@
 // Only connections that have carried a request of low priority wait.
 func TestOthersDoNotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := NewAdmission(testBatch, testPatience) // admits nobody
+		admission := NewAdmission(testBatchSize, testMaxWait) // admits nobody
 		server, client := net.Pipe()
 		defer func() {
 			_ = client.Close()
 			_ = server.Close()
 		}()
-		c := &conn{Conn: server, admission: a}
+		c := &conn{Conn: server, admission: admission}
 		go func() { _, _ = client.Write([]byte{1, 2}) }()
 		if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil {
 			t.Fatalf("got %d, %v", n, err)
