--- a/internal/manager/agent.go
+++ b/internal/manager/agent.go
@@ -5,9 +5,9 @@
 	"saffronbend/wire"
 )
 
-// agentState is what is known of a machine's agent: its incarnation, whether it acts for this leader, and whether it can
-// be reached. An agent begins a new incarnation when it starts, and when it has gone without an answer for a whole worker
-// lease; it has no tasks then.
+// agentState is what is known of a machine's agent: its incarnation, whether it acts for this leader, and whether it
+// can be reached. An agent begins a new incarnation when it starts, and when it has gone without an answer for a
+// whole worker lease; it has no tasks then.
 type agentState struct {
 	reporting          bool   // it has reported to this leader, and its lease has not expired
 	incarnation        uint64 // the newest; 0: none is known
@@ -47,9 +47,9 @@
 		heartbeat.Incarnation == agent.incarnation && heartbeat.Sequence <= agent.newestSeq
 }
 
-// overtakenByPushAnswer reports whether a heartbeat is older only than the answer to a push that its agent sent after it.
-// The agent still waits for the answer to the heartbeat, and without one would turn to another controller. What the
-// heartbeat says is known better by now, so its answer carries no commands.
+// overtakenByPushAnswer reports whether a heartbeat is older only than the answer to a push that its agent sent after
+// it. The agent still waits for the answer to the heartbeat, and without one would turn to another controller. What
+// the heartbeat says is known better by now, so its answer carries no commands.
 func (agent *agentState) overtakenByPushAnswer(heartbeat *wire.Heartbeat) bool {
 	return heartbeat.Incarnation == agent.incarnation && heartbeat.Incarnation > agent.expiredIncarnation &&
 		heartbeat.Sequence > agent.heartbeatSeq && heartbeat.Sequence < agent.newestSeq
--- a/internal/manager/assignments.go
+++ b/internal/manager/assignments.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// AssignTeams assigns each team to the controller that places its jobs, and returns the assignments by team; nil if there
-// are no controllers. A team stays where it was while that controller lives and no controller has two teams more than
-// another.
+// AssignTeams assigns each team to the controller that places its jobs, and returns the assignments by team; nil if
+// there are no controllers. A team stays where it was while that controller lives and no controller has two teams
+// more than another.
 func AssignTeams(before map[string]string, teams, controllers []string) map[string]string {
 	load := map[string]int{} // teams by controller
 	for _, controller := range controllers {
--- a/internal/manager/bench_test.go
+++ b/internal/manager/bench_test.go
@@ -17,6 +17,7 @@
 
 // bySize runs a benchmark for each number of machines.
 func bySize(b *testing.B, run func(b *testing.B, machines int)) {
+	b.Helper()
 	for _, machines := range sizes {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) { run(b, machines) })
 	}
@@ -24,6 +25,7 @@
 
 // largeFleet is a term with machines that run 8 tasks each; next gives the machines' unchanged reports in turn.
 func largeFleet(b *testing.B, machines int) (m *Manager, now *micros.Timestamp, next func() *wire.Heartbeat) {
+	b.Helper()
 	const each = 8
 	now = new(micros.Timestamp)
 	*now = 1000
@@ -80,6 +82,7 @@
 // BenchmarkReport is the leader's work for a report that brings no news.
 func BenchmarkReport(b *testing.B) {
 	bySize(b, func(b *testing.B, machines int) {
+		b.Helper()
 		m, now, next := largeFleet(b, machines)
 		for b.Loop() {
 			m.Heartbeat(*now, next(), "", true)
@@ -91,6 +94,7 @@
 // and the view and a follower's update are made.
 func BenchmarkRound(b *testing.B) {
 	bySize(b, func(b *testing.B, machines int) {
+		b.Helper()
 		m, now, next := largeFleet(b, machines)
 		for b.Loop() {
 			for range machines / 20 {
@@ -105,6 +109,7 @@
 // BenchmarkListed is the leader's work for a list of the cloud that brings no news.
 func BenchmarkListed(b *testing.B) {
 	bySize(b, func(b *testing.B, machines int) {
+		b.Helper()
 		m, now, next := largeFleet(b, machines)
 		var list []wire.Machine
 		for range len(m.machines) {
@@ -121,6 +126,7 @@
 // BenchmarkTick is what the leader does twice a second for the machines' leases and notices.
 func BenchmarkTick(b *testing.B) {
 	bySize(b, func(b *testing.B, machines int) {
+		b.Helper()
 		m, now, _ := largeFleet(b, machines)
 		for b.Loop() {
 			m.Tick(*now)
@@ -131,6 +137,7 @@
 // BenchmarkWholeView is what a follower that has just connected costs the leader: the whole view, encoded.
 func BenchmarkWholeView(b *testing.B) {
 	bySize(b, func(b *testing.B, machines int) {
+		b.Helper()
 		m, now, _ := largeFleet(b, machines)
 		size := 0
 		for b.Loop() {
@@ -147,6 +154,7 @@
 // BenchmarkHeap reports the memory that the Resource Manager holds for a full fleet.
 func BenchmarkHeap(b *testing.B) {
 	bySize(b, func(b *testing.B, machines int) {
+		b.Helper()
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
@@ -164,6 +172,7 @@
 // machines have news.
 func BenchmarkDirectsAllOut(b *testing.B) {
 	bySize(b, func(b *testing.B, machines int) {
+		b.Helper()
 		m, now, _ := largeFleet(b, machines)
 		m.pushes.inFlight = m.pushes.maxInFlight
 		for id := range m.machines {
@@ -179,6 +188,7 @@
 // are full of small ones.
 func BenchmarkKeepRoom(b *testing.B) {
 	bySize(b, func(b *testing.B, machines int) {
+		b.Helper()
 		m, now, next := largeFleet(b, machines)
 		for j := range maxReservingJobs {
 			rec := record(fmt.Sprintf("run-%06d", 900+j), 100, func(spec *wire.Job) { spec.CPUs = 32 })
@@ -201,6 +211,7 @@
 // BenchmarkRebalanceSnapshot is the leader's work every two seconds to show the planner of moves all that runs.
 func BenchmarkRebalanceSnapshot(b *testing.B) {
 	bySize(b, func(b *testing.B, machines int) {
+		b.Helper()
 		m, now, _ := largeFleet(b, machines)
 		for b.Loop() {
 			m.TeamUsage(*now)
--- a/internal/manager/commands.go
+++ b/internal/manager/commands.go
@@ -12,9 +12,9 @@
 	answerLifetime = 4 * micros.Second
 )
 
-// LaunchBeforeStopAfter returns until how long after a job's cancellation, at the earliest time at which it may have been
-// confirmed, an attempt may be launched and stopped in one answer, so that a late launch finds it known: the agent must
-// have received the answer before the cancel timeout is over.
+// LaunchBeforeStopAfter returns until how long after a job's cancellation, at the earliest time at which it may have
+// been confirmed, an attempt may be launched and stopped in one answer, so that a late launch finds it known: the
+// agent must have received the answer before the cancel timeout is over.
 func LaunchBeforeStopAfter(cancelTimeout micros.Duration) micros.Duration {
 	return cancelTimeout - answerLifetime - micros.Second
 }
@@ -68,7 +68,8 @@
 		job.taskPhases[task] == taskDone && status.ExitReason == wire.ExitCompleted
 }
 
-// appendAttemptCommands appends the commands that an attempt needs in the answer to the heartbeat with a sequence number.
+// appendAttemptCommands appends the commands that an attempt needs in the answer to the heartbeat with a sequence
+// number.
 func (m *Manager) appendAttemptCommands(
 	now micros.Timestamp, commands []wire.Command, attempt *taskAttempt, sequence uint64, mayLaunch bool,
 ) []wire.Command {
@@ -91,10 +92,10 @@
 	return commands
 }
 
-// mayStopLateLaunch reports whether an attempt of a job, whose launch was pushed with an unknown outcome, may be launched
-// and stopped in one answer, and never cleared, so that the late launch finds it known and starts nothing. An agent that
-// has gone without an answer until the cancel timeout is nearly over has begun a new incarnation by then, since the
-// timeout is longer than its lease; and agents drop answers that are older than answerLifetime.
+// mayStopLateLaunch reports whether an attempt of a job, whose launch was pushed with an unknown outcome, may be
+// launched and stopped in one answer, and never cleared, so that the late launch finds it known and starts nothing.
+// An agent that has gone without an answer until the cancel timeout is nearly over has begun a new incarnation by
+// then, since the timeout is longer than its lease; and agents drop answers that are older than answerLifetime.
 func (m *Manager) mayStopLateLaunch(now micros.Timestamp, job *jobState) bool {
 	return !job.final() || now < job.finalSince.Add(LaunchBeforeStopAfter(m.cfg.CancelTimeout))
 }
--- a/internal/manager/disruptions.go
+++ b/internal/manager/disruptions.go
@@ -9,8 +9,8 @@
 	"saffronbend/wire"
 )
 
-// disruptionRecord is the record of the ledger's entries that belong to a progress shard. Both records are written in the
-// same transaction, so that an attempt does not vanish from the one before it is found in the other.
+// disruptionRecord is the record of the ledger's entries that belong to a progress shard. Both records are written in
+// the same transaction, so that an attempt does not vanish from the one before it is found in the other.
 type disruptionRecord struct {
 	version uint64 // 0: the record does not exist
 	stored  string // its entries as they are stored
@@ -42,9 +42,9 @@
 	}
 }
 
-// endDisruptionIfRunning applies that an attempt is reported as running, which ends its task's disruption. If it is the
-// very attempt that was to be stopped, an earlier leader has decided that and not carried it out, and will not any more:
-// the agent has our token.
+// endDisruptionIfRunning applies that an attempt is reported as running, which ends its task's disruption. If it is
+// the very attempt that was to be stopped, an earlier leader has decided that and not carried it out, and will not
+// any more: the agent has our token.
 func (m *Manager) endDisruptionIfRunning(now micros.Timestamp, attempt *taskAttempt) {
 	disrupted, ok := m.ledger.Get(attempt.task())
 	if !ok || disrupted.Attempt == attempt.id && attempt.ending() {
@@ -64,8 +64,8 @@
 		"reason", string(disrupted.Cause), "after_s", now.Sub(disrupted.Since).Seconds())
 }
 
-// RestoreDisruptions recovers the ledger from the records below the disruption prefix. It must be called before anything
-// is granted, and fails with a state.RecordError if a record cannot be decoded.
+// RestoreDisruptions recovers the ledger from the records below the disruption prefix. It must be called before
+// anything is granted, and fails with a state.RecordError if a record cannot be decoded.
 func (m *Manager) RestoreDisruptions(now micros.Timestamp, items []wire.KeyValue) error {
 	if m.ledger == nil {
 		return nil
--- a/internal/manager/drains.go
+++ b/internal/manager/drains.go
@@ -12,8 +12,8 @@
 	"saffronbend/wire"
 )
 
-// lateListFactor is how many list lags it takes, in a new term, until a machine that is not listed is gone: a list may lag
-// by twice the usual time and be older than the one before.
+// lateListFactor is how many list lags it takes, in a new term, until a machine that is not listed is gone: a list
+// may lag by twice the usual time and be older than the one before.
 const lateListFactor = 4
 
 // SetCordons sets which machines get nothing new, and in which pools the fleet rents no machine that it can rent
@@ -48,8 +48,8 @@
 	}
 }
 
-// SetReplacements sets which tasks are to be evicted once there is room for them elsewhere; a gang counts as a whole. The
-// next snapshot shows them to the fleet.
+// SetReplacements sets which tasks are to be evicted once there is room for them elsewhere; a gang counts as a whole.
+// The next snapshot shows them to the fleet.
 func (m *Manager) SetReplacements(tasks []disruption.Task) {
 	clear(m.replacements)
 	for _, task := range tasks {
@@ -74,7 +74,8 @@
 	return jobs
 }
 
-// DrainSnapshot returns the cordoned machines with their attempts, and how many tasks of each team run and are disrupted.
+// DrainSnapshot returns the cordoned machines with their attempts, and how many tasks of each team run and are
+// disrupted.
 func (m *Manager) DrainSnapshot(now micros.Timestamp) drain.Snapshot {
 	published := drain.Snapshot{
 		Now:            now,
@@ -145,8 +146,8 @@
 	return usage
 }
 
-// addTeamUsage adds the tasks on a machine. What is on a machine that does not report may be lost already, so it counts as
-// disrupted until more is known.
+// addTeamUsage adds the tasks on a machine. What is on a machine that does not report may be lost already, so it
+// counts as disrupted until more is known.
 func (m *Manager) addTeamUsage(now micros.Timestamp, machine *machineState, usage map[string]drain.TeamUsage) {
 	known := m.known(now, machine)
 	for _, attempt := range machine.attempts {
--- a/internal/manager/estimates.go
+++ b/internal/manager/estimates.go
@@ -6,8 +6,8 @@
 	"saffronbend/internal/micros"
 )
 
-// runTimeEstimator learns, by class, how far the owners' estimates of run times are off. On some days they are mostly too
-// high or mostly too low.
+// runTimeEstimator learns, by class, how far the owners' estimates of run times are off. On some days they are mostly
+// too high or mostly too low.
 type runTimeEstimator struct {
 	bias map[string]float64 // by class: logarithm of run time over estimate
 }
--- a/internal/manager/evictions.go
+++ b/internal/manager/evictions.go
@@ -11,9 +11,9 @@
 	"saffronbend/internal/resources"
 )
 
-// Evict has a task, or the gang that it belongs to, leave its machine: room for the successor is reserved, and the attempt
-// is stopped once its disruption is durable. If there is no room, nothing changes. A task that has no attempt any more is
-// reported as such.
+// Evict has a task, or the gang that it belongs to, leave its machine: room for the successor is reserved, and the
+// attempt is stopped once its disruption is durable. If there is no room, nothing changes. A task that has no attempt
+// any more is reported as such.
 func (m *Manager) Evict(now micros.Timestamp, task disruption.Task) drain.EvictionOutcome {
 	job := m.jobs[task.Job]
 	if job == nil || job.active[task.Index] == nil {
@@ -63,8 +63,8 @@
 	}
 }
 
-// evictable reports whether an attempt may be stopped for a drain or a move: it is not being stopped already, its task is
-// not disrupted, and its job is not final.
+// evictable reports whether an attempt may be stopped for a drain or a move: it is not being stopped already, its
+// task is not disrupted, and its job is not final.
 func (m *Manager) evictable(attempt *taskAttempt) bool {
 	_, disrupted := m.ledger.Get(attempt.task())
 	return !disrupted && !m.leaving(attempt)
@@ -77,8 +77,9 @@
 	return attempt.ending() || ok && disrupted.Attempt == attempt.id || attempt.job.final()
 }
 
-// destinationsFor returns a machine for the successor of each evicted attempt of a job; ok is false if there is not enough
-// room for all. The successors of a gang may use the room of their predecessors on machines that are not cordoned.
+// destinationsFor returns a machine for the successor of each evicted attempt of a job; ok is false if there is not
+// enough room for all. The successors of a gang may use the room of their predecessors on machines that are not
+// cordoned.
 func (m *Manager) destinationsFor(
 	now micros.Timestamp, job *jobState, evicted []*taskAttempt,
 ) (destinations []*machineState, ok bool) {
@@ -104,8 +105,8 @@
 	return nil, false
 }
 
-// fillMachines returns a machine for each of so many tasks of a job, filling the machines in their order; ok is false if
-// there is not enough room for all.
+// fillMachines returns a machine for each of so many tasks of a job, filling the machines in their order; ok is false
+// if there is not enough room for all.
 func (m *Manager) fillMachines(
 	machines []*machineState, job *jobState, released map[*machineState]int, tasks int,
 ) (filled []*machineState, ok bool) {
--- a/internal/manager/evictions_test.go
+++ b/internal/manager/evictions_test.go
@@ -16,6 +16,7 @@
 
 // drainBench is a bench of a manager that keeps account of disturbed work.
 func drainBench(t *testing.T, open, chunks, disruptions []wire.KeyValue) *bench {
+	t.Helper()
 	b := newBenchWith(t, open, chunks, func(c *Config) { c.TrackDisruptions, c.ReservationTTL = true, 30*micros.Second })
 	if err := b.m.RestoreDisruptions(b.now, disruptions); err != nil {
 		t.Fatal(err)
@@ -25,7 +26,7 @@
 
 func savesProgress(j *wire.Job) { j.CheckpointIntervalS, j.CheckpointSaveS = 5, 1 }
 
-func task(job string, index int) disruption.Task { return disruption.Task{Job: job, Index: index} }
+func firstTask(job string) disruption.Task { return disruption.Task{Job: job} }
 
 // runningTask has a job's only task run on n-1-a; n-2-a is empty.
 func (b *bench) runningTask() {
@@ -70,7 +71,7 @@
 	b := drainBench(t, nil, nil, nil)
 	b.runningTask()
 	b.m.SetCordons(b.now, map[string]bool{"n-1-a": true}, nil)
-	b.want(b.m.Evict(b.now, task("run-1", 0)), drain.Evicted)
+	b.want(b.m.Evict(b.now, firstTask("run-1")), drain.Evicted)
 	b.want(b.disturbed(), "run-1/0 drain")
 	// The machine with the reserved room is not idle.
 	b.want(b.m.Snapshot(b.now).Machines[1].ProvenIdle(), false)
@@ -102,7 +103,7 @@
 	b := drainBench(t, nil, nil, nil)
 	b.runningTask()
 	b.m.SetCordons(b.now, map[string]bool{"n-1-a": true}, nil)
-	b.m.Evict(b.now, task("run-1", 0))
+	b.m.Evict(b.now, firstTask("run-1"))
 	batch, _ := b.nextWrite()
 	rec := record("run-1", 1, savesProgress)
 	rec.FinalState = wire.JobCancelled
@@ -218,7 +219,7 @@
 	b.runningTask()
 	b.job("run-2", 4, nil)
 	b.m.SetCordons(b.now, map[string]bool{"n-1-a": true}, nil)
-	b.m.Evict(b.now, task("run-1", 0))
+	b.m.Evict(b.now, firstTask("run-1"))
 	b.want(b.grant("run-2", "n-2-a", 4), 1)
 	view := b.m.Snapshot(b.now)
 	b.want(view.Machines[1].CPUs, 0.0)
@@ -294,7 +295,7 @@
 	b.job("run-2", 1, nil)
 	b.grant("run-2", "n-2-a", 1)
 	b.m.SetCordons(b.now, map[string]bool{"n-1-a": true}, nil)
-	b.m.Evict(b.now, task("run-1", 0))
+	b.m.Evict(b.now, firstTask("run-1"))
 	var all []string
 	for batch, keys := b.nextWrite(); batch != nil; batch, keys = b.nextWrite() {
 		all = append(all, keys)
--- a/internal/manager/exits.go
+++ b/internal/manager/exits.go
@@ -97,9 +97,9 @@
 	m.releaseAttempt(now, attempt, exitOf(*exit.status))
 }
 
-// applyGangExit applies why a task of a gang has ended without a result. That a peer is gone, or that the gang was not
-// complete in time, says nothing about the machine. What failed first does, and the gang is not placed there again until
-// it has succeeded elsewhere.
+// applyGangExit applies why a task of a gang has ended without a result. That a peer is gone, or that the gang was
+// not complete in time, says nothing about the machine. What failed first does, and the gang is not placed there
+// again until it has succeeded elsewhere.
 func (m *Manager) applyGangExit(now micros.Timestamp, exit taskExit, attempt *taskAttempt) {
 	first := exit.job.gang.Phase() != gang.Ending
 	switch reason := exit.status.ExitReason; {
--- a/internal/manager/gang_preemption.go
+++ b/internal/manager/gang_preemption.go
@@ -12,8 +12,8 @@
 // maxGangPreemptions bounds how many tasks are preempted at once for a gang.
 const maxGangPreemptions = 32
 
-// preemptForGang preempts others' tasks where that frees room for all of a gang. Where it does not, it preempts none. Of
-// several zones it chooses the one where it costs least.
+// preemptForGang preempts others' tasks where that frees room for all of a gang. Where it does not, it preempts none.
+// Of several zones it chooses the one where it costs least.
 func (round *preemptionRound) preemptForGang(job *jobState) {
 	zones := map[string][]*preemptionTarget{}
 	for _, target := range round.targetsFor(job) {
--- a/internal/manager/gangs.go
+++ b/internal/manager/gangs.go
@@ -7,8 +7,8 @@
 	"saffronbend/wire"
 )
 
-// applyGangAction carries out what a gang's state machine requires for its tasks. cause is why they are stopped, if they
-// are.
+// applyGangAction carries out what a gang's state machine requires for its tasks. cause is why they are stopped, if
+// they are.
 func (m *Manager) applyGangAction(now micros.Timestamp, job *jobState, action gang.Action, cause disruption.Cause) {
 	switch action {
 	case gang.None:
@@ -37,9 +37,9 @@
 	}
 }
 
-// holdLaunchesForImages holds back the launches on machines that have a large image, if peers must fetch it: otherwise the
-// first tasks to be there would give up before the last has come, and with them the fetch would be given up too, again
-// and again.
+// holdLaunchesForImages holds back the launches on machines that have a large image, if peers must fetch it:
+// otherwise the first tasks to be there would give up before the last has come, and with them the fetch would be
+// given up too, again and again.
 func (m *Manager) holdLaunchesForImages(job *jobState) {
 	spec := job.spec()
 	var withImage []*taskAttempt
@@ -71,8 +71,8 @@
 	return true
 }
 
-// abortUnlaunchableGangs ends the attempt of each gang with a task on a machine that has not begun, and whose launch does
-// not arrive: its peers would wait for it in vain.
+// abortUnlaunchableGangs ends the attempt of each gang with a task on a machine that has not begun, and whose launch
+// does not arrive: its peers would wait for it in vain.
 func (m *Manager) abortUnlaunchableGangs(now micros.Timestamp, machine *machineState) {
 	unreachableSince := machine.agent.unreachableSince
 	if unreachableSince == 0 || now.Sub(unreachableSince) < m.heartbeatDeadline() {
@@ -85,8 +85,8 @@
 	}
 }
 
-// finishGangRecovery applies what a gang's records say together when all have been read. One task that is done proves that
-// all are, whichever record says so: an earlier leader may not have come to write the others.
+// finishGangRecovery applies what a gang's records say together when all have been read. One task that is done proves
+// that all are, whichever record says so: an earlier leader may not have come to write the others.
 func (m *Manager) finishGangRecovery(now micros.Timestamp, job *jobState) {
 	switch {
 	case job.gang == nil || job.final():
--- a/internal/manager/gone.go
+++ b/internal/manager/gone.go
@@ -40,9 +40,9 @@
 
 // absenceProvesGone reports whether an attempt is gone because a heartbeat, or an answer to a push, does not list it.
 // The agent must be of the attempt's incarnation and have our fencing token. Then the commands of earlier leaders are
-// fenced off, so an attempt that they granted is gone. A launch of our own may be on its way: in the answer to the newest
-// heartbeat, or in a push of unknown outcome. An answer to a push may be newer than that heartbeat and yet older than the
-// agent's receipt of our answer to it, so what counts is the sequence number of the newest heartbeat.
+// fenced off, so an attempt that they granted is gone. A launch of our own may be on its way: in the answer to the
+// newest heartbeat, or in a push of unknown outcome. An answer to a push may be newer than that heartbeat and yet
+// older than the agent's receipt of our answer to it, so what counts is the sequence number of the newest heartbeat.
 //
 // An attempt of ours that is not to be stopped is never released so: it is launched again.
 func absenceProvesGone(attempt *taskAttempt, agent *agentState) bool {
@@ -67,9 +67,9 @@
 	}
 }
 
-// releaseAttempt records that an attempt is gone: its task waits again unless it is done, and what the attempt used is
-// free. The caller must hold the proof. Whether the loss counts as a disruption depends on it: an attempt that has failed
-// by itself was not disrupted.
+// releaseAttempt records that an attempt is gone: its task waits again unless it is done, and what the attempt used
+// is free. The caller must hold the proof. Whether the loss counts as a disruption depends on it: an attempt that has
+// failed by itself was not disrupted.
 func (m *Manager) releaseAttempt(now micros.Timestamp, attempt *taskAttempt, proof goneProof) {
 	job := attempt.job
 	if job.active[attempt.taskIndex] != attempt {
--- a/internal/manager/grants.go
+++ b/internal/manager/grants.go
@@ -134,11 +134,11 @@
 )
 
 // refusePlacement answers why a job is not placed: why a scheduler's request for one more task of it on a machine is
-// refused. It covers what can be said without the task; grantOne refuses then for lack of free resources on the machine
-// (freeResources), and chooseTask for lack of space in the progress record of every waiting task. Grant refuses
-// a whole transaction before that when writes are backlogged, and a gang that cannot be placed as a whole (mayGrantGang).
-// A job for which no scheduler sends a request is not refused here: see package scheduler, which decides by the
-// published snapshot.
+// refused. It covers what can be said without the task; grantOne refuses then for lack of free resources on the
+// machine (freeResources), and chooseTask for lack of space in the progress record of every waiting task. Grant
+// refuses a whole transaction before that when writes are backlogged, and a gang that cannot be placed as a whole
+// (mayGrantGang). A job for which no scheduler sends a request is not refused here: see package scheduler, which
+// decides by the published snapshot.
 func (m *Manager) refusePlacement(now micros.Timestamp, job *jobState, machine *machineState) placementRefusal {
 	switch {
 	case job == nil || machine == nil:
@@ -165,9 +165,9 @@
 	return placementAllowed
 }
 
-// chooseTask sets the task of an attempt to the first of its job's waiting tasks whose progress record has space for the
-// placement: that for which the room is reserved, else those that were disrupted, then the others. It reports whether
-// there is one.
+// chooseTask sets the task of an attempt to the first of its job's waiting tasks whose progress record has space for
+// the placement: that for which the room is reserved, else those that were disrupted, then the others. It reports
+// whether there is one.
 func (m *Manager) chooseTask(attempt *taskAttempt, claimed *reservation) bool {
 	job := attempt.job
 	if claimed != nil {
@@ -231,8 +231,8 @@
 	return nil
 }
 
-// mayGrantGang reports whether a transaction can be granted to a gang: it must be for all its tasks, and for them alone,
-// and nothing of the previous attempt may exist any more.
+// mayGrantGang reports whether a transaction can be granted to a gang: it must be for all its tasks, and for them
+// alone, and nothing of the previous attempt may exist any more.
 func (m *Manager) mayGrantGang(job *jobState, transaction lease.Transaction) bool {
 	requested := 0
 	for _, request := range transaction.Requests {
--- a/internal/manager/health.go
+++ b/internal/manager/health.go
@@ -22,8 +22,8 @@
 	unreliableFor = micros.Minute
 )
 
-// machineHealth is what failed and slow runs say about a machine. A quarantined machine gets nothing new; the fleet drains
-// and replaces it.
+// machineHealth is what failed and slow runs say about a machine. A quarantined machine gets nothing new; the fleet
+// drains and replaces it.
 type machineHealth struct {
 	quarantineReason    string // empty: not quarantined
 	consecutiveFailures int
--- a/internal/manager/heartbeat.go
+++ b/internal/manager/heartbeat.go
@@ -46,9 +46,9 @@
 	return answer, false
 }
 
-// MayReturnToLeader reports whether an agent whose heartbeats are relayed has received a push from us since, so that it
-// may be told to send them here again. If it turns to the other controller again all the same, its heartbeats don't reach
-// us: they are relayed until another push has arrived.
+// MayReturnToLeader reports whether an agent whose heartbeats are relayed has received a push from us since, so that
+// it may be told to send them here again. If it turns to the other controller again all the same, its heartbeats
+// don't reach us: they are relayed until another push has arrived.
 func (m *Manager) MayReturnToLeader(now micros.Timestamp, id string) bool {
 	machine := m.machines[id]
 	if machine == nil {
@@ -62,8 +62,8 @@
 	return true
 }
 
-// applyHeartbeat applies a heartbeat, or an agent's answer to a push, and returns its machine. It returns nil, and changes
-// nothing, if the message is late or the machine is known to be deleted.
+// applyHeartbeat applies a heartbeat, or an agent's answer to a push, and returns its machine. It returns nil, and
+// changes nothing, if the message is late or the machine is known to be deleted.
 func (m *Manager) applyHeartbeat(
 	now micros.Timestamp, heartbeat *wire.Heartbeat, source messageSource,
 ) *machineState {
--- a/internal/manager/lease_expiry.go
+++ b/internal/manager/lease_expiry.go
@@ -8,8 +8,8 @@
 	"saffronbend/wire"
 )
 
-// leaseRenewers is what is known of controllers that renew worker leases in the leader's stead, while it is silent. Each
-// leaves records in the key-value store: one while it is active, and one that changes whenever it begins.
+// leaseRenewers is what is known of controllers that renew worker leases in the leader's stead, while it is silent.
+// Each leaves records in the key-value store: one while it is active, and one that changes whenever it begins.
 type leaseRenewers struct {
 	lastActive       micros.Timestamp // when one may last have been active
 	knownUntil       micros.Timestamp // up to when it is known
@@ -37,18 +37,18 @@
 	renewers.knownUntil = sent
 }
 
-// leaseExpiry returns when the lease of a machine's agent has expired, unless a controller unknown to us has renewed it.
-// Only answers with our token renew the lease of an agent that has acknowledged it, and the heartbeat that we answered
-// last was sent before we received it. An incarnation that is first seen in the answer to a push lives for a whole lease,
-// though nobody has answered it. The agent's clock may differ from ours by 0.05% each way.
+// leaseExpiry returns when the lease of a machine's agent has expired, unless a controller unknown to us has renewed
+// it. Only answers with our token renew the lease of an agent that has acknowledged it, and the heartbeat that we
+// answered last was sent before we received it. An incarnation that is first seen in the answer to a push lives for a
+// whole lease, though nobody has answered it. The agent's clock may differ from ours by 0.05% each way.
 func (m *Manager) leaseExpiry(machine *machineState) micros.Timestamp {
 	clockDrift := m.cfg.WorkerLease / 500
 	renewed := max(machine.agent.leaseRenewedAt, m.leaseRenewers.lastActive)
 	return renewed.Add(m.cfg.WorkerLease + clockDrift + m.cfg.LeaseMargin)
 }
 
-// leaseExpiryProven reports whether nobody can have renewed the lease of a machine's agent in our stead until it expired.
-// If that is not known, it requests that the records be read.
+// leaseExpiryProven reports whether nobody can have renewed the lease of a machine's agent in our stead until it
+// expired. If that is not known, it requests that the records be read.
 func (m *Manager) leaseExpiryProven(machine *machineState) bool {
 	if m.leaseRenewers.knownUntil > m.leaseExpiry(machine) {
 		return true
--- a/internal/manager/machines.go
+++ b/internal/manager/machines.go
@@ -10,7 +10,8 @@
 	"saffronbend/wire"
 )
 
-// machineState is a machine that the cloud has rented or listed, that an agent has reported from, or that a record names.
+// machineState is a machine that the cloud has rented or listed, that an agent has reported from, or that a record
+// names.
 type machineState struct {
 	id           string
 	address      string // of its agent, HOST:PORT; empty: not known
--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -31,11 +31,13 @@
 }
 
 func newBench(t *testing.T, open, chunks []wire.KeyValue) *bench {
+	t.Helper()
 	return newBenchWith(t, open, chunks, func(*Config) {})
 }
 
 // newBenchWith makes a bench of a configuration that differs from the usual.
 func newBenchWith(t *testing.T, open, chunks []wire.KeyValue, change func(*Config)) *bench {
+	t.Helper()
 	cfg := Config{FencingToken: token, Teams: []settings.Team{{Name: "red", CPUsMax: 40}, {Name: "blue", CPUs: 4}}, WorkerLease: workerLease,
 		HeartbeatInterval: 2 * micros.Second, LeaseMargin: micros.Second, CancelTimeout: 30 * micros.Second, GangWaitTimeout: 20 * micros.Second, GangPeerTimeout: 5 * micros.Second, ListLag: 3 * micros.Second,
 		Tuning: settings.Tuning{FirstLease: 100 * micros.Second}, MaxCommandPushes: 2, StoreLimits: settings.StoreLimits{TxnOps: 8, ValueKB: 4}}
--- a/internal/manager/moves.go
+++ b/internal/manager/moves.go
@@ -11,8 +11,8 @@
 	"saffronbend/wire"
 )
 
-// Moves are evictions to a named destination. They take the path of the evictions that drains request, so that one attempt
-// is never stopped for two reasons.
+// Moves are evictions to a named destination. They take the path of the evictions that drains request, so that one
+// attempt is never stopped for two reasons.
 
 // RebalanceSnapshot returns the work on all machines. remaining is how many more tasks of each team may be disrupted.
 func (m *Manager) RebalanceSnapshot(now micros.Timestamp, remaining map[string]int) rebalance.Snapshot {
@@ -39,8 +39,8 @@
 	return published
 }
 
-// mayStillReport reports whether a machine can hold work, has not reported to this leader and may yet do so: an agent that
-// goes without an answer for a worker lease stops its tasks.
+// mayStillReport reports whether a machine can hold work, has not reported to this leader and may yet do so: an agent
+// that goes without an answer for a worker lease stops its tasks.
 func (m *Manager) mayStillReport(now micros.Timestamp, machine *machineState) bool {
 	if machine.agent.reporting && machine.agent.tokenAcknowledged || machine.deleting ||
 		machine.listing.state == wire.MachineFailed {
@@ -95,7 +95,8 @@
 	}
 }
 
-// moveExecutor executes one round of moves. Which jobs wait for room does not change by moves, so they are looked up once.
+// moveExecutor executes one round of moves. Which jobs wait for room does not change by moves, so they are looked up
+// once.
 type moveExecutor struct {
 	manager *Manager
 	now     micros.Timestamp
--- a/internal/manager/moves_test.go
+++ b/internal/manager/moves_test.go
@@ -37,10 +37,10 @@
 	need := record("run-1", 1, savesProgress).Job.CPUs
 	before, after := fmt.Sprintf("n-1-a %g, n-2-a 0", need), fmt.Sprintf("n-1-a 0, n-2-a %g", need)
 	b.want(b.loads(), before)
-	b.want(b.m.Move(b.now, task("run-1", 0), "n-2-a"), rebalance.Moved)
+	b.want(b.m.Move(b.now, firstTask("run-1"), "n-2-a"), rebalance.Moved)
 	b.want(b.disturbed(), "run-1/0 rebalance")
 	b.want(b.loads(), after)
-	b.want(b.m.Move(b.now, task("run-1", 0), "n-2-a"), rebalance.AlreadyStopping)
+	b.want(b.m.Move(b.now, firstTask("run-1"), "n-2-a"), rebalance.AlreadyStopping)
 	b.write()
 	b.want(b.report("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d running", first)), fmt.Sprintf("stop run-1/0 %d", first))
 	b.want(b.loads(), after)
@@ -51,7 +51,7 @@
 	b.write()
 	b.report("n-2-a", token, 1, fmt.Sprintf("run-1/0 %d fetching", first+1))
 	b.want(b.loads(), after)
-	b.want(b.m.Move(b.now, task("run-1", 0), "n-1-a"), rebalance.AlreadyStopping)
+	b.want(b.m.Move(b.now, firstTask("run-1"), "n-1-a"), rebalance.AlreadyStopping)
 	b.report("n-2-a", token, 1, fmt.Sprintf("run-1/0 %d running", first+1))
 	b.want(b.disturbed(), "")
 	b.want(b.loads(), after)
@@ -61,7 +61,7 @@
 func TestMoveIsAbandonedWithItsDestination(t *testing.T) {
 	b := drainBench(t, nil, nil, nil)
 	b.runningTask()
-	b.want(b.m.Move(b.now, task("run-1", 0), "n-2-a"), rebalance.Moved)
+	b.want(b.m.Move(b.now, firstTask("run-1"), "n-2-a"), rebalance.Moved)
 	batch, _ := b.nextWrite()
 	b.m.MachinesDeleted(b.now, []string{"n-2-a"})
 	b.rev++
@@ -75,17 +75,17 @@
 func TestMoveIsRefused(t *testing.T) {
 	b := drainBench(t, nil, nil, nil)
 	b.runningTask()
-	b.want(b.m.Move(b.now, task("run-1", 0), "n-1-a"), rebalance.NoCapacity)
-	b.want(b.m.Move(b.now, task("run-1", 0), "n-9-a"), rebalance.NoCapacity)
-	b.want(b.m.Move(b.now, task("run-9", 0), "n-2-a"), rebalance.AttemptEnded)
-	b.want(b.m.MoveExecutor(b.now).MayHost(task("run-1", 0), "n-2-a"), true)
+	b.want(b.m.Move(b.now, firstTask("run-1"), "n-1-a"), rebalance.NoCapacity)
+	b.want(b.m.Move(b.now, firstTask("run-1"), "n-9-a"), rebalance.NoCapacity)
+	b.want(b.m.Move(b.now, firstTask("run-9"), "n-2-a"), rebalance.AttemptEnded)
+	b.want(b.m.MoveExecutor(b.now).MayHost(firstTask("run-1"), "n-2-a"), true)
 	b.job("run-2", 1, savesProgress)
-	b.want(b.m.MoveExecutor(b.now).MayHost(task("run-1", 0), "n-2-a"), false) // its room is for work that waits
+	b.want(b.m.MoveExecutor(b.now).MayHost(firstTask("run-1"), "n-2-a"), false) // its room is for work that waits
 	b.m.SetCordons(b.now, map[string]bool{"n-2-a": true}, nil)
-	b.want(b.m.Move(b.now, task("run-1", 0), "n-2-a"), rebalance.NoCapacity)
+	b.want(b.m.Move(b.now, firstTask("run-1"), "n-2-a"), rebalance.NoCapacity)
 	b.m.SetCordons(b.now, nil, nil)
 	b.m.OpenRecordChanged(b.now, b.now, 0, cancelled("run-1"), b.rev+1)
-	b.want(b.m.Move(b.now, task("run-1", 0), "n-2-a"), rebalance.AlreadyStopping)
+	b.want(b.m.Move(b.now, firstTask("run-1"), "n-2-a"), rebalance.AlreadyStopping)
 }
 
 // cancelled is the record of a job that its user has cancelled.
@@ -110,7 +110,7 @@
 	const before = 5<<attemptBits | 3
 	earlier := drainBench(t, nil, nil, nil)
 	earlier.runningTask()
-	earlier.want(earlier.m.Move(earlier.now, task("run-1", 0), "n-2-a"), rebalance.Moved)
+	earlier.want(earlier.m.Move(earlier.now, firstTask("run-1"), "n-2-a"), rebalance.Moved)
 	batch, _ := earlier.nextWrite()
 	earlier.want(batch.Changes[1].Value.(state.DisruptionRecord).Open[0].ReservedMachine, "n-2-a")
 
--- a/internal/manager/preemption.go
+++ b/internal/manager/preemption.go
@@ -23,14 +23,15 @@
 	gangPatience = 10
 )
 
-// preemptedRoom is room on a machine that was freed by preemption for a gang, and until when nothing less urgent takes it.
+// preemptedRoom is room on a machine that was freed by preemption for a gang, and until when nothing less urgent
+// takes it.
 type preemptedRoom struct {
 	forJob string
 	until  micros.Timestamp
 }
 
-// preemptionTarget is a machine as a round of preemption sees it: its room, including that of what is being stopped, and
-// the attempts on it that may be preempted.
+// preemptionTarget is a machine as a round of preemption sees it: its room, including that of what is being stopped,
+// and the attempts on it that may be preempted.
 type preemptionTarget struct {
 	machine *machineState
 	room    resources.Vector
@@ -46,9 +47,9 @@
 	budget  int                         // preemptions left
 }
 
-// Preempt stops work of lower priority for jobs that have waited longer than the operators allow and find no room. What is
-// already being stopped counts as room. outOfTime reports whether the round has used up its processor time: the next call
-// continues with the next job.
+// Preempt stops work of lower priority for jobs that have waited longer than the operators allow and find no room.
+// What is already being stopped counts as room. outOfTime reports whether the round has used up its processor time:
+// the next call continues with the next job.
 func (m *Manager) Preempt(now micros.Timestamp, outOfTime func() bool) {
 	jobs := m.jobsToPreemptFor(now)
 	if len(jobs) == 0 {
@@ -77,8 +78,8 @@
 	}
 }
 
-// jobsToPreemptFor returns the jobs for which others may be preempted, the most urgent first, from the one on at which the
-// last round ended.
+// jobsToPreemptFor returns the jobs for which others may be preempted, the most urgent first, from the one on at
+// which the last round ended.
 func (m *Manager) jobsToPreemptFor(now micros.Timestamp) []*jobState {
 	var jobs []*jobState
 	for _, job := range m.waitingFor(now, m.cfg.Tuning.PreemptAfter) {
@@ -94,9 +95,9 @@
 	return jobs
 }
 
-// waitingFor returns the jobs, by arrival, that could have tasks placed and have waited longer than this without one of
-// them being placed. A new leader first waits for its machines' heartbeats: before, a job that waited under the last one
-// would find no room though there is some.
+// waitingFor returns the jobs, by arrival, that could have tasks placed and have waited longer than this without one
+// of them being placed. A new leader first waits for its machines' heartbeats: before, a job that waited under the
+// last one would find no room though there is some.
 func (m *Manager) waitingFor(now micros.Timestamp, longer micros.Duration) []*jobState {
 	if now.Sub(m.termStart) <= min(longer, m.heartbeatDeadline()) {
 		return nil
@@ -142,8 +143,8 @@
 	}
 }
 
-// mayPreemptGang reports whether a gang may be preempted: not while it is being stopped already, and not if it would lose
-// all that it has done.
+// mayPreemptGang reports whether a gang may be preempted: not while it is being stopped already, and not if it would
+// lose all that it has done.
 func (m *Manager) mayPreemptGang(now micros.Timestamp, job *jobState) bool {
 	switch job.gang.Phase() {
 	case gang.Granted, gang.Launched:
@@ -155,8 +156,8 @@
 	return false
 }
 
-// mayPreempt reports whether a job may preempt another's task: one of lower priority, or one that another team runs beyond
-// its own guarantee where the job's team has not got its own.
+// mayPreempt reports whether a job may preempt another's task: one of lower priority, or one that another team runs
+// beyond its own guarantee where the job's team has not got its own.
 func (round *preemptionRound) mayPreempt(job, other *jobState) bool {
 	if other.spec().Priority() < job.spec().Priority() {
 		return true
@@ -210,8 +211,8 @@
 	}
 }
 
-// cheapestVictim returns the attempt whose preemption frees room for a task of a job at the least cost, with its machine;
-// nil: there is none.
+// cheapestVictim returns the attempt whose preemption frees room for a task of a job at the least cost, with its
+// machine; nil: there is none.
 func (round *preemptionRound) cheapestVictim(
 	job *jobState, targets []*preemptionTarget,
 ) (victim *taskAttempt, best *preemptionTarget) {
@@ -234,8 +235,8 @@
 	return victim, best
 }
 
-// worthPreemptingGang reports whether a gang should be preempted for a job: it has waited long, and makes use of half of
-// what the gang would free.
+// worthPreemptingGang reports whether a gang should be preempted for a job: it has waited long, and makes use of half
+// of what the gang would free.
 func (round *preemptionRound) worthPreemptingGang(job, victim *jobState) bool {
 	used := 2 * float64(job.waiting) * job.spec().CPUs
 	freed := float64(len(victim.active)) * victim.spec().CPUs
@@ -289,9 +290,9 @@
 	}
 }
 
-// preemptedForOther reports whether the room on a machine was freed for a more urgent gang than the job, which has still
-// to take it. A gang needs all of its room at once: a task that is back on one machine before the gang's scheduler has
-// seen the room spoils it on all.
+// preemptedForOther reports whether the room on a machine was freed for a more urgent gang than the job, which has
+// still to take it. A gang needs all of its room at once: a task that is back on one machine before the gang's
+// scheduler has seen the room spoils it on all.
 func (m *Manager) preemptedForOther(now micros.Timestamp, machine *machineState, job *jobState) bool {
 	room := &machine.preempted
 	if now >= room.until || room.forJob == job.id() {
@@ -311,8 +312,8 @@
 	return spec.CheckpointSaveS + checkpointMarginS
 }
 
-// preemptionCost returns the time that an attempt loses when it is preempted; for one of a gang, what all of them lose. A
-// gang that cannot write its checkpoint in time is never preempted.
+// preemptionCost returns the time that an attempt loses when it is preempted; for one of a gang, what all of them
+// lose. A gang that cannot write its checkpoint in time is never preempted.
 func preemptionCost(attempt *taskAttempt) micros.Duration {
 	tasks, lost := micros.Duration(1), micros.Duration(0)
 	if attempt.job.gang != nil {
--- a/internal/manager/published.go
+++ b/internal/manager/published.go
@@ -45,8 +45,8 @@
 	return published
 }
 
-// expectedSoon reports whether a machine that may not be usable now should be so soon. One that has just started reports
-// twice before it is: the second heartbeat has our token.
+// expectedSoon reports whether a machine that may not be usable now should be so soon. One that has just started
+// reports twice before it is: the second heartbeat has our token.
 func (m *Manager) expectedSoon(now micros.Timestamp, machine *machineState) bool {
 	if machine.machineType == nil || machine.reclaimAt != 0 || machine.deleting || m.cordons[machine.id] ||
 		machine.health.quarantineReason != "" || machine.listing.state == wire.MachineFailed {
--- a/internal/manager/publisher.go
+++ b/internal/manager/publisher.go
@@ -9,8 +9,9 @@
 	"saffronbend/internal/snapshot"
 )
 
-// minRemovals and minCompletedRuns are how many removals and completed runs a follower may at least miss without needing a
-// whole snapshot. In larger fleets it is as many as there are machines: a whole snapshot is then that much dearer, too.
+// minRemovals and minCompletedRuns are how many removals and completed runs a follower may at least miss without
+// needing a whole snapshot. In larger fleets it is as many as there are machines: a whole snapshot is then that much
+// dearer, too.
 const (
 	minRemovals      = 2000
 	minCompletedRuns = 1000
@@ -84,7 +85,8 @@
 // SnapshotStale reports whether anything has changed since the last snapshot.
 func (m *Manager) SnapshotStale() bool { return m.publisher.stale }
 
-// NextSnapshotVersion returns the version of the next snapshot, the first that contains what has been granted until now.
+// NextSnapshotVersion returns the version of the next snapshot, the first that contains what has been granted until
+// now.
 func (m *Manager) NextSnapshotVersion() uint64 { return m.publisher.version + 1 }
 
 // Snapshot publishes and returns a new snapshot of all machines and jobs. It looks only at those that have changed; the
@@ -147,8 +149,8 @@
 	return update
 }
 
-// removedSince returns the machines and jobs that are no longer published since a version; since 0 none: a whole snapshot
-// does not contain them.
+// removedSince returns the machines and jobs that are no longer published since a version; since 0 none: a whole
+// snapshot does not contain them.
 func (publisher *snapshotPublisher) removedSince(version uint64) []string {
 	if version == 0 {
 		return nil
--- a/internal/manager/pushes.go
+++ b/internal/manager/pushes.go
@@ -31,10 +31,10 @@
 // full reports whether no further push may be in flight.
 func (queue *pushQueue) full() bool { return queue.inFlight >= queue.maxInFlight }
 
-// CommandPushes returns the pushes to be sent now: launches that have become durable, stops, and empty pushes, or probes,
-// by which an agent may show that it is reached. Each machine has at most one push in flight, whose outcome the caller
-// reports with CommandPushDone. Only machines that have changed since the last call are looked at. mayLaunch is false
-// while nothing may be launched by a push.
+// CommandPushes returns the pushes to be sent now: launches that have become durable, stops, and empty pushes, or
+// probes, by which an agent may show that it is reached. Each machine has at most one push in flight, whose outcome
+// the caller reports with CommandPushDone. Only machines that have changed since the last call are looked at.
+// mayLaunch is false while nothing may be launched by a push.
 func (m *Manager) CommandPushes(now micros.Timestamp, mayLaunch bool) []CommandPush {
 	if len(m.pushes.candidates) == 0 || m.pushes.full() {
 		return nil // candidates remain; what is not pushed goes with answers to heartbeats
@@ -58,7 +58,8 @@
 	return pushes
 }
 
-// nextPush returns what is to be pushed to a machine now, if anything is: a probe if it may not be reached, or commands.
+// nextPush returns what is to be pushed to a machine now, if anything is: a probe if it may not be reached, or
+// commands.
 func (m *Manager) nextPush(now micros.Timestamp, machine *machineState, mayLaunch bool) (push CommandPush, ok bool) {
 	if machine.needsProbe() {
 		if !m.probeDue(now, machine) {
@@ -102,25 +103,25 @@
 	return commands
 }
 
-// mayPushLaunch reports whether an attempt's launch may be pushed: no launch of it was sent that the agent has executed or
-// may yet execute, and the machine has few tombstones.
+// mayPushLaunch reports whether an attempt's launch may be pushed: no launch of it was sent that the agent has
+// executed or may yet execute, and the machine has few tombstones.
 func mayPushLaunch(attempt *taskAttempt) bool {
 	return attempt.grantedThisTerm && !attempt.stop.requested && !attempt.listed &&
 		attempt.launch.answerSeq == 0 && attempt.launch.push != pushOutcomeUnknown &&
 		len(attempt.machine.tombstones) < maxTombstones && attempt.mayLaunch()
 }
 
-// needsProbe reports whether a machine is to be asked by an empty push whether it is reached: one that may not be, and one
-// that runs but has not reported to this leader. Its agent may act for an earlier leader that is cut off from all but its
-// agents, and learns of us only so.
+// needsProbe reports whether a machine is to be asked by an empty push whether it is reached: one that may not be,
+// and one that runs but has not reported to this leader. Its agent may act for an earlier leader that is cut off from
+// all but its agents, and learns of us only so.
 func (machine *machineState) needsProbe() bool {
 	agent := &machine.agent
 	return agent.unreachableSince != 0 || agent.heardOnlyThroughRelay() ||
 		!agent.reporting && machine.listing.state == wire.MachineRunning
 }
 
-// latestKnownIncarnation returns the incarnation that a machine's agent is in as far as is known. If it is in another, its
-// answer shows that.
+// latestKnownIncarnation returns the incarnation that a machine's agent is in as far as is known. If it is in
+// another, its answer shows that.
 func (machine *machineState) latestKnownIncarnation() uint64 {
 	latest := max(1, machine.agent.incarnation)
 	for _, attempt := range machine.attempts {
@@ -129,8 +130,9 @@
 	return latest
 }
 
-// probeDue reports whether it is time to probe a machine that needs it. One that has reported and has yet to acknowledge
-// our token most likely does so with its next heartbeat; most of a new leader's machines report within the first seconds.
+// probeDue reports whether it is time to probe a machine that needs it. One that has reported and has yet to
+// acknowledge our token most likely does so with its next heartbeat; most of a new leader's machines report within
+// the first seconds.
 func (m *Manager) probeDue(now micros.Timestamp, machine *machineState) bool {
 	const (
 		interval     = 3 * micros.Second
--- a/internal/manager/reclaim.go
+++ b/internal/manager/reclaim.go
@@ -15,8 +15,8 @@
 	machine.reclaimAt = now.Add(micros.Seconds(inS))
 }
 
-// prepareForReclaim stops what can write a checkpoint before a spot machine is reclaimed. Work that cannot goes on: it may
-// finish in time.
+// prepareForReclaim stops what can write a checkpoint before a spot machine is reclaimed. Work that cannot goes on:
+// it may finish in time.
 func (m *Manager) prepareForReclaim(now micros.Timestamp, machine *machineState) {
 	for _, attempt := range attemptsByID(machine.attempts) {
 		if peers := attempt.job.gang; peers != nil && peers.Phase() == gang.Launched {
@@ -30,8 +30,8 @@
 	}
 }
 
-// mustCheckpointBeforeReclaim reports whether an attempt can write a checkpoint and has to begin with it now. Its command
-// may have to wait for the next heartbeat when pushes fail.
+// mustCheckpointBeforeReclaim reports whether an attempt can write a checkpoint and has to begin with it now. Its
+// command may have to wait for the next heartbeat when pushes fail.
 func (m *Manager) mustCheckpointBeforeReclaim(now micros.Timestamp, attempt *taskAttempt) bool {
 	const margin = 3 * micros.Second
 	spec := attempt.spec()
@@ -43,8 +43,9 @@
 	return now.Add(needed) >= attempt.machine.reclaimAt
 }
 
-// stopForReclaim has an attempt write its checkpoint and stop. A gang does so as a whole if it can in time; if it cannot
-// and would not be done in time, it is stopped at once: its progress since the last checkpoint is lost in any case.
+// stopForReclaim has an attempt write its checkpoint and stop. A gang does so as a whole if it can in time; if it
+// cannot and would not be done in time, it is stopped at once: its progress since the last checkpoint is lost in any
+// case.
 func (m *Manager) stopForReclaim(now micros.Timestamp, attempt *taskAttempt) {
 	job := attempt.job
 	switch peers := job.gang; {
--- a/internal/manager/reconcile.go
+++ b/internal/manager/reconcile.go
@@ -51,8 +51,8 @@
 	machine.useImage(now, job.spec(), status.State != wire.TaskFetching)
 }
 
-// adoptTask registers a task that runs though no attempt of it is known. To start it elsewhere would be to run it twice.
-// Only a heartbeat with this term's token shows that it runs: an older one may be a late copy.
+// adoptTask registers a task that runs though no attempt of it is known. To start it elsewhere would be to run it
+// twice. Only a heartbeat with this term's token shows that it runs: an older one may be a late copy.
 func (m *Manager) adoptTask(
 	now micros.Timestamp, machine *machineState, job *jobState, task int, id uint64,
 ) *taskAttempt {
--- a/internal/manager/recovery.go
+++ b/internal/manager/recovery.go
@@ -16,11 +16,11 @@
 //
 // What a new leader knows is exactly what these records say: the jobs, which of their tasks are done, and for each
 // other task whether an attempt of it may exist, on which machine, under which number and agent incarnation. Since
-// every attempt is durable before its launch, no attempt of an earlier leader should be missing; should an agent report
-// a task all the same that no record names, adoptTask registers it. A recovered attempt counts against quota and capacity
-// until it is provably gone. Leases, run times, images, health and connectivity are not recorded: they are learned anew
-// from heartbeats, and until a machine has sent one that carries this term's token it gets nothing new. Disruptions and
-// the machines reserved for successors follow with RestoreDisruptions.
+// every attempt is durable before its launch, no attempt of an earlier leader should be missing; should an agent
+// report a task all the same that no record names, adoptTask registers it. A recovered attempt counts against quota
+// and capacity until it is provably gone. Leases, run times, images, health and connectivity are not recorded: they
+// are learned anew from heartbeats, and until a machine has sent one that carries this term's token it gets nothing
+// new. Disruptions and the machines reserved for successors follow with RestoreDisruptions.
 func New(now micros.Timestamp, cfg Config, wall int64, openJobs, progress []wire.KeyValue) (*Manager, error) {
 	m := newEmptyManager(now, cfg)
 	if err := m.recoverJobs(now, wall, openJobs); err != nil {
--- a/internal/manager/reservations.go
+++ b/internal/manager/reservations.go
@@ -12,17 +12,17 @@
 
 // Room is reserved in two ways, which differ in what is reserved, for whom and until when, and are not merged for that:
 //
-//   - A reservation is the exact room of one task, on a machine that has it free at that moment, for the successor of an
-//     evicted attempt. It is subtracted from the machine's free resources, is durable with the disruption, survives a
-//     change of leader and expires.
-//   - machineState.reservedForJob (waiting_reservations.go) is a whole machine, that is still full of other work, for a
-//     job that has waited long. Nothing is subtracted: the machine takes no other work while it empties by itself. It is
-//     neither durable nor bounded in time, and ends when the machine has its fill of the job.
+//   - A reservation is the exact room of one task, on a machine that has it free at that moment, for the successor of
+//     an evicted attempt. It is subtracted from the machine's free resources, is durable with the disruption,
+//     survives a change of leader and expires.
+//   - machineState.reservedForJob (waiting_reservations.go) is a whole machine, that is still full of other work, for
+//     a job that has waited long. Nothing is subtracted: the machine takes no other work while it empties by itself.
+//     It is neither durable nor bounded in time, and ends when the machine has its fill of the job.
 //
 // Both end in placementRefusal or in claim, where a job's request for the machine is decided.
 
-// reservation is room on a machine for the successor of an attempt that is evicted. It is made before the eviction. It ends
-// when the successor is placed, when that cannot happen any more, or when it has taken too long.
+// reservation is room on a machine for the successor of an attempt that is evicted. It is made before the eviction.
+// It ends when the successor is placed, when that cannot happen any more, or when it has taken too long.
 type reservation struct {
 	task      disruption.Task
 	machine   *machineState
@@ -98,8 +98,8 @@
 	}
 }
 
-// restoreInheritedReservations reserves the room that an earlier leader had reserved, as soon as its machine has reported
-// and if the room is still free and wanted.
+// restoreInheritedReservations reserves the room that an earlier leader had reserved, as soon as its machine has
+// reported and if the room is still free and wanted.
 func (m *Manager) restoreInheritedReservations(now micros.Timestamp) {
 	for task, id := range m.reservations.inherited {
 		job, machine := m.jobs[task.Job], m.machines[id]
--- a/internal/manager/tombstones.go
+++ b/internal/manager/tombstones.go
@@ -2,8 +2,8 @@
 
 import "saffronbend/wire"
 
-// maxTombstones bounds the tombstones of a machine, and so the length of its heartbeats: one with more gets its launches
-// in answers to them, which do not arrive late.
+// maxTombstones bounds the tombstones of a machine, and so the length of its heartbeats: one with more gets its
+// launches in answers to them, which do not arrive late.
 const maxTombstones = 128
 
 // attemptKey identifies an attempt on a machine: the tasks of a gang share its identifier.
@@ -20,8 +20,8 @@
 	clearableWhenJobDone bool
 }
 
-// keepTombstone keeps an exited attempt if its launch was pushed. Where its team has a limit, a second start would break
-// that, so it is never cleared.
+// keepTombstone keeps an exited attempt if its launch was pushed. Where its team has a limit, a second start would
+// break that, so it is never cleared.
 func (m *Manager) keepTombstone(attempt *taskAttempt, done bool) {
 	if attempt.launch.push == pushNone {
 		return
@@ -35,7 +35,7 @@
 // clearTombstone reports whether the agent may clear an exited attempt, and removes its tombstone then.
 func (machine *machineState) clearTombstone(key attemptKey) bool {
 	kept, ok := machine.tombstones[key]
-	if ok && !(kept.clearableWhenJobDone && kept.job.finalState == wire.JobDone) {
+	if ok && (!kept.clearableWhenJobDone || kept.job.finalState != wire.JobDone) {
 		return false
 	}
 	delete(machine.tombstones, key)
--- a/internal/manager/waiting_reservations.go
+++ b/internal/manager/waiting_reservations.go
@@ -26,10 +26,10 @@
 	tasks            map[string]int // that fit on the machines reserved for a job, by job
 }
 
-// ReserveForWaitingJobs reserves machines for the jobs that have waited longest without one of their tasks being placed:
-// nothing else is placed there, so that small tasks that fit anywhere cannot take for ever what a large one waits for.
-// Class, priority and deadline do not matter. A reserved machine empties by itself; it is reserved until it has as many of
-// the job's tasks as it takes. See reservations.go for the other kind of reservation.
+// ReserveForWaitingJobs reserves machines for the jobs that have waited longest without one of their tasks being
+// placed: nothing else is placed there, so that small tasks that fit anywhere cannot take for ever what a large one
+// waits for. Class, priority and deadline do not matter. A reserved machine empties by itself; it is reserved until
+// it has as many of the job's tasks as it takes. See reservations.go for the other kind of reservation.
 func (m *Manager) ReserveForWaitingJobs(now micros.Timestamp) {
 	round := waitingReservations{m: m, now: now, tasks: map[string]int{}}
 	round.releaseObsolete()
@@ -115,8 +115,8 @@
 	}
 }
 
-// zoneForGang returns the zone in which machines are reserved for a gang: of those that can hold all of it the one with the
-// most free room, or the one where it has begun. Empty: any zone, for a gang that may be spread.
+// zoneForGang returns the zone in which machines are reserved for a gang: of those that can hold all of it the one
+// with the most free room, or the one where it has begun. Empty: any zone, for a gang that may be spread.
 func (round *waitingReservations) zoneForGang(job *jobState) (best string, found bool) {
 	m := round.m
 	capacity, free := map[string]int{}, map[string]int{} // in tasks, by zone
@@ -148,9 +148,9 @@
 	return m.usable(now, machine) && m.suits(machine, job)
 }
 
-// machinesBySoonestRoom returns the machines that may be reserved for a job, first those on which a task of it should find
-// room first, by the expected ends of what runs there, if nothing else is placed. With a zone it returns only those in it.
-// That one of them is reserved does not change when there is room on another.
+// machinesBySoonestRoom returns the machines that may be reserved for a job, first those on which a task of it should
+// find room first, by the expected ends of what runs there, if nothing else is placed. With a zone it returns only
+// those in it. That one of them is reserved does not change when there is room on another.
 func (m *Manager) machinesBySoonestRoom(now micros.Timestamp, job *jobState, zone string) []*machineState {
 	type candidate struct {
 		roomAt  micros.Timestamp
--- a/internal/manager/write_limits.go
+++ b/internal/manager/write_limits.go
@@ -20,9 +20,9 @@
 	writeHoldTime = micros.Minute
 )
 
-// writeLimits bounds what the leader writes: at first by the settings, then, should the key-value store refuse something
-// all the same, by what it accepted. Records may be larger than the limit if they were written under a higher one: they
-// are not written again before what they have to hold fits.
+// writeLimits bounds what the leader writes: at first by the settings, then, should the key-value store refuse
+// something all the same, by what it accepted. Records may be larger than the limit if they were written under a
+// higher one: they are not written again before what they have to hold fits.
 type writeLimits struct {
 	maxOps        int // changes in a transaction
 	maxValueBytes int // encoded size of a value
@@ -46,8 +46,8 @@
 	return placementBytes+moreBytes+state.ProgressRecordOverhead(job.record.ShardSize) <= limits.maxValueBytes
 }
 
-// lower lowers the limits after a transaction with so many changes, whose largest value had so many bytes, was refused. It
-// reports false if they cannot be lowered further.
+// lower lowers the limits after a transaction with so many changes, whose largest value had so many bytes, was
+// refused. It reports false if they cannot be lowered further.
 func (limits *writeLimits) lower(changes, largestBytes int) bool {
 	switch {
 	case changes > minWriteOps:
@@ -60,10 +60,10 @@
 	return true
 }
 
-// WriteRefused applies that the key-value store will never execute a write as it is, since its limits are lower than the
-// settings say; largestBytes is the size of the write's largest value. It reports true if the limits were lowered: what
-// has to be written is built anew within them. It reports false if they cannot be: the write's records are not written
-// for a while.
+// WriteRefused applies that the key-value store will never execute a write as it is, since its limits are lower than
+// the settings say; largestBytes is the size of the write's largest value. It reports true if the limits were
+// lowered: what has to be written is built anew within them. It reports false if they cannot be: the write's records
+// are not written for a while.
 func (m *Manager) WriteRefused(now micros.Timestamp, batch *WriteBatch, largestBytes int) bool {
 	lowered := m.writes.limits.lower(len(batch.Changes), largestBytes)
 	if lowered {
--- a/internal/manager/write_order.go
+++ b/internal/manager/write_order.go
@@ -8,8 +8,8 @@
 )
 
 // Progress that no launch waits for may wait for more of it in the same record. A leader that ends meanwhile loses
-// nothing: agents go on listing exited tasks until they are told to clear them. Where writes take long, as when the store
-// allows few changes a second, such progress gives way to the launches and the results that people wait for.
+// nothing: agents go on listing exited tasks until they are told to clear them. Where writes take long, as when the
+// store allows few changes a second, such progress gives way to the launches and the results that people wait for.
 const (
 	minProgressDelay       = 2 * micros.Second
 	maxProgressDelay       = 15 * micros.Second
@@ -25,8 +25,8 @@
 	return min(maxProgressDelay, max(minProgressDelay, writesPerProgressDelay*pipeline.lastDuration))
 }
 
-// sortDirtyShards orders the records to be written by their jobs' priority and how long they have waited, if not all can
-// be written at once.
+// sortDirtyShards orders the records to be written by their jobs' priority and how long they have waited, if not all
+// can be written at once.
 func (m *Manager) sortDirtyShards() {
 	if len(m.writes.dirtyShards) <= m.writes.limits.maxOps {
 		return
@@ -43,8 +43,8 @@
 }
 
 // backlogged reports whether more records with launches wait than can be written in a few seconds, so that a job is
-// granted nothing new: the more urgent it is, or if it has waited long, the later. What cannot be written for long would
-// only occupy room, and jobs that are placed bit by bit take a write for each bit.
+// granted nothing new: the more urgent it is, or if it has waited long, the later. What cannot be written for long
+// would only occupy room, and jobs that are placed bit by bit take a write for each bit.
 func (m *Manager) backlogged(now micros.Timestamp, job *jobState) bool {
 	const (
 		patience      = 2 * micros.Second
--- a/internal/manager/write_outcomes.go
+++ b/internal/manager/write_outcomes.go
@@ -8,8 +8,8 @@
 	"saffronbend/wire"
 )
 
-// WriteCommitted applies that a write was executed, at a revision of the key-value store: its placements are durable and
-// may be launched, its results may be cleared, its evictions are carried out.
+// WriteCommitted applies that a write was executed, at a revision of the key-value store: its placements are durable
+// and may be launched, its results may be cleared, its evictions are carried out.
 func (m *Manager) WriteCommitted(now micros.Timestamp, id, revision uint64) {
 	write := m.writes.finish(id)
 	if write == nil {
@@ -86,7 +86,8 @@
 }
 
 // WriteConflicted applies that a write has changed nothing because one of its conditions did not hold: a user has
-// cancelled one of its jobs meanwhile. What has become of its jobs must have been reported before, with OpenRecordChanged.
+// cancelled one of its jobs meanwhile. What has become of its jobs must have been reported before, with
+// OpenRecordChanged.
 func (m *Manager) WriteConflicted(now micros.Timestamp, id uint64) {
 	write := m.writes.finish(id)
 	if write == nil {
--- a/internal/manager/writes.go
+++ b/internal/manager/writes.go
@@ -80,8 +80,8 @@
 }
 
 // NextWrite returns the next transaction, or nil if none is due or one is in flight. It contains first what completes
-// jobs, then progress, then the deletion of the records of final jobs. The caller executes it and reports the outcome with
-// WriteCommitted, WriteConflicted or WriteRefused.
+// jobs, then progress, then the deletion of the records of final jobs. The caller executes it and reports the outcome
+// with WriteCommitted, WriteConflicted or WriteRefused.
 //
 // What was written before a launch is decided here: an attempt is launched only after WriteCommitted for a transaction
 // that contains its placement, in the progress record of its task (writeBuilder.addShard), together with the condition
@@ -149,8 +149,8 @@
 	}
 }
 
-// addCompletion makes a job final, together with the deletion of its records if that fits into one transaction: its tasks
-// need no record of their own then. It reports false if that has to wait for the next transaction.
+// addCompletion makes a job final, together with the deletion of its records if that fits into one transaction: its
+// tasks need no record of their own then. It reports false if that has to wait for the next transaction.
 func (builder *writeBuilder) addCompletion(job *jobState) bool {
 	id := job.id()
 	deletions := job.recordDeletions()
@@ -183,8 +183,8 @@
 	return changes
 }
 
-// addDirtyShards adds progress: first what launches wait for, then, while no transaction is worth keeping free for them,
-// what has waited long enough.
+// addDirtyShards adds progress: first what launches wait for, then, while no transaction is worth keeping free for
+// them, what has waited long enough.
 func (builder *writeBuilder) addDirtyShards() {
 	m := builder.manager
 	m.sortDirtyShards()
@@ -230,8 +230,8 @@
 	return true
 }
 
-// progressChange returns the change of a shard's progress record: its done tasks, and the placement of each attempt that
-// may exist.
+// progressChange returns the change of a shard's progress record: its done tasks, and the placement of each attempt
+// that may exist.
 func (builder *writeBuilder) progressChange(job *jobState, key shardKey) RecordChange {
 	shard := job.shards[key.index]
 	shard.markWritten()
--- /dev/null
+++ b/internal/snapshot/update.go
@@ -0,0 +1,79 @@
+package snapshot
+
+import "saffronbend/internal/micros"
+
+// Update contains what has changed from the snapshot of version BaseVersion to that of Version. With BaseVersion 0 it
+// is a whole snapshot.
+type Update struct {
+	FencingToken    uint64                   `json:"token"`
+	BaseVersion     uint64                   `json:"base,omitempty"`
+	Version         uint64                   `json:"version"`
+	Now             micros.Timestamp         `json:"now"`
+	StoreAvailable  bool                     `json:"state_ok"`
+	TeamAssignments map[string]string        `json:"assign"`
+	QuotaHeadroom   map[string]QuotaHeadroom `json:"rooms,omitempty"`
+	Machines        []*Machine               `json:"machines,omitempty"`
+	Jobs            []*Job                   `json:"jobs,omitempty"`
+	Removed         []string                 `json:"gone,omitempty"` // machines and jobs, by identifier
+	CompletedRuns   []CompletedRun           `json:"finished,omitempty"`
+}
+
+// Replica is a follower's copy of the leader's newest snapshot. Its zero value has none.
+type Replica struct{ snapshot *Snapshot }
+
+// Apply applies the next update and returns the snapshot that results. It returns nil, and keeps what it has, if an
+// update was missed or the term has changed: the leader must be asked for a whole snapshot.
+func (r *Replica) Apply(update *Update) *Snapshot {
+	next := &Snapshot{
+		FencingToken:    update.FencingToken,
+		Version:         update.Version,
+		Now:             update.Now,
+		StoreAvailable:  update.StoreAvailable,
+		TeamAssignments: update.TeamAssignments,
+		QuotaHeadroom:   update.QuotaHeadroom,
+		CompletedRuns:   update.CompletedRuns,
+	}
+	if update.BaseVersion != 0 {
+		base := r.snapshot
+		if base == nil || base.FencingToken != update.FencingToken || base.Version != update.BaseVersion {
+			return nil
+		}
+		next.Machines, next.Jobs = base.Machines, base.Jobs
+	}
+	next.Machines = merge(next.Machines, update.Machines, update.Removed, func(m *Machine) string { return m.ID })
+	next.Jobs = merge(next.Jobs, update.Jobs, update.Removed, func(j *Job) string { return j.ID })
+	r.snapshot = next
+	return next
+}
+
+// merge returns a list with the changed entries in the places of the old ones, and new ones at the end, without those
+// that were removed. The old list stays as it is.
+func merge[T any](old, changed []T, removed []string, id func(T) string) []T {
+	if len(changed) == 0 && len(removed) == 0 {
+		return old
+	}
+	replacements := make(map[string]T, len(changed))
+	for _, entry := range changed {
+		replacements[id(entry)] = entry
+	}
+	isRemoved := make(map[string]bool, len(removed))
+	for _, key := range removed {
+		isRemoved[key] = true
+	}
+	merged := make([]T, 0, len(old)+len(changed))
+	for _, entry := range old {
+		key := id(entry)
+		if replacement, ok := replacements[key]; ok {
+			merged = append(merged, replacement)
+			delete(replacements, key)
+		} else if !isRemoved[key] {
+			merged = append(merged, entry)
+		}
+	}
+	for _, entry := range changed {
+		if _, ok := replacements[id(entry)]; ok {
+			merged = append(merged, entry)
+		}
+	}
+	return merged
+}
