--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -89,7 +89,7 @@
 	}
 	t.loop.Post(ctx, func(now micros.Timestamp) {
 		if !t.manager.WriteRefused(now, batch, largestValue) {
-			t.cfg.Log.Error("the state service refuses a write that can't be made smaller",
+			t.cfg.Log.Error("the key-value store refuses a write that can't be made smaller",
 				"keys", keys, "bytes", largestValue, "error", err)
 		}
 	})
