--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -46,7 +46,7 @@
 // Config is what the followers of a controller need.
 type Config struct {
 	Settings *settings.Settings
-	// Incarnation tells this process from others of the same controller.
+	// Incarnation distinguishes this process from others of the same controller.
 	Incarnation uint64
 	// LeaderLeaseTTL is how long the leader's lease in the key-value store lasts.
 	LeaderLeaseTTL micros.Duration
@@ -77,15 +77,15 @@
 	if !ok {
 		return nil, fmt.Errorf("%w: %s", ErrUnknownLeader, leader)
 	}
-	f := &Follower{
+	follower := &Follower{
 		cfg:     cfg,
 		leader:  leader,
 		token:   token,
 		client:  peer.NewClient(cfg.Dial, addr, cfg.Settings.Member, token),
 		renewer: newLeaseRenewer(cfg, token),
 	}
-	f.contacted()
-	return f, nil
+	follower.contacted()
+	return follower, nil
 }
 
 // PeerAddr returns the cluster address of another controller, if the settings have it.
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -46,7 +46,7 @@
 // Config is what the terms of a controller need.
 type Config struct {
 	Settings *settings.Settings
-	// LeaseTTL bounds how old the news of cancellations may be when something new is granted: as long as the leader's
+	// LeaseTTL bounds how old the known cancellations may be when something new is granted: as long as the leader's
 	// lease.
 	LeaseTTL micros.Duration
 	Log      *slog.Logger
--- a/internal/leader/scaling/scaling_test.go
+++ b/internal/leader/scaling/scaling_test.go
@@ -91,7 +91,7 @@
 
 func (c *fakeCloud) ScaleIn(context.Context, []string) error { return c.next() }
 
-// fakeManager keeps what it is told.
+// fakeManager keeps what is reported to it.
 type fakeManager struct {
 	Manager
 	scaledOut, deleted [][]string
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -29,7 +29,7 @@
 	reasonNoAttemptNumbers   = "the term has no attempt numbers left"
 	reasonEncoding           = "a record can't be encoded"
 	reasonLeaderKeyChanged   = "the leader's key has changed"
-	reasonConcurrentlyEdited = "a record of ours has been changed by another"
+	reasonConcurrentlyEdited = "a record of the leader has been changed by another"
 )
 
 // Term is the time in which this controller leads under one fencing token.
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -57,7 +57,7 @@
 // Config is what a Driver needs.
 type Config struct {
 	Settings *settings.Settings
-	// Incarnation tells this process from others of the same controller.
+	// Incarnation distinguishes this process from others of the same controller.
 	Incarnation uint64
 	// LeaseTTL is how long a leader that ends without notice keeps others waiting, if its host doesn't refuse connections.
 	LeaseTTL micros.Duration
--- a/node.go
+++ b/node.go
@@ -39,7 +39,7 @@
 	network     Network
 	log         *slog.Logger
 	clock       micros.Clock
-	incarnation uint64 // tells this process from others of the same controller
+	incarnation uint64 // distinguishes this process from others of the same controller
 	store       *state.Client
 	cloud       *cloud.Client
 	types       *machinetypes.Catalog
@@ -53,7 +53,7 @@
 	deployment := &set.Deployment
 	storeLimits := deployment.State.Effective()
 	clock := micros.NewClock()
-	n := &Node{
+	node := &Node{
 		settings:    set,
 		network:     network,
 		log:         log.With("controller", set.Member),
@@ -65,17 +65,17 @@
 		types:  &machinetypes.Catalog{},
 		health: health.NewMonitor(clock),
 	}
-	n.placer = placement.New(placement.Config{
+	node.placer = placement.New(placement.Config{
 		Controller: set.Member,
 		Tuning:     set.Tuning,
 		Clock:      clock,
-		Types:      n.types,
-		Log:        n.log,
+		Types:      node.types,
+		Log:        node.log,
 	})
-	limits := &rateLimits{settings: set, store: n.store, cloud: n.cloud}
+	limits := &rateLimits{settings: set, store: node.store, cloud: node.cloud}
 	limits.SetLeading(false)
-	n.leadership = n.newLeadership(limits)
-	return n
+	node.leadership = node.newLeadership(limits)
+	return node
 }
 
 func (n *Node) newLeadership(limits leadership.RateLimits) *leadership.Driver {
