--- a/server.go
+++ b/server.go
@@ -55,7 +55,9 @@
 	admission := ingress.NewAdmission(heartbeatBatch*runtime.GOMAXPROCS(0), heartbeatPatience)
 	var group routine.Group
 	defer group.Wait()
-	group.Go(func() { admission.Run(ctx) })
+	admissionCtx, stopAdmission := context.WithCancel(ctx)
+	defer stopAdmission() // also when the listener fails while ctx goes on
+	group.Go(func() { admission.Run(admissionCtx) })
 
 	server := &http.Server{
 		Handler:           router,
