--- /dev/null
+++ b/internal/api/jobs.go
@@ -0,0 +1,101 @@
+package api
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+
+	"github.com/julienschmidt/httprouter"
+
+	"saffronbend/internal/state"
+	"saffronbend/wire"
+)
+
+// cancelAttempts is how often a cancellation is tried, since the leader may change a job's records at the same time.
+const cancelAttempts = 3
+
+// poll serves a poll of a job's state.
+func (a *API) poll(w http.ResponseWriter, req *http.Request, params httprouter.Params) {
+	ctx, cancel := context.WithTimeout(req.Context(), pollTimeout)
+	defer cancel()
+	job := params.ByName("id")
+	if !wire.ValidJobID(job) {
+		refuse(w, http.StatusNotFound, noSuchJob)
+		return
+	}
+	switch jobState, err := a.readState(ctx, job); {
+	case err != nil:
+		refuseForNow(w, storeSilent)
+	case jobState == "":
+		refuse(w, http.StatusNotFound, noSuchJob)
+	default:
+		a.respondWithState(w, http.StatusOK, job, jobState)
+	}
+}
+
+// cancel serves a cancellation. It responds with the job's final state, which is not cancelled if the job was done
+// before.
+func (a *API) cancel(w http.ResponseWriter, req *http.Request, params httprouter.Params) {
+	ctx, cancel := context.WithTimeout(req.Context(), changeTimeout)
+	defer cancel()
+	job := params.ByName("id")
+	if !wire.ValidJobID(job) {
+		refuse(w, http.StatusNotFound, noSuchJob)
+		return
+	}
+	for range cancelAttempts {
+		switch jobState, err := a.readState(ctx, job); {
+		case err != nil:
+			refuseForNow(w, storeSilent)
+			return
+		case jobState == "":
+			refuse(w, http.StatusNotFound, noSuchJob)
+			return
+		case jobState != wire.JobPending:
+			a.respondWithState(w, http.StatusOK, job, jobState)
+			return
+		}
+		if err := a.writeCancellation(ctx, job); err != nil {
+			a.log.Debug("cancellation not carried out yet", "job", job, "err", err)
+		}
+	}
+	refuseForNow(w, outcomeUnknown)
+}
+
+// writeCancellation tries to write that a job is cancelled. Whether it has succeeded is not known until the job's state
+// is read again.
+func (a *API) writeCancellation(ctx context.Context, job string) error {
+	stored, err := a.store.Get(ctx, state.OpenJobKey(job))
+	if err != nil || stored == nil {
+		return err
+	}
+	var openJob state.OpenJobRecord
+	if err := json.Unmarshal(stored.Value, &openJob); err != nil {
+		return fmt.Errorf("record of %s: %w", job, err)
+	}
+	records, err := encodeRecords(openJob.Finalized(wire.JobCancelled), wire.JobCancelled)
+	if err != nil {
+		return fmt.Errorf("record of %s: %w", job, err)
+	}
+	return a.writeRecords(ctx, job, stored.Version, records)
+}
+
+// readState returns a job's state as stored: pending or a final state, or "" if the job was never accepted.
+func (a *API) readState(ctx context.Context, job string) (wire.JobState, error) {
+	if jobState, ok := a.finalStates.get(job); ok {
+		return jobState, nil
+	}
+	stored, err := a.store.Get(ctx, state.JobStatusKey(job))
+	if err != nil || stored == nil {
+		return "", err
+	}
+	var record state.JobStatusRecord
+	if err := json.Unmarshal(stored.Value, &record); err != nil {
+		return "", fmt.Errorf("record of %s: %w", job, err)
+	}
+	if record.State != wire.JobPending {
+		a.finalStates.put(job, record.State)
+	}
+	return record.State, nil
+}
