--- a/internal/scenario/burst_test.go
+++ b/internal/scenario/loopback/burst_test.go
@@ -1,4 +1,5 @@
-package scenario
+// Package loopback holds the scenarios that are played over real connections on the loopback interface, in real time.
+package loopback
 
 import (
 	"bytes"
@@ -10,6 +11,7 @@
 	"testing/synctest"
 	"time"
 
+	"saffronbend/internal/scenario"
 	"saffronbend/internal/standin"
 )
 
@@ -22,15 +24,15 @@
 )
 
 // burst reads the scenario of a burst; off: with moves switched off.
-func burst(t *testing.T, off bool) *Scenario {
-	data, err := os.ReadFile("testdata/loopback/spread-burst.txtar")
+func burst(t *testing.T, off bool) *scenario.Scenario {
+	data, err := os.ReadFile("testdata/spread-burst.txtar")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if off {
 		data = bytes.ReplaceAll(data, []byte("spread { enabled: true"), []byte("spread { enabled: false"))
 	}
-	s, err := Parse(data)
+	s, err := scenario.Parse(data)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,9 +95,9 @@
 			var events []standin.WorkEvent
 			var err error
 			var logs bytes.Buffer
-			scenario := burst(t, off)
+			played := burst(t, off)
 			synctest.Test(t, func(t *testing.T) {
-				events, err = scenario.PlayOn(t.Context(), standin.NewNetwork(), &logs)
+				events, err = played.PlayOn(t.Context(), standin.NewNetwork(), &logs)
 			})
 			if err != nil {
 				t.Log(logs.String())
--- a/internal/scenario/loopback_test.go
+++ b/internal/scenario/loopback/drain_test.go
@@ -1,8 +1,7 @@
-package scenario
+package loopback
 
 import (
 	"bytes"
-	"os"
 	"regexp"
 	"strings"
 	"testing"
@@ -10,6 +9,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"saffronbend/internal/scenario"
 	"saffronbend/internal/standin"
 )
 
@@ -81,14 +81,7 @@
 // TestDrainOnLoopback drains twenty machines over real connections, with faults. The runner holds the workers' logs against the
 // budgets; here each disturbance is logged, and none may have been counted twice by any controller.
 func TestDrainOnLoopback(t *testing.T) {
-	data, err := os.ReadFile("testdata/loopback/drain-twenty.txtar")
-	if err != nil {
-		t.Fatal(err)
-	}
-	s, err := Parse(data)
-	if err != nil {
-		t.Fatal(err)
-	}
+	s := scenario.Read(t, "testdata/drain-twenty.txtar")
 	var logs bytes.Buffer
 	start := time.Now()
 	events, err := s.PlayOn(t.Context(), standin.NewLoopback(), &logs)
--- /dev/null
+++ b/internal/scenario/machines/machines_test.go
@@ -0,0 +1,12 @@
+// Package machines holds the scenarios in which machines, their links or the cloud fail, and that of a whole fleet.
+package machines
+
+import (
+	"testing"
+
+	"saffronbend/internal/scenario"
+)
+
+func TestScenarios(t *testing.T) {
+	scenario.Run(t, "testdata")
+}
--- /dev/null
+++ b/internal/scenario/run.go
@@ -0,0 +1,77 @@
+package scenario
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"runtime"
+	"strings"
+	"testing"
+	"testing/synctest"
+)
+
+// extension is that of the files that hold scenarios.
+const extension = ".txtar"
+
+// Run plays every scenario of a directory as a subtest, and every variant of one with a sweep as a subtest of that. The
+// log of the controllers is shown for those that fail, and with -v.
+//
+// It is for one test in each of the test packages below this one. They are packages, not tests of one package, since Go
+// runs the tests of several packages in several processes.
+func Run(t *testing.T, dir string) {
+	t.Helper()
+	files, err := filepath.Glob(filepath.Join(dir, "*"+extension))
+	if err != nil || len(files) == 0 {
+		t.Fatalf("no scenarios in %s: %v", dir, err)
+	}
+	// With thousands of timers in one bubble, several threads make the race detector's runtime crash; and one makes the
+	// order of events vary less.
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
+	for _, file := range files {
+		name := strings.TrimSuffix(filepath.Base(file), extension)
+		t.Run(name, func(t *testing.T) { runVariants(t, Read(t, file)) })
+	}
+}
+
+// Read reads a scenario from a file.
+func Read(t *testing.T, file string) *Scenario {
+	t.Helper()
+	data, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	scenario, err := Parse(data)
+	if err != nil {
+		t.Fatalf("%s: %v", file, err)
+	}
+	return scenario
+}
+
+// runVariants plays a scenario without a sweep in the test itself, and each variant of one with a sweep in a subtest.
+func runVariants(t *testing.T, scenario *Scenario) {
+	t.Helper()
+	names, variants := scenario.Variants()
+	for i, variant := range variants {
+		if names[i] == "" {
+			runInBubble(t, variant)
+			continue
+		}
+		t.Run(names[i], func(t *testing.T) { runInBubble(t, variant) })
+	}
+}
+
+func runInBubble(t *testing.T, scenario *Scenario) {
+	t.Helper()
+	var logs bytes.Buffer
+	var err error
+	synctest.Test(t, func(t *testing.T) {
+		t.Helper()
+		err = scenario.Play(t.Context(), &logs)
+	})
+	if err != nil || testing.Verbose() {
+		t.Log(logs.String())
+	}
+	if err != nil {
+		t.Error(err)
+	}
+}
