--- a/internal/scenario/loopback/burst_test.go
+++ b/internal/scenario/loopback/burst_test.go
@@ -43,7 +43,7 @@
 // holds the workers' logs against the disruption budgets.
 func TestBurstOnLoopback(t *testing.T) {
 	var logs bytes.Buffer
-	events, err := burst(t, false).PlayOn(t.Context(), standin.NewLoopback(), &logs)
+	events, err := burst(t, false).PlayOn(t.Context(), newLoopback(t), &logs)
 	if err != nil {
 		t.Log(logs.String())
 		t.Fatal(err)
@@ -57,6 +57,16 @@
 	}
 }
 
+// newLoopback makes a network with real connections.
+func newLoopback(t *testing.T) *standin.Network {
+	t.Helper()
+	network, err := standin.NewLoopback()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return network
+}
+
 // logWaits writes how long each team's tasks waited.
 func logWaits(t *testing.T, events []standin.WorkEvent) {
 	for team, waits := range standin.Waits(events) {
--- a/internal/scenario/loopback/drain_test.go
+++ b/internal/scenario/loopback/drain_test.go
@@ -84,7 +84,7 @@
 	s := scenario.Read(t, "testdata/drain-twenty.txtar")
 	var logs bytes.Buffer
 	start := time.Now()
-	events, err := s.PlayOn(t.Context(), standin.NewLoopback(), &logs)
+	events, err := s.PlayOn(t.Context(), newLoopback(t), &logs)
 	if err != nil {
 		t.Log(logs.String())
 		t.Fatal(err)
--- a/internal/standin/loopback.go
+++ b/internal/standin/loopback.go
@@ -2,57 +2,94 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net"
+	"os"
 	"strconv"
 	"strings"
 	"sync"
 	"time"
 )
 
+// Hosts have addresses 10.a.b.c, with a below hostNetworks. Each loopback network has a block of as many networks
+// 127.x.0.0/16 for them, of its own on this machine: tests may run in several processes at once.
+const (
+	hostNetworks  = 4
+	firstBlock    = 4 // what lies below is often in use
+	loopbackSpace = 256
+	// dialTimeout bounds how long a connection may take to be made.
+	dialTimeout = 1500 * time.Millisecond
+)
+
 // sockets are the real connections of a host on the loopback interface.
 type sockets struct {
+	block     int // the second byte of the addresses that stand for 10.0.b.c
 	mu        sync.Mutex
 	dead      bool
 	listeners map[net.Listener]bool
 	conns     map[net.Conn]bool
 }
 
-// NewLoopback makes a network whose hosts use real connections on this machine's loopback addresses. Hosts can be killed;
-// links can't be cut.
-func NewLoopback() *Network {
+// NewLoopback makes a network whose hosts use real connections on this machine's loopback addresses. Hosts can be
+// killed; links can't be cut. Its addresses are its own until the process ends.
+func NewLoopback() (*Network, error) {
+	block, reservation, err := reserveBlock()
+	if err != nil {
+		return nil, err
+	}
 	n := NewNetwork()
-	n.loopback = true
-	return n
+	n.loopback, n.block, n.reservation = true, block, reservation
+	return n, nil
 }
 
-// Real tells whether the network's connections, and so its time, are real.
+// errNoBlock is the error when other processes use all the addresses.
+var errNoBlock = errors.New("no loopback addresses are free")
+
+// reserveBlock finds a block that no other network has, and listens on an address in it that no host has.
+func reserveBlock() (block int, reservation net.Listener, err error) {
+	const blocks = (loopbackSpace - firstBlock) / hostNetworks
+	for i := range blocks {
+		// Processes begin at different blocks, as others may have used the first ones a moment ago.
+		block = firstBlock + (os.Getpid()+i)%blocks*hostNetworks
+		reservation, err = net.Listen("tcp", fmt.Sprintf("127.%d.255.254:2379", block))
+		if err == nil {
+			return block, reservation, nil
+		}
+	}
+	return 0, nil, fmt.Errorf("%w: %w", errNoBlock, err)
+}
+
+// Real reports whether the network's connections, and so its time, are real.
 func (n *Network) Real() bool { return n.loopback }
 
-func newSockets() *sockets {
-	return &sockets{listeners: map[net.Listener]bool{}, conns: map[net.Conn]bool{}}
+func newSockets(block int) *sockets {
+	return &sockets{block: block, listeners: map[net.Listener]bool{}, conns: map[net.Conn]bool{}}
 }
 
-// loopbackAddr gives the loopback address that stands for one of the hosts' 10.a.b.c.
-func loopbackAddr(addr string) (string, error) {
-	const first = 100
-	parts := strings.SplitN(addr, ".", 3)
-	if len(parts) != 3 || parts[0] != "10" {
-		return "", fmt.Errorf("%s: no address of a host", addr)
+// errNotHost is the error of an address that hosts don't have.
+var errNotHost = errors.New("not the address of a host")
+
+// address returns the loopback address that stands for one of the hosts' 10.a.b.c.
+func (s *sockets) address(addr string) (string, error) {
+	const parts = 3 // 10, a, and the rest
+	fields := strings.SplitN(addr, ".", parts)
+	if len(fields) != parts || fields[0] != "10" {
+		return "", fmt.Errorf("%s: %w", addr, errNotHost)
 	}
-	second, err := strconv.Atoi(parts[1])
-	if err != nil {
-		return "", fmt.Errorf("%s: %w", addr, err)
+	second, err := strconv.Atoi(fields[1])
+	if err != nil || second < 0 || second >= hostNetworks {
+		return "", fmt.Errorf("%s: %w", addr, errNotHost)
 	}
-	return fmt.Sprintf("127.%d.%s", first+second, parts[2]), nil
+	return fmt.Sprintf("127.%d.%s", s.block+second, fields[2]), nil
 }
 
 func (s *sockets) listen(addr string) (net.Listener, error) {
-	real, err := loopbackAddr(addr)
+	address, err := s.address(addr)
 	if err != nil {
 		return nil, err
 	}
-	l, err := net.Listen("tcp", real)
+	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
@@ -67,12 +104,12 @@
 }
 
 func (s *sockets) dial(ctx context.Context, addr string) (net.Conn, error) {
-	real, err := loopbackAddr(addr)
+	address, err := s.address(addr)
 	if err != nil {
 		return nil, err
 	}
-	d := net.Dialer{Timeout: 1500 * time.Millisecond}
-	c, err := d.DialContext(ctx, "tcp", real)
+	d := net.Dialer{Timeout: dialTimeout}
+	c, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -34,8 +34,10 @@
 	links  map[[2]string]Mode
 	first  map[[2]string]string // the host named first where a link is deaf or mute
 	change chan struct{}        // closed when something may have become possible
-	// loopback networks use real connections.
-	loopback bool
+	// loopback networks use real connections, to addresses in a block of their own.
+	loopback    bool
+	block       int
+	reservation net.Listener
 }
 
 // NewNetwork makes a network without hosts.
@@ -57,7 +59,7 @@
 func (n *Network) Host(ip string) *Host {
 	h := &Host{net: n, ip: ip, listeners: map[string]*listener{}, conns: map[*conn]bool{}}
 	if n.loopback {
-		h.sockets = newSockets()
+		h.sockets = newSockets(n.block)
 	}
 	if old := n.swap(ip, h); old != nil {
 		old.Kill()
