--- /dev/null
+++ b/internal/scenario/scenario_test.go
@@ -0,0 +1,107 @@
+package scenario
+
+import (
+	"errors"
+	"os"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// README.md explains every word that a scenario may use, and every entry of the tables has a help text.
+func TestWordsAreExplained(t *testing.T) {
+	readme, err := os.ReadFile("README.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	explained := func(kind, word string) {
+		t.Helper()
+		if !regexp.MustCompile(`\b` + regexp.QuoteMeta(word) + `\b`).Match(readme) {
+			t.Errorf("%s %q is not in README.md", kind, word)
+		}
+	}
+	for word, entry := range commands {
+		explained("step", word)
+		if entry.help == "" {
+			t.Errorf("step %q has no help text", word)
+		}
+	}
+	for word, entry := range conditions {
+		explained("condition", word)
+		if entry.help == "" {
+			t.Errorf("condition %q has no help text", word)
+		}
+	}
+	for _, faults := range []map[string]serviceFault{stateFaults, cloudFaults} {
+		for word, entry := range faults {
+			explained("fault", word)
+			if entry.help == "" {
+				t.Errorf("fault %q has no help text", word)
+			}
+		}
+	}
+	for word := range jobFields {
+		explained("field", word)
+	}
+	for word := range defaultValues {
+		explained("value", word)
+	}
+}
+
+func TestParse(t *testing.T) {
+	for _, c := range []struct {
+		name, text string
+		variants   []string
+		fails      bool
+	}{
+		{"no steps", "-- world --\nteam red\n", nil, true},
+		{"unknown section", "-- words --\n-- steps --\nready\n", nil, true},
+		{"without a sweep", "-- steps --\nready # all\n", []string{""}, false},
+		{"with a sweep", "-- sweep --\na 1 | 2\nb x | y; z\n-- steps --\nready $a $b\n",
+			[]string{"a 1 b x", "a 1 b y; z", "a 2 b x", "a 2 b y; z"}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			scenario, err := Parse([]byte(c.text))
+			if (err != nil) != c.fails {
+				t.Fatalf("error %v", err)
+			}
+			if err != nil {
+				return
+			}
+			names, variants := scenario.Variants()
+			if strings.Join(names, "|") != strings.Join(c.variants, "|") || len(variants) != len(names) {
+				t.Errorf("variants %q, want %q", names, c.variants)
+			}
+		})
+	}
+}
+
+func TestVariantsReplaceValues(t *testing.T) {
+	scenario, err := Parse([]byte("-- sweep --\na x; y\n-- steps --\n$a\nz\n"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, variants := scenario.Variants()
+	if got := strings.Join(variants[0].steps, "|"); got != "x|y|z" {
+		t.Errorf("steps %q", got)
+	}
+}
+
+func TestStepErrors(t *testing.T) {
+	w := &world{}
+	for _, c := range []struct {
+		line string
+		want error
+	}{
+		{"dance", errUnknownWord},
+		{"submit", errMissing},
+		{"check job run-000001", errMissing},
+		{"state", errMissing},
+		{"state late tasks/", errMissing},
+		{"state sleeps", errUnknownWord},
+	} {
+		if err := w.step(t.Context(), c.line); !errors.Is(err, c.want) {
+			t.Errorf("%q: %v, want %v", c.line, err, c.want)
+		}
+	}
+}
