--- a/internal/scale/drain_test.go
+++ b/internal/scale/drain_test.go
@@ -29,7 +29,7 @@
 		if _, on := c.on[task]; on {
 			delete(d.stopped, task)
 			if err := d.lasted.RecordValue(int64(c.now.Sub(since) / micros.Millisecond)); err != nil {
-				c.t.Fatal(err)
+				c.tb.Fatal(err)
 			}
 		}
 	}
@@ -47,14 +47,15 @@
 	d.observe(c)
 	s := c.manager.DrainSnapshot(c.now)
 	s.MachinesListed = true
-	acts := d.planner.Plan(s, func(t disruption.Task) drain.EvictionOutcome { return c.manager.Evict(c.now, t) }, func() bool { return false })
+	evict := func(t disruption.Task) drain.EvictionOutcome { return c.manager.Evict(c.now, t) }
+	acts := d.planner.Plan(s, evict, func() bool { return false })
 	c.manager.SetReplacements(acts.NeedReplacement)
 	c.manager.DeletionRequested(acts.ScaleIn)
 	c.manager.MachinesDeleted(c.now, acts.ScaleIn)
 	for _, id := range acts.ScaleIn {
-		w := c.workers[machineNumber(c.t, id)]
+		w := c.workers[machineNumber(c.tb, id)]
 		if len(w.running) > 0 {
-			c.t.Fatalf("%s is returned while tasks run on it", id)
+			c.tb.Fatalf("%s is returned while tasks run on it", id)
 		}
 		w.gone = true
 		d.deleted++
@@ -90,16 +91,17 @@
 	}
 }
 
-// drainTenth drains a tenth of the machines, each with four tasks, under a budget, and gives the time that it took.
-func drainTenth(t testing.TB, machines int, limit string) (took micros.Duration, d *drainRun) {
+// drainTenth drains a tenth of the machines, each with four tasks, under a budget, and returns the time that it took.
+func drainTenth(tb testing.TB, machines int, limit string) (took micros.Duration, d *drainRun) {
+	tb.Helper()
 	const each = 4
 	budget, err := disruption.ParseBudget(limit)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	d = &drainRun{disturbances: newDisturbances(),
 		planner: drain.New(drain.Config{Teams: []string{"red"}, DefaultBudget: budget, StepSize: machines})}
-	c := newCluster(t, machines)
+	c := newCluster(tb, machines)
 	c.disturbed, c.decide = d.disturbances, func() { d.round(c) }
 	c.load(machines * each)
 	loaded := []string{}
@@ -110,14 +112,15 @@
 	}
 	plan, err := d.planner.Prepare(drain.Request{Name: "tenth", Machines: loaded}, 0, c.manager.KnownMachines(c.now))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	if err := d.planner.Apply(plan.Record, plan.Machines, 1); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	c.manager.SetCordons(c.now, d.planner.Cordons(), nil)
 	begin := c.now
-	c.until(2*60*micros.Minute, "the drain is done", func() bool { return d.deleted == len(loaded) && len(d.stopped) == 0 })
+	done := func() bool { return d.deleted == len(loaded) && len(d.stopped) == 0 }
+	c.until(2*60*micros.Minute, "the drain is done", done)
 	return c.now.Sub(begin), d
 }
 
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -19,6 +19,7 @@
 	machines    = 4000
 	reportEvery = 5 * micros.Second
 	workerLease = 26 * micros.Second
+	listLag     = 6 * micros.Second
 	step        = 500 * micros.Millisecond
 	taskRun     = 20 * micros.Second
 	member      = "c0"
@@ -43,7 +44,7 @@
 
 // cluster is one leader with its fleet, and the records that survive it.
 type cluster struct {
-	t         testing.TB
+	tb        testing.TB
 	now       micros.Timestamp
 	revision  uint64
 	records   map[string]wire.KeyValue
@@ -55,15 +56,23 @@
 	on        map[string]string // the machine that each running task is on
 	starts    map[string]int
 	taskRun   micros.Duration
-	// disturbed is the account of disturbed work as the workers show it, nil: none is kept. decide is called in each step.
+	// disturbed is the account of disturbed work as the workers show it, nil: none is kept. decide is called in each
+	// step.
 	disturbed *disturbances
 	decide    func()
 }
 
-var machineType = wire.MachineType{Name: "small", CPUs: 8, MemoryGB: 32, CacheGB: 50, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"a"}}
+var machineType = wire.MachineType{
+	Name: "small", CPUs: 8, MemoryGB: 32, CacheGB: 50, FetchGBPS: 1,
+	Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"a"},
+}
 
-func newCluster(t testing.TB, machines int) *cluster {
-	c := &cluster{t: t, now: 1_000_000, revision: 10, records: map[string]wire.KeyValue{}, on: map[string]string{}, starts: map[string]int{}, taskRun: taskRun}
+func newCluster(tb testing.TB, machines int) *cluster {
+	tb.Helper()
+	c := &cluster{
+		tb: tb, now: 1_000_000, revision: 10, taskRun: taskRun,
+		records: map[string]wire.KeyValue{}, on: map[string]string{}, starts: map[string]int{},
+	}
 	for i := range machines {
 		c.workers = append(c.workers, &worker{id: fmt.Sprintf("n-%06d", i), session: 1, renewed: c.now,
 			running: map[taskAttempt]micros.Timestamp{}, ended: map[taskAttempt]wire.ExitReason{}})
@@ -72,9 +81,21 @@
 }
 
 func (c *cluster) tuning() settings.Tuning {
-	return settings.Tuning{MinLocality: 0.5, MaxSkip: 10 * micros.Second, RunHistory: 10, LeaseSlack: 5 * micros.Second, FirstLease: 100 * micros.Second,
-		LeaseGrace: 20 * micros.Second, PreemptAfter: micros.Second, ReserveAfter: 45 * micros.Second, MaxMachines: machines, IdleTimeout: 10 * micros.Minute,
-		BootTimeoutFactor: 3, SilenceTimeout: 80 * micros.Second, ScaleOutAhead: 10 * micros.Second}
+	return settings.Tuning{
+		MinLocality:       0.5,
+		MaxSkip:           10 * micros.Second,
+		RunHistory:        10,
+		LeaseSlack:        5 * micros.Second,
+		FirstLease:        100 * micros.Second,
+		LeaseGrace:        20 * micros.Second,
+		PreemptAfter:      micros.Second,
+		ReserveAfter:      45 * micros.Second,
+		MaxMachines:       machines,
+		IdleTimeout:       10 * micros.Minute,
+		BootTimeoutFactor: 3,
+		SilenceTimeout:    80 * micros.Second,
+		ScaleOutAhead:     10 * micros.Second,
+	}
 }
 
 // lead begins a term from the records; the workers come back at moments spread over a report's time.
@@ -90,11 +111,23 @@
 			chunks = append(chunks, item)
 		}
 	}
-	m, err := manager.New(c.now, manager.Config{FencingToken: c.token, Teams: []settings.Team{{Name: "red"}}, WorkerLease: workerLease, HeartbeatInterval: reportEvery,
-		TrackDisruptions: c.disturbed != nil, ReservationTTL: 2 * micros.Minute, LeaseMargin: micros.Second, CancelTimeout: 56 * micros.Second, ListLag: 6 * micros.Second, Tuning: c.tuning(), MaxCommandPushes: 300,
-		StoreLimits: settings.StoreLimits{TxnOps: 32, ValueKB: 8}}, int64(c.now), open, chunks)
+	config := manager.Config{
+		FencingToken:      c.token,
+		Teams:             []settings.Team{{Name: "red"}},
+		WorkerLease:       workerLease,
+		HeartbeatInterval: reportEvery,
+		TrackDisruptions:  c.disturbed != nil,
+		ReservationTTL:    2 * micros.Minute,
+		LeaseMargin:       micros.Second,
+		CancelTimeout:     56 * micros.Second,
+		ListLag:           listLag,
+		Tuning:            c.tuning(),
+		MaxCommandPushes:  300,
+		StoreLimits:       settings.StoreLimits{TxnOps: 32, ValueKB: 8},
+	}
+	m, err := manager.New(c.now, config, int64(c.now), open, chunks)
 	if err != nil {
-		c.t.Fatal(err)
+		c.tb.Fatal(err)
 	}
 	types := []wire.MachineType{machineType}
 	c.manager = m
@@ -102,7 +135,10 @@
 	c.manager.SetTeamAssignments(map[string]string{"red": member})
 	c.scheduler = scheduler.New(member, c.tuning())
 	c.scheduler.SetTypes(types)
-	c.fleet = fleet.New(c.now, fleet.Config{FencingToken: c.token, LeaseDuration: workerLease, HeartbeatInterval: reportEvery, ListLag: 6 * micros.Second, Tuning: c.tuning()})
+	c.fleet = fleet.New(c.now, fleet.Config{
+		FencingToken: c.token, LeaseDuration: workerLease, HeartbeatInterval: reportEvery,
+		ListLag: listLag, Tuning: c.tuning(),
+	})
 	c.fleet.SetTypes(types)
 	for i, w := range c.workers {
 		w.nextReport = c.now.Add(reportEvery * micros.Duration(i) / micros.Duration(len(c.workers)))
@@ -111,8 +147,12 @@
 
 func (c *cluster) submit(id string, tasks int) {
 	c.revision++
-	rec := state.OpenJobRecord{ShardSize: 90, AcceptedAt: int64(c.now), Job: wire.Job{ID: id, Class: "work", Team: "red", Kind: wire.KindArray, PriorityName: "normal",
-		Tasks: tasks, CheckpointIntervalS: 5, CheckpointSaveS: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, AllowSpot: true, EstimateS: c.taskRun.Seconds()}}
+	job := wire.Job{
+		ID: id, Class: "work", Team: "red", Kind: wire.KindArray, PriorityName: "normal",
+		Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, AllowSpot: true,
+		CheckpointIntervalS: 5, CheckpointSaveS: 1, EstimateS: c.taskRun.Seconds(),
+	}
+	rec := state.OpenJobRecord{ShardSize: 90, AcceptedAt: int64(c.now), Job: job}
 	c.put(state.JobStatusKey(id), state.JobStatusRecord{State: wire.JobPending})
 	c.put(state.OpenJobKey(id), rec)
 	c.manager.OpenRecordChanged(c.now, c.now, int64(c.now), rec, c.revision)
@@ -121,7 +161,7 @@
 func (c *cluster) put(key string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
-		c.t.Fatal(err)
+		c.tb.Fatal(err)
 	}
 	c.records[key] = wire.KeyValue{Key: key, Value: data, Version: c.revision}
 }
@@ -132,7 +172,7 @@
 		c.revision++
 		for _, change := range w.Changes {
 			if got := c.records[change.Key].Version; got != change.Version {
-				c.t.Fatalf("%s has version %d, not %d", change.Key, got, change.Version)
+				c.tb.Fatalf("%s has version %d, not %d", change.Key, got, change.Version)
 			}
 			if change.Value == nil {
 				delete(c.records, change.Key)
@@ -169,10 +209,10 @@
 	}
 	c.write()
 	if acts := c.fleet.Decide(c.now, view); len(acts.ScaleIn) > 0 {
-		c.t.Fatalf("the fleet returns %v", acts.ScaleIn)
+		c.tb.Fatalf("the fleet returns %v", acts.ScaleIn)
 	}
 	for _, d := range c.manager.CommandPushes(c.now, true) {
-		w := c.workers[machineNumber(c.t, d.Machine)]
+		w := c.workers[machineNumber(c.tb, d.Machine)]
 		outcome := manager.PushRefused
 		if d.Body.FencingToken >= w.token && d.Body.Incarnation == w.session {
 			w.token = d.Body.FencingToken
@@ -183,9 +223,10 @@
 	}
 }
 
-func machineNumber(t testing.TB, id string) (n int) {
+func machineNumber(tb testing.TB, id string) (n int) {
+	tb.Helper()
 	if _, err := fmt.Sscanf(id, "n-%d", &n); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return n
 }
@@ -200,18 +241,24 @@
 		}
 	}
 	if c.now.Sub(w.renewed) > workerLease {
-		c.t.Fatalf("%s has lost its lease", w.id)
+		c.tb.Fatalf("%s has lost its lease", w.id)
 	}
 }
 
 func (c *cluster) describe(w *worker) *wire.Heartbeat {
 	w.seq++
-	r := &wire.Heartbeat{Machine: w.id, Addr: "10.1.0.1:9000", Type: machineType.Name, Zone: "a", Spot: true, Incarnation: w.session, Sequence: w.seq, FencingToken: w.token}
+	r := &wire.Heartbeat{
+		Machine: w.id, Addr: "10.1.0.1:9000", Type: machineType.Name, Zone: "a", Spot: true,
+		Incarnation: w.session, Sequence: w.seq, FencingToken: w.token,
+	}
 	for a := range w.running {
 		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: a.task, Attempt: a.attempt, State: wire.TaskRunning})
 	}
 	for a, why := range w.ended {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: a.task, Attempt: a.attempt, State: wire.TaskExited, ExitReason: why, CheckpointSaved: why == wire.ExitStopped})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{
+			Task: a.task, Attempt: a.attempt, State: wire.TaskExited,
+			ExitReason: why, CheckpointSaved: why == wire.ExitStopped,
+		})
 	}
 	return r
 }
@@ -220,7 +267,7 @@
 	w.nextReport = c.now.Add(reportEvery)
 	answer, deposed := c.manager.Heartbeat(c.now, c.describe(w), "", true)
 	if deposed {
-		c.t.Fatal("deposed")
+		c.tb.Fatal("deposed")
 	}
 	if answer == nil || answer.FencingToken < w.token {
 		return
@@ -237,7 +284,7 @@
 		switch {
 		case cmd.Op == wire.OpStart && !runs && !ended:
 			if other, on := c.on[cmd.Task]; on {
-				c.t.Fatalf("%s starts on %s while it is on %s", cmd.Task, w.id, other)
+				c.tb.Fatalf("%s starts on %s while it is on %s", cmd.Task, w.id, other)
 			}
 			c.on[cmd.Task] = w.id
 			c.starts[cmd.Task]++
@@ -252,16 +299,17 @@
 
 // until lets time pass until a condition holds.
 func (c *cluster) until(most micros.Duration, what string, holds func() bool) {
-	c.t.Helper()
+	c.tb.Helper()
 	for end := c.now.Add(most); !holds(); c.step() {
 		if c.now > end {
-			c.t.Fatalf("not within %v s: %s (%d tasks on machines)", most.Seconds(), what, len(c.on))
+			c.tb.Fatalf("not within %v s: %s (%d tasks on machines)", most.Seconds(), what, len(c.on))
 		}
 	}
 }
 
-// A fleet of 4,000 machines reports to a first leader, takes a burst that fills it twice over, and changes its leader in the
-// middle of that: all machines come back to the next one within a report's time. No task is lost or starts twice.
+// A fleet of 4,000 machines reports to a first leader, takes a burst that fills it twice over, and changes its leader
+// in the middle of that: all machines come back to the next one within a report's time. No task is lost or starts
+// twice.
 func TestFourThousandMachines(t *testing.T) {
 	const jobs, each = 60, 1000
 	c := newCluster(t, machines)
--- a/internal/scale/spread_test.go
+++ b/internal/scale/spread_test.go
@@ -30,7 +30,8 @@
 	}
 	s.decided = s.c.now
 	remaining := map[string]int{"red": s.budget - s.c.manager.TeamUsage(s.c.now)["red"].Disrupted}
-	moves := s.planner.Plan(s.c.manager.RebalanceSnapshot(s.c.now, remaining), s.c.manager.MoveExecutor(s.c.now), func() bool { return false })
+	observed, executor := s.c.manager.RebalanceSnapshot(s.c.now, remaining), s.c.manager.MoveExecutor(s.c.now)
+	moves := s.planner.Plan(observed, executor, func() bool { return false })
 	for _, m := range moves {
 		s.movedTwo = s.movedTwo || s.moved[m.Task]
 		s.moved[m.Task] = true
@@ -48,19 +49,22 @@
 	return most
 }
 
-// spreadHalf has half the machines full, and gives the time until the work is spread over all of them.
-func spreadHalf(t testing.TB, machines, budget int) (took micros.Duration, s *spreadRun) {
+// spreadHalf has half the machines full, and returns the time until the work is spread over all of them.
+func spreadHalf(tb testing.TB, machines, budget int) (took micros.Duration, s *spreadRun) {
+	tb.Helper()
 	const cpus = 8
-	c := newCluster(t, machines)
+	c := newCluster(tb, machines)
 	s = &spreadRun{disturbances: newDisturbances(), c: c, budget: budget, moved: map[disruption.Task]bool{}}
 	c.disturbed = s.disturbances
 	c.load(machines / 2 * cpus)
 	if c.greatest() != cpus {
-		t.Fatalf("the load is not packed: at most %d tasks on a machine", c.greatest())
+		tb.Fatalf("the load is not packed: at most %d tasks on a machine", c.greatest())
 	}
 	c.manager.MachinesListed(c.now, nil)
-	s.planner = rebalance.New(c.now.Add(-micros.Minute), rebalance.Config{TeamCap: 0.5, Margin: 3, MinRelief: 0.25, TaskCooldown: micros.Minute,
-		MovesPerMinute: 100000, Smoothing: 10 * micros.Second, RestartTime: 2 * reportEvery})
+	s.planner = rebalance.New(c.now.Add(-micros.Minute), rebalance.Config{
+		TeamCap: 0.5, Margin: 3, MinRelief: 0.25, TaskCooldown: micros.Minute,
+		MovesPerMinute: 100000, Smoothing: 10 * micros.Second, RestartTime: 2 * reportEvery,
+	})
 	c.decide = s.round
 	begin := c.now
 	const spread = 5 // tasks on a machine when no move gains a quarter of one
--- a/internal/scenario/loopback/burst_test.go
+++ b/internal/scenario/loopback/burst_test.go
@@ -11,6 +11,8 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/HdrHistogram/hdrhistogram-go"
+
 	"saffronbend/internal/scenario"
 	"saffronbend/internal/standin"
 )
@@ -25,6 +27,7 @@
 
 // burst reads the scenario of a burst; off: with moves switched off.
 func burst(t *testing.T, off bool) *scenario.Scenario {
+	t.Helper()
 	data, err := os.ReadFile("testdata/spread-burst.txtar")
 	if err != nil {
 		t.Fatal(err)
@@ -39,8 +42,8 @@
 	return s
 }
 
-// TestBurstOnLoopback plays a burst over real connections and writes the load of each machine over time, by team. The runner
-// holds the workers' logs against the disruption budgets.
+// TestBurstOnLoopback plays a burst over real connections and writes the load of each machine over time, by team. The
+// runner holds the workers' logs against the disruption budgets.
 func TestBurstOnLoopback(t *testing.T) {
 	var logs bytes.Buffer
 	events, err := burst(t, false).PlayOn(t.Context(), newLoopback(t), &logs)
@@ -69,13 +72,21 @@
 
 // logWaits writes how long each team's tasks waited.
 func logWaits(t *testing.T, events []standin.WorkEvent) {
+	t.Helper()
 	for team, waits := range standin.Waits(events) {
-		t.Logf("%s: %d tasks waited p50 %d ms, p90 %d ms, at most %d ms", team, waits.TotalCount(), waits.ValueAtQuantile(50), waits.ValueAtQuantile(90), waits.Max())
+		t.Logf("%s: %d tasks waited %s", team, waits.TotalCount(), quantiles(waits))
 	}
 }
 
+// quantiles returns the quantiles of times in milliseconds.
+func quantiles(times *hdrhistogram.Histogram) string {
+	p50, p90 := times.ValueAtQuantile(50), times.ValueAtQuantile(90)
+	return fmt.Sprintf("p50 %d ms, p90 %d ms, at most %d ms", p50, p90, times.Max())
+}
+
 // logLoads writes a line for each second and a column for each machine: the tasks of red and of blue on it.
 func logLoads(t *testing.T, events []standin.WorkEvent) {
+	t.Helper()
 	samples := standin.SampleLoad(events, time.Second)
 	machines := map[string]bool{}
 	for _, e := range events {
@@ -96,7 +107,8 @@
 	}
 }
 
-// TestBurstOnAndOff plays the burst with moves and without, on simulated machines. Moves reduce the imbalance, and don't bounce.
+// TestBurstOnAndOff plays the burst with moves and without, on simulated machines. Moves reduce the imbalance, and
+// don't bounce.
 func TestBurstOnAndOff(t *testing.T) {
 	const repeats = 3
 	var imbalance [2]float64
--- a/internal/scenario/loopback/drain_test.go
+++ b/internal/scenario/loopback/drain_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"fmt"
 	"regexp"
 	"strings"
 	"testing"
@@ -27,8 +28,8 @@
 	twice    []string          // attempts that were counted twice
 }
 
-// readCounts reads the controllers' logs. In a term an attempt is counted once. A next leader that finds the loss of one not
-// recorded counts it itself; but once the disturbance has ended, its loss is not counted again by anybody.
+// readCounts reads the controllers' logs. In a term an attempt is counted once. A next leader that finds the loss of
+// one not recorded counts it itself; but once the disturbance has ended, its loss is not counted again by anybody.
 func readCounts(logs string) counts {
 	c := counts{attempts: map[string]bool{}, causes: map[string]string{}}
 	inTerm, over, last := map[string]bool{}, map[string]bool{}, map[string]string{}
@@ -56,7 +57,8 @@
 // The reading of the logs finds what is counted twice, and nothing else.
 func TestReadCounts(t *testing.T) {
 	begin := func(member, task, attempt, cause string) string {
-		return `msg="task disrupted" controller=` + member + " task=" + task + " attempt=" + attempt + " team=red reason=" + cause + " machine=n-1\n"
+		return fmt.Sprintf("msg=\"task disrupted\" controller=%s task=%s attempt=%s team=red reason=%s machine=n-1\n",
+			member, task, attempt, cause)
 	}
 	end := func(member, task string) string {
 		return `msg="task disruption ended" controller=` + member + " task=" + task + " team=red\n"
@@ -68,8 +70,10 @@
 	}{
 		{"twice in a term", begin("c0", "a", "1", "lost") + begin("c0", "a", "1", "lost"), 1},
 		{"learned by the next leader", begin("c0", "a", "1", "lost") + next + begin("c1", "a", "1", "lost"), 0},
-		{"lost again after its end", begin("c0", "a", "1", "lost") + end("c0", "a") + next + begin("c1", "a", "1", "lost"), 1},
-		{"an eviction decided anew", begin("c0", "a", "1", "drain") + next + end("c1", "a") + begin("c1", "a", "1", "drain"), 0},
+		{"lost again after its end",
+			begin("c0", "a", "1", "lost") + end("c0", "a") + next + begin("c1", "a", "1", "lost"), 1},
+		{"an eviction decided anew",
+			begin("c0", "a", "1", "drain") + next + end("c1", "a") + begin("c1", "a", "1", "drain"), 0},
 		{"the successor is lost", begin("c0", "a", "1", "lost") + end("c0", "a") + begin("c0", "a", "2", "lost"), 0},
 	} {
 		if got := readCounts(c.logs); len(got.twice) != c.twice {
@@ -78,8 +82,8 @@
 	}
 }
 
-// TestDrainOnLoopback drains twenty machines over real connections, with faults. The runner holds the workers' logs against the
-// budgets; here each disturbance is logged, and none may have been counted twice by any controller.
+// TestDrainOnLoopback drains twenty machines over real connections, with faults. The runner holds the workers' logs
+// against the budgets; here each disturbance is logged, and none may have been counted twice by any controller.
 func TestDrainOnLoopback(t *testing.T) {
 	s := scenario.Read(t, "testdata/drain-twenty.txtar")
 	var logs bytes.Buffer
@@ -99,7 +103,8 @@
 		if lasted[d.Team] == nil {
 			lasted[d.Team] = hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
 		}
-		t.Logf("%s %s %s: from %.2f s to %.2f s", d.Team, d.Task, counted.causes[d.Task], d.Begin.Sub(start).Seconds(), d.End.Sub(start).Seconds())
+		t.Logf("%s %s %s: from %.2f s to %.2f s",
+			d.Team, d.Task, counted.causes[d.Task], d.Begin.Sub(start).Seconds(), d.End.Sub(start).Seconds())
 		if d.End.IsZero() {
 			t.Errorf("the disturbance of %s has no end", d.Task)
 			continue
@@ -109,7 +114,7 @@
 		}
 	}
 	for team, h := range lasted {
-		t.Logf("%s: %d disturbances, lasted p50 %d ms, p90 %d ms, at most %d ms", team, h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.Max())
+		t.Logf("%s: %d disturbances, lasted %s", team, h.TotalCount(), quantiles(h))
 	}
 	const drained = 20
 	if len(counted.attempts) < len(all) || len(all) < drained {
--- a/internal/standin/audit.go
+++ b/internal/standin/audit.go
@@ -34,8 +34,9 @@
 	Ordered    bool      // by an order to stop; otherwise the task was lost
 }
 
-// AuditDisturbances finds from workers' logs alone all disturbances, and each order to stop a task by which more of its team's
-// tasks than its budget were disturbed at once. A loss counts once the controllers can know of it, an order at once.
+// AuditDisturbances finds from workers' logs alone all disturbances, and each order to stop a task by which more of its
+// team's tasks than its budget were disturbed at once. A loss counts once the controllers can know of it, an order at
+// once.
 func AuditDisturbances(events []WorkEvent, budgets map[string]int, detection time.Duration) (all []Disturbance, breaches []string) {
 	open := map[string]*Disturbance{}
 	running := map[string]bool{}
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -7,7 +7,6 @@
 	"bufio"
 	"bytes"
 	"encoding/json"
-	"fmt"
 	"os"
 	"reflect"
 	"strings"
@@ -31,11 +30,12 @@
 }
 
 func production(t *testing.T) []example {
+	t.Helper()
 	f, err := os.Open("testdata/production.jsonl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it is only read
 	var out []example
 	for s := bufio.NewScanner(f); s.Scan(); {
 		var e example
@@ -72,6 +72,7 @@
 }
 
 func encode(t *testing.T, v any) []byte {
+	t.Helper()
 	data, err := json.Marshal(v)
 	if err != nil {
 		t.Fatal(err)
@@ -81,6 +82,7 @@
 
 // same fails the test unless two texts say the same.
 func same(t *testing.T, what string, a, b []byte) {
+	t.Helper()
 	var x, y any
 	if json.Unmarshal(a, &x) != nil || json.Unmarshal(b, &y) != nil || !reflect.DeepEqual(x, y) {
 		t.Errorf("%s:\n%s\nis not\n%s", what, a, b)
@@ -132,7 +134,11 @@
 			} else {
 				id = e.Key[len(e.Key)-len("run-000001"):]
 			}
-			want := map[string]string{"status": state.JobStatusKey(id), "open": state.OpenJobKey(id), "chunk": state.ProgressKey(id, n)}[e.Kind]
+			want := map[string]string{
+				"status": state.JobStatusKey(id),
+				"open":   state.OpenJobKey(id),
+				"chunk":  state.ProgressKey(id, n),
+			}[e.Kind]
 			if e.Key != want {
 				t.Errorf("%s has the key %s, ours is %s", e.Kind, e.Key, want)
 			}
@@ -152,12 +158,37 @@
 	}
 }
 
-const token = 52
+const (
+	token = 52
+	// now is the time of this version's leader.
+	now = micros.Timestamp(1000)
+	// acceptedAt is the time of day at now, in microseconds.
+	acceptedAt = 1764600000000000
+)
+
+// heartbeat returns a machine's heartbeat.
+func heartbeat(machine, zone string, sequence uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{
+		Machine: machine, Addr: "10.1.0.2:9000", Type: "small", Zone: zone,
+		Incarnation: 1, Sequence: sequence, FencingToken: token, Tasks: tasks,
+	}
+}
 
 func newManager(t *testing.T, limits settings.StoreLimits, open, chunks []wire.KeyValue) *manager.Manager {
-	m, err := manager.New(1000, manager.Config{FencingToken: token, Teams: []settings.Team{{Name: "red", CPUsMax: 40}, {Name: "blue", CPUs: 4}},
-		WorkerLease: 10 * micros.Second, HeartbeatInterval: 2 * micros.Second, LeaseMargin: micros.Second, CancelTimeout: 30 * micros.Second, ListLag: 3 * micros.Second,
-		Tuning: settings.Tuning{FirstLease: 100 * micros.Second}, MaxCommandPushes: 20, StoreLimits: limits}, 1764600000000000, open, chunks)
+	t.Helper()
+	config := manager.Config{
+		FencingToken:      token,
+		Teams:             []settings.Team{{Name: "red", CPUsMax: 40}, {Name: "blue", CPUs: 4}},
+		WorkerLease:       10 * micros.Second,
+		HeartbeatInterval: 2 * micros.Second,
+		LeaseMargin:       micros.Second,
+		CancelTimeout:     30 * micros.Second,
+		ListLag:           3 * micros.Second,
+		Tuning:            settings.Tuning{FirstLease: 100 * micros.Second},
+		MaxCommandPushes:  20,
+		StoreLimits:       limits,
+	}
+	m, err := manager.New(now, config, acceptedAt, open, chunks)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -168,35 +199,42 @@
 // ours has this version write what it can, from production's jobs and a gang of its own that
 // takes two records.
 func ours(t *testing.T) []example {
+	t.Helper()
 	var out []example
 	put := func(kind, key string, v any) { out = append(out, example{kind, key, encode(t, v)}) }
 	m := newManager(t, settings.StoreLimits{TxnOps: 4, ValueKB: 2}, nil, nil)
-	gang := wire.Job{ID: "run-000002", Class: "sync", Team: "red", Kind: wire.KindGang, PriorityName: "normal", Tasks: 12, CPUs: 1, MemoryGB: 1,
-		Image: "y", ImageGB: 1, SameZone: true, EstimateS: 30, CheckpointIntervalS: 20, CheckpointSaveS: 3}
-	rec := state.OpenJobRecord{Job: gang, AcceptedAt: 1764600000000000, ShardSize: state.ProgressShardSize(gang.Kind, 2)}
+	gang := wire.Job{
+		ID: "run-000002", Class: "sync", Team: "red", Kind: wire.KindGang, PriorityName: "normal",
+		Tasks: 12, CPUs: 1, MemoryGB: 1, Image: "y", ImageGB: 1, SameZone: true,
+		EstimateS: 30, CheckpointIntervalS: 20, CheckpointSaveS: 3,
+	}
+	rec := state.OpenJobRecord{Job: gang, AcceptedAt: acceptedAt, ShardSize: state.ProgressShardSize(gang.Kind, 2)}
 	put("open", state.OpenJobKey(gang.ID), rec)
 	put("open", state.OpenJobKey(gang.ID), rec.Finalized(wire.JobCancelled))
-	m.OpenRecordChanged(1000, 1000, 1764600000000000, rec, 60)
+	m.OpenRecordChanged(now, now, acceptedAt, rec, 60)
 	seq := uint64(0)
 	report := func(id string, tasks ...wire.TaskStatus) {
 		seq++
-		r := &wire.Heartbeat{Machine: id, Addr: "10.1.0.2:9000", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: token, Tasks: tasks}
-		m.Heartbeat(1000, r, "", true)
+		r := heartbeat(id, "a", seq, tasks...)
+		m.Heartbeat(now, r, "", true)
 		put("relay", "", peer.RelayedHeartbeat{Member: "c2", FencingToken: token, Heartbeat: r})
 	}
 	report("n-000001")
 	report("n-000002")
-	asks := peer.LeaseRequests{Member: "c2", FencingToken: token, Requests: []lease.Transaction{{AllOrNothing: true, Requests: []lease.Request{
-		{Job: gang.ID, Machine: "n-000001", Count: 8, Duration: 30 * micros.Second}, {Job: gang.ID, Machine: "n-000002", Count: 4, Duration: 30 * micros.Second}}}}}
+	whole := lease.Transaction{AllOrNothing: true, Requests: []lease.Request{
+		{Job: gang.ID, Machine: "n-000001", Count: 8, Duration: 30 * micros.Second},
+		{Job: gang.ID, Machine: "n-000002", Count: 4, Duration: 30 * micros.Second},
+	}}
+	asks := peer.LeaseRequests{Member: "c2", FencingToken: token, Requests: []lease.Transaction{whole}}
 	put("asks", "", asks)
-	answers := peer.LeaseResponses{SnapshotVersion: 2, Results: []lease.Result{m.Grant(1000, asks.Requests[0])}}
+	answers := peer.LeaseResponses{SnapshotVersion: 2, Results: []lease.Result{m.Grant(now, asks.Requests[0])}}
 	if answers.Results[0].Granted[1] != 4 {
 		t.Fatalf("the gang was granted %v", answers.Results[0].Granted)
 	}
 	put("answers", "", answers)
-	m.Snapshot(1000)
-	put("update", "", m.SnapshotUpdate(1000, 0))
-	w := m.NextWrite(1000)
+	m.Snapshot(now)
+	put("update", "", m.SnapshotUpdate(now, 0))
+	w := m.NextWrite(now)
 	for _, c := range w.Changes {
 		put("chunk", c.Key, c.Value)
 	}
@@ -231,6 +269,7 @@
 
 // items gives production's records of a kind as the state service would list them.
 func items(t *testing.T, kind string) []wire.KeyValue {
+	t.Helper()
 	newest := map[string]wire.KeyValue{}
 	for i, e := range production(t) {
 		if e.Kind == kind {
@@ -244,24 +283,44 @@
 	return out
 }
 
-// A leader of this version takes over what production has left, under lower limits: the
-// placements that may exist are kept until they are proven gone, done tasks stay done, a
-// cancelled job is not placed.
+// takeover is a leader of this version that has taken over from production.
+type takeover struct {
+	manager  *manager.Manager
+	sequence uint64 // of the last heartbeat
+}
+
+// grant requests leases on a machine and returns how many are granted.
+func (o *takeover) grant(job, machine string, n int) int {
+	request := lease.Request{Job: job, Machine: machine, Count: n}
+	return o.manager.Grant(now, lease.Transaction{Requests: []lease.Request{request}}).Granted[0]
+}
+
+// report sends a heartbeat and returns the commands that it is answered with. A machine's name ends with its zone.
+func (o *takeover) report(machine string, tasks ...wire.TaskStatus) []wire.Command {
+	o.sequence++
+	response, _ := o.manager.Heartbeat(now, heartbeat(machine, machine[len(machine)-1:], o.sequence, tasks...), "", true)
+	return response.Commands
+}
+
+// A leader of this version takes over what production has left, under lower limits: the placements that may exist are
+// kept until they are proven gone, done tasks stay done, a cancelled job is not placed.
 func TestTakesOverFromProduction(t *testing.T) {
-	m := newManager(t, settings.StoreLimits{TxnOps: 4, ValueKB: 1}, items(t, "open"), items(t, "chunk"))
-	grant := func(job, machine string, n int) int {
-		return m.Grant(1000, lease.Transaction{Requests: []lease.Request{{Job: job, Machine: machine, Count: n}}}).Granted[0]
+	limits := settings.StoreLimits{TxnOps: 4, ValueKB: 1}
+	leader := &takeover{
+		manager:  newManager(t, limits, items(t, "open"), items(t, "chunk")),
+		sequence: 100,
 	}
-	seq := uint64(100)
-	report := func(id string, tasks ...wire.TaskStatus) []wire.Command {
-		seq++
-		a, _ := m.Heartbeat(1000, &wire.Heartbeat{Machine: id, Addr: "10.1.0.2:9000", Type: "small", Zone: id[len(id)-1:], Incarnation: 1, Sequence: seq, FencingToken: token, Tasks: tasks}, "", true)
-		return a.Commands
-	}
-	report("n-000009a")
-	v := m.Snapshot(1000)
+	leader.report("n-000009a")
+	checkJobs(t, leader)
+	checkArray(t, leader)
+	checkGang(t, leader)
+}
+
+// checkJobs checks the jobs that the new leader knows.
+func checkJobs(t *testing.T, leader *takeover) {
+	t.Helper()
 	jobs := map[string]*snapshot.Job{}
-	for _, j := range v.Jobs {
+	for _, j := range leader.manager.Snapshot(now).Jobs {
 		jobs[j.ID] = j
 	}
 	if j := jobs["run-000001"]; j == nil || j.Done != 1 || j.Active != 4 || j.Waiting != 55 {
@@ -270,36 +329,53 @@
 	if j := jobs["run-000002"]; j == nil || j.Active != 3 || j.Waiting != 0 || !j.Gang {
 		t.Errorf("gang: %+v", j)
 	}
-	if jobs["run-000009"] != nil || grant("run-000009", "n-000009a", 1) != 0 {
+	if jobs["run-000009"] != nil || leader.grant("run-000009", "n-000009a", 1) != 0 {
 		t.Error("a cancelled job is shown, or placed")
 	}
-	if got := grant("run-000001", "n-000009a", 1); got != 0 {
+}
+
+// checkArray checks that the array goes on once it is known where its tasks are.
+func checkArray(t *testing.T, leader *takeover) {
+	t.Helper()
+	if got := leader.grant("run-000001", "n-000009a", 1); got != 0 {
 		t.Error("placed while it is not known in which zone its other tasks are")
 	}
 	var running []wire.TaskStatus
 	for i := range 4 {
-		running = append(running, wire.TaskStatus{Task: wire.TaskName("run-000001", i+1), Attempt: 41<<20 | uint64(i+2), State: wire.TaskRunning})
+		running = append(running, wire.TaskStatus{
+			Task: wire.TaskName("run-000001", i+1), Attempt: 41<<20 | uint64(i+2), State: wire.TaskRunning,
+		})
 	}
-	report("n-000001a", running...)
-	if got := grant("run-000001", "n-000009a", 4); got != 4 {
+	leader.report("n-000001a", running...)
+	if got := leader.grant("run-000001", "n-000009a", 4); got != 4 {
 		t.Errorf("%d of the array's waiting tasks placed", got)
 	}
-	// One machine of the gang has lost its task: the rest is stopped, and begins anew only
-	// when the other machine has reported.
-	if cmds := report("n-000002b"); len(cmds) != 0 {
-		t.Errorf("orders %v", cmds)
+}
+
+// checkGang checks a gang of which a machine has lost its task: the rest is stopped, and begins anew only when the
+// other machine has reported.
+func checkGang(t *testing.T, leader *takeover) {
+	t.Helper()
+	if cmds := leader.report("n-000002b"); len(cmds) != 0 {
+		t.Errorf("commands %v", cmds)
 	}
 	attempt := uint64(41<<20 | 6)
-	whole := lease.Transaction{AllOrNothing: true, Requests: []lease.Request{{Job: "run-000002", Machine: "n-000002b", Count: 2}, {Job: "run-000002", Machine: "n-000003a", Count: 1}}}
-	if g := m.Grant(1000, whole).Granted[0]; g != 0 {
+	whole := lease.Transaction{AllOrNothing: true, Requests: []lease.Request{
+		{Job: "run-000002", Machine: "n-000002b", Count: 2},
+		{Job: "run-000002", Machine: "n-000003a", Count: 1},
+	}}
+	if g := leader.manager.Grant(now, whole).Granted[0]; g != 0 {
 		t.Error("the gang is granted while a task of it may run")
 	}
-	cmds := report("n-000003a", wire.TaskStatus{Task: "run-000002/2", Attempt: attempt, State: wire.TaskWaitingForGang})
-	if fmt.Sprint(len(cmds)) != "1" || cmds[0].Op != wire.OpStop {
-		t.Errorf("orders %v", cmds)
+	waiting := wire.TaskStatus{Task: "run-000002/2", Attempt: attempt, State: wire.TaskWaitingForGang}
+	cmds := leader.report("n-000003a", waiting)
+	if len(cmds) != 1 || cmds[0].Op != wire.OpStop {
+		t.Errorf("commands %v", cmds)
 	}
-	report("n-000003a", wire.TaskStatus{Task: "run-000002/2", Attempt: attempt, State: wire.TaskExited, ExitReason: wire.ExitStopped})
-	if g := m.Grant(1000, whole).Granted; g[0]+g[1] != 3 {
+	leader.report("n-000003a", wire.TaskStatus{
+		Task: "run-000002/2", Attempt: attempt, State: wire.TaskExited, ExitReason: wire.ExitStopped,
+	})
+	if g := leader.manager.Grant(now, whole).Granted; g[0]+g[1] != 3 {
 		t.Errorf("granted %v of the gang", g)
 	}
 }
@@ -308,7 +384,7 @@
 func TestServesProductionsAsks(t *testing.T) {
 	m := newManager(t, settings.StoreLimits{TxnOps: 8, ValueKB: 4}, items(t, "open"), nil)
 	for i, id := range []string{"n-000001a", "n-000002b", "n-000003a"} {
-		m.Heartbeat(1000, &wire.Heartbeat{Machine: id, Addr: "10.1.0.2:9000", Type: "small", Zone: id[len(id)-1:], Incarnation: 1, Sequence: uint64(i + 1), FencingToken: token}, "", true)
+		m.Heartbeat(now, heartbeat(id, id[len(id)-1:], uint64(i+1)), "", true)
 	}
 	for _, e := range production(t) {
 		if e.Kind != "asks" {
@@ -320,7 +396,7 @@
 		}
 		granted := 0
 		for _, r := range a.Requests {
-			for _, n := range m.Grant(1000, r).Granted {
+			for _, n := range m.Grant(now, r).Granted {
 				granted += n
 			}
 		}
@@ -330,8 +406,8 @@
 	}
 }
 
-// Production lists and watches these prefixes. What it does not know must not be among them: it would take it for something
-// else, or delete it.
+// Production lists and watches these prefixes. What it does not know must not be among them: it would take it for
+// something else, or delete it.
 func TestRecordsOfDrainsAreOutOfProductionsWay(t *testing.T) {
 	known := []string{"leader", "types", "open/", "job/", "tasks/", "care/"}
 	keys := []string{state.DrainKey("old"), state.DrainMachinesKey("7.1", 0), state.DisruptionKey("run-000001", 0)}
