--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -164,37 +164,28 @@
 }
 
 func TestErrorCodes(t *testing.T) {
-	for _, test := range []struct {
-		err  error
-		want connect.Code
-	}{
-		{ErrUnavailable, connect.CodeUnavailable},
-		{errors.New("not listed"), connect.CodeUnavailable},
-		{ErrDrainsDisabled, connect.CodeFailedPrecondition},
-		{ErrRebalancingDisabled, connect.CodeFailedPrecondition},
-		{drain.ErrUnknownDrain, connect.CodeNotFound},
-		{drain.ErrUnknownMachine, connect.CodeNotFound},
-		{drain.ErrUnknownTeam, connect.CodeNotFound},
-		{drain.ErrNoMatch, connect.CodeNotFound},
-		{drain.ErrNameInUse, connect.CodeAlreadyExists},
-		{drain.ErrDrainEnded, connect.CodeFailedPrecondition},
-		{drain.ErrTooManyDrains, connect.CodeResourceExhausted},
-		{drain.ErrInvalidName, connect.CodeInvalidArgument},
-		{drain.ErrNoSelection, connect.CodeInvalidArgument},
-		{drain.ErrNegativeDuration, connect.CodeInvalidArgument},
-		{errStepTooLarge, connect.CodeInvalidArgument},
-		{disruption.ErrInvalidBudget, connect.CodeInvalidArgument},
+	for want, errs := range map[connect.Code][]error{
+		connect.CodeUnavailable:        {ErrUnavailable, errors.New("not listed")},
+		connect.CodeFailedPrecondition: {ErrDrainsDisabled, ErrRebalancingDisabled, drain.ErrDrainEnded},
+		connect.CodeNotFound: {drain.ErrUnknownDrain, drain.ErrUnknownMachine, drain.ErrUnknownTeam,
+			drain.ErrNoMatch},
+		connect.CodeAlreadyExists:     {drain.ErrNameInUse},
+		connect.CodeResourceExhausted: {drain.ErrTooManyDrains},
+		connect.CodeInvalidArgument: {drain.ErrInvalidName, drain.ErrNoSelection, drain.ErrNegativeDuration,
+			errStepTooLarge, disruption.ErrInvalidBudget},
 	} {
-		t.Run(test.err.Error(), func(t *testing.T) {
-			encoded := encodeError(fmt.Errorf("wrapped: %w", test.err))
-			if encoded.Code() != test.want {
-				t.Errorf("code %v, want %v", encoded.Code(), test.want)
-			}
-			_, retry := RetryAfter(encoded)
-			if unavailable := test.want == connect.CodeUnavailable; retry != unavailable {
-				t.Errorf("retry-after is set: %v, want %v", retry, unavailable)
-			}
-		})
+		for _, err := range errs {
+			t.Run(err.Error(), func(t *testing.T) {
+				encoded := encodeError(fmt.Errorf("wrapped: %w", err))
+				if encoded.Code() != want {
+					t.Errorf("code %v, want %v", encoded.Code(), want)
+				}
+				_, retry := RetryAfter(encoded)
+				if unavailable := want == connect.CodeUnavailable; retry != unavailable {
+					t.Errorf("retry-after is set: %v, want %v", retry, unavailable)
+				}
+			})
+		}
 	}
 	if _, ok := RetryAfter(errors.New("of no service")); ok {
 		t.Error("an error without a header says when to retry")
--- a/internal/rebalance/load.go
+++ b/internal/rebalance/load.go
@@ -49,14 +49,20 @@
 // teamLoad is the dominant share of one team's work, 0 to 1.
 func (u *usage) teamLoad(team string) float64 { return u.teams[team].DominantShare(u.capacity) }
 
+// teamCap is the share of a machine that a team should hold at most; enforced while others compete with it for room.
+type teamCap struct {
+	share    float64
+	enforced bool
+}
+
 // potential is the machine's part of what moves are to reduce: half the square of its load and, while teams compete
 // for room, of what a team holds beyond its cap, both weighted by the machine's size. The sum over all machines is
 // smallest when loads are even. Each move reduces it, so moves can't go in a circle while the work stays the same.
-func (u *usage) potential(team string, teamCap float64, contended bool) float64 {
+func (u *usage) potential(team string, limit teamCap) float64 {
 	load := u.load()
 	squares := load * load
-	if contended {
-		excess := max(0, u.teamLoad(team)-teamCap)
+	if limit.enforced {
+		excess := max(0, u.teamLoad(team)-limit.share)
 		squares += excess * excess
 	}
 	return u.capacity.CPUs * squares / 2
@@ -64,10 +70,9 @@
 
 // relief is by how much the move of a task reduces the potential, for each unit of the task's share of the source
 // machine. Between equal machines it is the difference of their loads, less the task's share.
-func relief(from, to *usage, team string, task resources.Vector, teamCap float64, contended bool) float64 {
-	potential := func() float64 {
-		return from.potential(team, teamCap, contended) + to.potential(team, teamCap, contended)
-	}
+func relief(from, to *usage, attempt *Attempt, limit teamCap) float64 {
+	team, task := attempt.Team, attempt.Resources
+	potential := func() float64 { return from.potential(team, limit) + to.potential(team, limit) }
 	before := potential()
 	from.remove(team, task)
 	to.add(team, task)
--- a/internal/rebalance/round.go
+++ b/internal/rebalance/round.go
@@ -240,8 +240,8 @@
 // difference of the loads bounds it.
 func (r *round) evaluate(from, to *Machine, attempt *Attempt) Move {
 	cfg := &r.planner.cfg
-	contended := r.planner.contended[attempt.Team]
-	byUsage := relief(r.usage[from.ID], r.usage[to.ID], attempt.Team, attempt.Resources, cfg.TeamCap, contended)
+	limit := teamCap{share: cfg.TeamCap, enforced: r.planner.contended[attempt.Team]}
+	byUsage := relief(r.usage[from.ID], r.usage[to.ID], attempt, limit)
 	smoothed := r.planner.loads[from.ID].value - r.planner.loads[to.ID].value
 	cost := attempt.CheckpointTime + cfg.RestartTime
 	if !to.Images[attempt.Image] && to.FetchGBPS > 0 {
