--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -77,8 +77,8 @@
 // Register adds the interface to a router, and the responses to requests that nothing else on it serves.
 func (a *API) Register(router *httprouter.Router) {
 	router.POST(wire.PathJobs, a.limitInFlight(a.submit))
-	router.GET(wire.PathJobs+"/:id", a.limitInFlight(a.poll))
-	router.POST(wire.PathJobs+"/:id/"+wire.ActionCancel, a.limitInFlight(a.cancel))
+	router.GET(wire.PathJobs+"/:id", a.jobRequest(pollTimeout, a.poll))
+	router.POST(wire.PathJobs+"/:id/"+wire.ActionCancel, a.jobRequest(changeTimeout, a.cancel))
 	router.GET(wire.PathHealth, a.health)
 	router.NotFound = refusal(http.StatusNotFound, "no such path")
 	router.MethodNotAllowed = refusal(http.StatusMethodNotAllowed, "the method is not allowed here")
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
+	"time"
 
 	"github.com/julienschmidt/httprouter"
 
@@ -15,15 +16,24 @@
 // cancelAttempts is how often a cancellation is tried, since the leader may change a job's records at the same time.
 const cancelAttempts = 3
 
+// jobRequest returns the handler of a request about one job, which ends after a timeout.
+func (a *API) jobRequest(
+	timeout time.Duration, serve func(ctx context.Context, w http.ResponseWriter, job string),
+) httprouter.Handle {
+	return a.limitInFlight(func(w http.ResponseWriter, req *http.Request, params httprouter.Params) {
+		ctx, cancel := context.WithTimeout(req.Context(), timeout)
+		defer cancel()
+		job := params.ByName("id")
+		if !wire.ValidJobID(job) {
+			refuse(w, http.StatusNotFound, noSuchJob)
+			return
+		}
+		serve(ctx, w, job)
+	})
+}
+
 // poll serves a poll of a job's state.
-func (a *API) poll(w http.ResponseWriter, req *http.Request, params httprouter.Params) {
-	ctx, cancel := context.WithTimeout(req.Context(), pollTimeout)
-	defer cancel()
-	job := params.ByName("id")
-	if !wire.ValidJobID(job) {
-		refuse(w, http.StatusNotFound, noSuchJob)
-		return
-	}
+func (a *API) poll(ctx context.Context, w http.ResponseWriter, job string) {
 	switch jobState, err := a.readState(ctx, job); {
 	case err != nil:
 		refuseForNow(w, storeSilent)
@@ -36,14 +46,7 @@
 
 // cancel serves a cancellation. It responds with the job's final state, which is not cancelled if the job was done
 // before.
-func (a *API) cancel(w http.ResponseWriter, req *http.Request, params httprouter.Params) {
-	ctx, cancel := context.WithTimeout(req.Context(), changeTimeout)
-	defer cancel()
-	job := params.ByName("id")
-	if !wire.ValidJobID(job) {
-		refuse(w, http.StatusNotFound, noSuchJob)
-		return
-	}
+func (a *API) cancel(ctx context.Context, w http.ResponseWriter, job string) {
 	for range cancelAttempts {
 		switch jobState, err := a.readState(ctx, job); {
 		case err != nil:
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -36,10 +36,10 @@
 }
 
 // NewClient returns a client for the controller at addr; member is the sender's own name. Close ends its connections.
-func NewClient(dial call.Dialer, addr, member string, token uint64) *Client {
+func NewClient(dial call.Dialer, addr, member string, fencingToken uint64) *Client {
 	transport := &http.Transport{DialContext: dial, Protocols: call.UnencryptedHTTP2(), IdleConnTimeout: clientIdleTimeout}
 	return &Client{
-		addr: addr, member: member, fencingToken: token,
+		addr: addr, member: member, fencingToken: fencingToken,
 		http: &http.Client{Transport: transport}, transport: transport,
 	}
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -29,7 +29,7 @@
 	// this controller does not lead under that token. The function that it returns waits for a snapshot newer than
 	// version since and returns the update from that version, with since 0 the whole snapshot; it returns nil when the
 	// term or ctx has ended.
-	Subscribe(ctx context.Context, member string, token uint64) func(since uint64) *snapshot.Update
+	Subscribe(ctx context.Context, member string, fencingToken uint64) func(since uint64) *snapshot.Update
 	// RequestLeases serves another controller's lease requests; ErrNotLeader if the fencing token is not this
 	// controller's.
 	RequestLeases(ctx context.Context, requests LeaseRequests) (*LeaseResponses, error)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -154,9 +154,9 @@
 }
 
 // newTestClient returns a client of testMember under a fencing token.
-func newTestClient(t *testing.T, dial call.Dialer, token uint64) *Client {
+func newTestClient(t *testing.T, dial call.Dialer, fencingToken uint64) *Client {
 	t.Helper()
-	client := NewClient(dial, "leader", testMember, token)
+	client := NewClient(dial, "leader", testMember, fencingToken)
 	t.Cleanup(client.Close)
 	return client
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -79,8 +79,8 @@
 	return func(w http.ResponseWriter, req *http.Request, _ httprouter.Params) {
 		query := req.URL.Query()
 		// A malformed fencing token is 0, and no term has that.
-		token, _ := strconv.ParseUint(query.Get("token"), 10, 64)
-		next := controller.Subscribe(req.Context(), query.Get("member"), token)
+		fencingToken, _ := strconv.ParseUint(query.Get("token"), 10, 64)
+		next := controller.Subscribe(req.Context(), query.Get("member"), fencingToken)
 		if next == nil {
 			w.WriteHeader(http.StatusMisdirectedRequest)
 			return
