--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -149,21 +149,40 @@
 	return e
 }
 
-func TestElection(t *testing.T) {
-	tests := []struct {
-		name  string
-		start start
-		steps []step
+// electionCase is what an election does in a sequence of steps, and who leads after them.
+type electionCase struct {
+	name  string
+	start start
+	steps []step
+
+	wantLeader string // "": nobody
+	wantToken  uint64
+}
 
-		wantLeader string // "": nobody
-		wantToken  uint64
-	}{
+func testElection(t *testing.T, tests []electionCase) {
+	t.Helper()
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			e := test.start(t)
+			run(t, e, test.steps)
+			if leader, token := e.Leader(); leader != test.wantLeader || token != test.wantToken {
+				t.Errorf("the leader is %q under %d, want %q under %d", leader, token, test.wantLeader, test.wantToken)
+			}
+			if leads, _ := e.Leading(); leads != (test.wantLeader == self) {
+				t.Errorf("leading: %v, want %v", leads, !leads)
+			}
+		})
+	}
+}
+
+func TestBoot(t *testing.T) {
+	testElection(t, []electionCase{
 		{
-			name: "boot: the key is read before anything else, once at a time", start: newElection,
+			name: "the key is read before anything else, once at a time", start: newElection,
 			steps: []step{{event: tick, want: read()}, {after: micros.Second, event: tick}},
 		},
 		{
-			name: "boot: a read that failed is repeated after 300 ms", start: newElection,
+			name: "a read that failed is repeated after 300 ms", start: newElection,
 			steps: []step{
 				{event: tick, want: read()},
 				{event: readFailed},
@@ -172,7 +191,7 @@
 			},
 		},
 		{
-			name: "boot: a key of another member is followed", start: newElection,
+			name: "a key of another member is followed", start: newElection,
 			steps: []step{
 				{event: tick, want: read()},
 				{event: keyHolds(otherRecord, otherToken)},
@@ -180,8 +199,14 @@
 			},
 			wantLeader: other, wantToken: otherToken,
 		},
+	})
+}
+
+// Nobody leads while the key is missing: its lease in the store has expired, or its leader has given it up.
+func TestMissingKey(t *testing.T) {
+	testElection(t, []electionCase{
 		{
-			name:  "key missing: a lease is requested, then the key claimed, and the version is the fencing token",
+			name:  "a lease is requested, then the key claimed, and the version is the fencing token",
 			start: newElection,
 			steps: []step{
 				{event: tick, want: read()},
@@ -192,11 +217,11 @@
 			wantLeader: self, wantToken: ownToken,
 		},
 		{
-			name: "key missing: a key that the watch shows deleted is claimed by a follower", start: follower,
+			name: "a key that the watch shows deleted is claimed by a follower", start: follower,
 			steps: []step{{event: keyMissing(otherToken + 1), want: grantLease()}},
 		},
 		{
-			name: "key missing: a refused lease is requested again after 300 ms", start: candidate,
+			name: "a refused lease is requested again after 300 ms", start: candidate,
 			steps: []step{
 				{event: granted(0, OutcomeUnknown)},
 				{after: 299 * micros.Millisecond, event: tick},
@@ -204,16 +229,21 @@
 			},
 		},
 		{
-			name: "key missing: a second event does not repeat the request in flight", start: candidate,
+			name: "a second event does not repeat the request in flight", start: candidate,
 			steps: []step{{event: keyMissing(6)}, {event: tick}},
 		},
 		{
-			name: "key missing: it counts also at a revision below an announced fencing token", start: follower,
+			name: "it counts also at a revision below an announced fencing token", start: follower,
 			steps: []step{
 				{event: announced("c3", laterToken)},
 				{event: keyMissing(laterToken - 1), want: grantLease()},
 			},
 		},
+	})
+}
+
+func TestClaim(t *testing.T) {
+	testElection(t, []electionCase{
 		{
 			name: "claim conflict: the key is read again after 50 ms and nothing is claimed", start: claimant,
 			steps: []step{
@@ -282,6 +312,11 @@
 				{event: granted(ownLease, Succeeded), want: claim(8, ownLease)},
 			},
 		},
+	})
+}
+
+func TestRenewal(t *testing.T) {
+	testElection(t, []electionCase{
 		{
 			name: "renewal: due at once, then a quarter of the time to live after the last one was sent", start: electedLeader,
 			steps: []step{
@@ -305,20 +340,25 @@
 			wantLeader: self, wantToken: ownToken,
 		},
 		{
-			name: "lease expiry: the leader steps down and reads the key", start: electedLeader,
+			name: "the leader steps down and reads the key", start: electedLeader,
 			steps: []step{
 				{event: tick, want: renewLease(ownLease)},
 				{event: renewed(LeaseExpired), want: stepDown("the lease has expired")},
 			},
 		},
 		{
-			name: "lease expiry: a renewal that ends after the term has no effect", start: electedLeader,
+			name: "a renewal that ends after the term has no effect", start: electedLeader,
 			steps: []step{
 				{event: tick, want: renewLease(ownLease)},
 				{event: termEnded(ownToken), want: stepDown("ended")},
 				{event: renewed(LeaseExpired)},
 			},
 		},
+	})
+}
+
+func TestTermEnds(t *testing.T) {
+	testElection(t, []electionCase{
 		{
 			name: "after a term: the next one begins with a new lease and a renewal of it at once", start: electedLeader,
 			steps: []step{
@@ -332,18 +372,18 @@
 			wantLeader: self, wantToken: laterToken,
 		},
 		{
-			name: "leading: a key that was deleted ends the term", start: electedLeader,
+			name: "a key that was deleted ends the term", start: electedLeader,
 			steps: []step{{event: keyMissing(ownToken + 1), want: stepDown("the leader's key has changed")}},
 		},
 		{
-			name: "leading: a key of another member ends the term", start: electedLeader,
+			name: "a key of another member ends the term", start: electedLeader,
 			steps: []step{
 				{event: keyHolds(otherRecord, otherToken), want: stepDown("the leader's key has changed")},
 			},
 			wantLeader: other, wantToken: otherToken,
 		},
 		{
-			name: "leading: the own key, or an older version that a read returns late, changes nothing", start: electedLeader,
+			name: "the own key, or an older version that a read returns late, changes nothing", start: electedLeader,
 			steps: []step{
 				{event: keyHolds(ownRecord, ownToken)},
 				{event: keyHolds(otherRecord, ownToken-1)},
@@ -351,14 +391,20 @@
 			wantLeader: self, wantToken: ownToken,
 		},
 		{
-			name: "leading: a term that something else has ended", start: electedLeader,
+			name: "a term that something else has ended", start: electedLeader,
 			steps: []step{{event: termEnded(ownToken), want: stepDown("ended")}},
 		},
 		{
-			name: "leading: the end of an earlier term is ignored", start: electedLeader,
+			name: "the end of an earlier term is ignored", start: electedLeader,
 			steps:      []step{{event: termEnded(ownToken - 1)}},
 			wantLeader: self, wantToken: ownToken,
 		},
+	})
+}
+
+// Fencing tokens only grow, so a leader that is announced with a higher one has replaced every earlier one.
+func TestAnnouncement(t *testing.T) {
+	testElection(t, []electionCase{
 		{
 			name: "announcement of a higher fencing token: the leader steps down and follows", start: electedLeader,
 			steps:      []step{{event: announced(other, otherToken), want: stepDown("another controller leads")}},
@@ -379,8 +425,14 @@
 			steps:      []step{{event: announced(other, ownToken-1)}},
 			wantLeader: self, wantToken: ownToken,
 		},
+	})
+}
+
+// A host that refuses connections has most likely lost its leader; that is reason enough to replace it, but not often.
+func TestRefusedConnections(t *testing.T) {
+	testElection(t, []electionCase{
 		{
-			name: "refused connections: the key of the leader is replaced", start: follower,
+			name: "the key of the leader is replaced", start: follower,
 			steps: []step{
 				{event: unreachable(otherToken), want: grantLease()},
 				{event: granted(ownLease, Succeeded), want: claim(otherToken, ownLease)},
@@ -389,7 +441,7 @@
 			wantLeader: self, wantToken: laterToken,
 		},
 		{
-			name: "refused connections: at most one claim in 20 s", start: follower,
+			name: "at most one claim in 20 s", start: follower,
 			steps: []step{
 				{event: unreachable(otherToken), want: grantLease()},
 				{event: keyHolds(otherRecord, otherToken+1)},
@@ -400,7 +452,7 @@
 			wantLeader: other, wantToken: otherToken + 1,
 		},
 		{
-			name: "refused connections: a candidate does not start again", start: follower,
+			name: "a candidate does not start again", start: follower,
 			steps: []step{
 				{event: unreachable(otherToken), want: grantLease()},
 				{event: granted(0, OutcomeUnknown)},
@@ -410,7 +462,7 @@
 			wantLeader: other, wantToken: otherToken,
 		},
 		{
-			name: "refused connections: ignored until the key has been read again after a conflict", start: follower,
+			name: "ignored until the key has been read again after a conflict", start: follower,
 			steps: []step{
 				{event: unreachable(otherToken), want: grantLease()},
 				{event: granted(ownLease, Succeeded), want: claim(otherToken, ownLease)},
@@ -421,28 +473,16 @@
 			wantLeader: other, wantToken: otherToken,
 		},
 		{
-			name: "refused connections: those of an earlier leader are ignored", start: follower,
+			name: "those of an earlier leader are ignored", start: follower,
 			steps:      []step{{event: unreachable(otherToken - 1)}},
 			wantLeader: other, wantToken: otherToken,
 		},
 		{
-			name: "refused connections: ignored while this controller leads", start: electedLeader,
+			name: "ignored while this controller leads", start: electedLeader,
 			steps:      []step{{event: unreachable(ownToken)}},
 			wantLeader: self, wantToken: ownToken,
 		},
-	}
-	for _, test := range tests {
-		t.Run(test.name, func(t *testing.T) {
-			e := test.start(t)
-			run(t, e, test.steps)
-			if leader, token := e.Leader(); leader != test.wantLeader || token != test.wantToken {
-				t.Errorf("the leader is %q under %d, want %q under %d", leader, token, test.wantLeader, test.wantToken)
-			}
-			if leads, _ := e.Leading(); leads != (test.wantLeader == self) {
-				t.Errorf("leading: %v, want %v", leads, !leads)
-			}
-		})
-	}
+	})
 }
 
 // A leader may act until its lease may have expired by the slowest clock, less the margin: counted from the sending of
