--- a/cmd/saffronbend/job_test.go
+++ b/cmd/saffronbend/job_test.go
@@ -84,7 +84,7 @@
 core_share = 1.0
 mem_mb = 200.0
 max_connections = 200
-`, front, cluster, serve(t, cloud), serve(t, standin.NewState())), options)
+`, front, cluster, serve(t, cloud), serve(t, standin.NewStore())), options)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scenario/commands.go
+++ b/internal/scenario/commands.go
@@ -49,11 +49,11 @@
 	"restart": {"MEMBER... or all", "controllers end without a word and start", 1, (*world).restartControllers},
 
 	// Links.
-	"cut":    {"A B", "packets between the hosts are held back", 2, linkCommand(standin.Hold)},
-	"refuse": {"A B", "connections between the hosts are refused", 2, linkCommand(standin.Refuse)},
-	"deaf":   {"A B", "packets to A are held back", 2, linkCommand(standin.Deaf)},
-	"mute":   {"A B", "packets on connections that A opens are held back", 2, linkCommand(standin.Mute)},
-	"heal":   {"A B", "packets between the hosts pass", 2, linkCommand(standin.Pass)},
+	"cut":    {"A B", "packets between the hosts are held back", 2, linkCommand(standin.LinkHeld)},
+	"refuse": {"A B", "connections between the hosts are refused", 2, linkCommand(standin.LinkRefused)},
+	"deaf":   {"A B", "packets to A are held back", 2, linkCommand(standin.InboundHeld)},
+	"mute":   {"A B", "packets on connections that A opens are held back", 2, linkCommand(standin.DialedHeld)},
+	"heal":   {"A B", "packets between the hosts pass", 2, linkCommand(standin.LinkUp)},
 
 	// Services.
 	nameState: {"FAULT", "a fault of the store, see stateFaults", 1, (*world).stateFault},
--- a/internal/scenario/conditions.go
+++ b/internal/scenario/conditions.go
@@ -114,21 +114,21 @@
 
 func last(words []string) string { return words[len(words)-1] }
 
-func starts(w *world, words []string) int         { return w.referee.Starts(words[0]) }
-func lateStarts(w *world, _ []string) int         { return w.referee.LateStarts() }
-func runs(w *world, words []string) int           { return w.referee.Runs(words[0]) }
-func running(w *world, words []string) int        { return len(w.referee.On(words[0])) }
-func machinesUp(w *world, _ []string) int         { return w.cloud.Up() }
-func machinesInZone(w *world, words []string) int { return w.cloud.InZone(words[0]) }
-func rented(w *world, _ []string) int             { return w.cloud.Hired() }
-func records(w *world, words []string) int        { return w.state.Count(words[0]) }
-func refusals(w *world, _ []string) int           { return w.state.Refusals() }
+func starts(w *world, words []string) int         { return w.referee.TaskStarts(words[0]) }
+func lateStarts(w *world, _ []string) int         { return w.referee.StartsAfterCancel() }
+func runs(w *world, words []string) int           { return w.referee.GangRuns(words[0]) }
+func running(w *world, words []string) int        { return len(w.referee.Placements(words[0])) }
+func machinesUp(w *world, _ []string) int         { return w.cloud.MachineCount() }
+func machinesInZone(w *world, words []string) int { return w.cloud.MachinesInZone(words[0]) }
+func rented(w *world, _ []string) int             { return w.cloud.ScaledOut() }
+func records(w *world, words []string) int        { return w.state.CountKeys(words[0]) }
+func refusals(w *world, _ []string) int           { return w.state.RejectedTooLarge() }
 
 // mostOnOneMachine returns how many tasks of a job run on the machine that has most of them.
 func mostOnOneMachine(w *world, words []string) int {
 	tasks := map[string]int{}
 	most := 0
-	for _, machine := range w.referee.On(words[0]) {
+	for _, machine := range w.referee.Placements(words[0]) {
 		tasks[machine]++
 		most = max(most, tasks[machine])
 	}
@@ -136,15 +136,15 @@
 }
 
 func disturbed(w *world, _ []string) int {
-	all, _ := standin.AuditDisturbances(w.referee.Events(), w.budgets, 0)
+	all, _ := standin.AuditDisruptions(w.referee.Events(), w.budgets, 0)
 	return len(all)
 }
 
 func stopped(w *world, _ []string) int {
-	all, _ := standin.AuditDisturbances(w.referee.Events(), nil, 0)
+	all, _ := standin.AuditDisruptions(w.referee.Events(), nil, 0)
 	n := 0
 	for _, disturbance := range all {
-		if disturbance.Ordered {
+		if disturbance.Commanded {
 			n++
 		}
 	}
@@ -152,7 +152,7 @@
 }
 
 func machineOfTask(_ context.Context, w *world, words []string) (string, error) {
-	return w.referee.On(words[0])[integer(words[1])], nil
+	return w.referee.Placements(words[0])[integer(words[1])], nil
 }
 
 // jobStatus returns the status that a controller answers with; if none does, that of the last one asked.
@@ -207,7 +207,7 @@
 }
 
 func savedAtLeast(_ context.Context, w *world, words []string) error {
-	if saved := w.workers.Gangs.Saved(words[0]); saved < secondsOf(words[1]) {
+	if saved := w.workers.Gangs.SavedProgress(words[0]); saved < secondsOf(words[1]) {
 		return fmt.Errorf("it is %s", saved)
 	}
 	return nil
@@ -218,7 +218,7 @@
 	if machine == nil {
 		return fmt.Errorf("no machine %q", words[0])
 	}
-	if got := machine.Orders(); got > integer(words[1]) {
+	if got := machine.CommandPushes(); got > integer(words[1]) {
 		return fmt.Errorf("it is %d", got)
 	}
 	return nil
--- a/internal/scenario/controllers.go
+++ b/internal/scenario/controllers.go
@@ -22,7 +22,7 @@
 		return err
 	}
 	n := w.nodes[member]
-	host := w.net.Host(n.ip)
+	host := w.net.StartHost(n.ip)
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	n.host, n.cancel, n.done = host, cancel, done
--- a/internal/scenario/declarations.go
+++ b/internal/scenario/declarations.go
@@ -56,15 +56,15 @@
 		w.declareType(words[1:])
 	case "capacity": // TYPE ZONE ordinary|spot N
 		machineType, zone, spot, n := words[1], words[2], words[3] == kindSpot, integer(words[4])
-		w.later = append(w.later, func() { w.cloud.Capacity(machineType, zone, spot, n) })
+		w.later = append(w.later, func() { w.cloud.SetCapacity(machineType, zone, spot, n) })
 	case "machine": // TYPE ZONE [spot]
 		machineType, zone, spot := words[1], words[2], len(words) > 3 && words[3] == kindSpot
-		w.later = append(w.later, func() { w.cloud.Add(machineType, zone, spot) })
+		w.later = append(w.later, func() { w.cloud.AddMachine(machineType, zone, spot) })
 	case "machines": // TYPE ZONE N
 		machineType, zone, n := words[1], words[2], integer(words[3])
 		w.later = append(w.later, func() {
 			for range n {
-				w.cloud.Add(machineType, zone, true)
+				w.cloud.AddMachine(machineType, zone, true)
 			}
 		})
 	case "budget": // TEAM N
@@ -84,7 +84,7 @@
 	team := settings.Team{Name: words[0]}
 	if len(words) > 1 {
 		team.CPUsMax = number(words[1])
-		w.referee.Limit(team.Name, team.CPUsMax)
+		w.referee.SetTeamLimit(team.Name, team.CPUsMax)
 	}
 	w.teams = append(w.teams, team)
 }
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -58,7 +58,7 @@
 }
 
 // linkCommand makes a command that sets the links between two hosts, or groups of hosts, to a mode.
-func linkCommand(mode standin.Mode) func(*world, context.Context, arguments) error {
+func linkCommand(mode standin.LinkMode) func(*world, context.Context, arguments) error {
 	return func(w *world, _ context.Context, args arguments) error {
 		from, err := w.addresses(args.words[0])
 		if err != nil {
@@ -71,7 +71,7 @@
 		for _, a := range from {
 			for _, b := range to {
 				if a != b {
-					w.net.Link(a, b, mode)
+					w.net.SetLink(a, b, mode)
 				}
 			}
 		}
@@ -112,40 +112,40 @@
 
 // stateFaults are the faults of the store by their first word.
 var stateFaults = map[string]serviceFault{
-	"outage": {"", "it does not serve", 0, func(w *world, _ []string) { w.state.Outage(true) }},
-	"back":   {"", "it serves again", 0, func(w *world, _ []string) { w.state.Outage(false) }},
+	"outage": {"", "it does not serve", 0, func(w *world, _ []string) { w.state.SetOutage(true) }},
+	"back":   {"", "it serves again", 0, func(w *world, _ []string) { w.state.SetOutage(false) }},
 	"refuse": {"MEMBER", "it refuses the controller", 1, func(w *world, words []string) {
-		w.state.Refuse(w.nodes[w.member(words[0])].ip, true)
+		w.state.RefuseHost(w.nodes[w.member(words[0])].ip, true)
 	}},
 	"serve": {"MEMBER", "it serves the controller again", 1, func(w *world, words []string) {
-		w.state.Refuse(w.nodes[w.member(words[0])].ip, false)
+		w.state.RefuseHost(w.nodes[w.member(words[0])].ip, false)
 	}},
 	"watches": {"S", "its responses to watches come so much later", 1, func(w *world, words []string) {
-		w.state.WatchesLag(secondsOf(words[0]))
+		w.state.SetWatchDelay(secondsOf(words[0]))
 	}},
 	"late": {"PREFIX S [N]", "the next transactions on such keys are applied late", 2, func(w *world, words []string) {
-		w.state.Late(words[0], secondsOf(words[1]), times(words[2:]))
+		w.state.DelayTransactions(words[0], secondsOf(words[1]), times(words[2:]))
 	}},
 	"lose": {"PREFIX [N]", "the responses to the next transactions on such keys are lost", 1,
-		func(w *world, words []string) { w.state.LoseAnswer(words[0], times(words[1:])) }},
+		func(w *world, words []string) { w.state.LoseResponses(words[0], times(words[1:])) }},
 	"repeats": {"S", "requests that were carried out are carried out again later", 1, func(w *world, words []string) {
-		w.repeats[nameState].Repeat(secondsOf(words[0]))
+		w.repeats[nameState].SetDelay(secondsOf(words[0]))
 	}},
 	"limits": {"BYTES OPS WRITES", "lower limits of values, transactions and writes a second", 3,
 		func(w *world, words []string) {
-			w.state.Limit(standin.StateLimits{
-				ValueBytes: integer(words[0]), Ops: integer(words[1]), WriteRPS: number(words[2]),
+			w.state.SetLimits(standin.StoreLimits{
+				ValueBytes: integer(words[0]), Operations: integer(words[1]), WriteRPS: number(words[2]),
 			})
 		}},
 }
 
 // cloudFaults are the faults of the cloud by their first word.
 var cloudFaults = map[string]serviceFault{
-	"outage": {"", "it does not serve", 0, func(w *world, _ []string) { w.cloud.Outage(true) }},
-	"back":   {"", "it serves again", 0, func(w *world, _ []string) { w.cloud.Outage(false) }},
-	"lose":   {"", "the response to the next rental is lost", 0, func(w *world, _ []string) { w.cloud.LoseAnswer() }},
+	"outage": {"", "it does not serve", 0, func(w *world, _ []string) { w.cloud.SetOutage(true) }},
+	"back":   {"", "it serves again", 0, func(w *world, _ []string) { w.cloud.SetOutage(false) }},
+	"lose":   {"", "the response to the next rental is lost", 0, func(w *world, _ []string) { w.cloud.LoseNextResponse() }},
 	"repeats": {"S", "requests that were carried out are carried out again later", 1, func(w *world, words []string) {
-		w.repeats[nameCloud].Repeat(secondsOf(words[0]))
+		w.repeats[nameCloud].SetDelay(secondsOf(words[0]))
 	}},
 }
 
@@ -181,7 +181,7 @@
 // certain beforehand which of the machines that are drained will be empty by a step.
 func (w *world) pick(_ context.Context, args arguments) error {
 	name, job, machines := args.words[0], args.words[1], strings.Split(args.words[2], ",")
-	busy := slices.Collect(maps.Values(w.referee.On(job)))
+	busy := slices.Collect(maps.Values(w.referee.Placements(job)))
 	for _, id := range slices.Backward(machines) {
 		if slices.Contains(busy, id) {
 			w.picked[name] = id
@@ -225,32 +225,34 @@
 }
 
 func hangMachine(_ *world, _ string, worker *standin.Worker, _ []string)   { worker.Hang() }
-func sickenMachine(_ *world, _ string, worker *standin.Worker, _ []string) { worker.Sicken() }
-func killMachine(w *world, id string, _ *standin.Worker, _ []string)       { w.cloud.Die(id) }
-func takeMachine(w *world, id string, _ *standin.Worker, _ []string)       { w.cloud.Take(id) }
+func sickenMachine(_ *world, _ string, worker *standin.Worker, _ []string) { worker.FailEveryTask() }
+func killMachine(w *world, id string, _ *standin.Worker, _ []string)       { w.cloud.FailMachine(id) }
+func takeMachine(w *world, id string, _ *standin.Worker, _ []string)       { w.cloud.ReclaimMachine(id) }
 
 func slowMachine(_ *world, _ string, worker *standin.Worker, words []string) {
-	worker.Slow(number(words[0]))
+	worker.SetSlowdown(number(words[0]))
 }
 
 func noticeMachine(_ *world, _ string, worker *standin.Worker, words []string) {
-	worker.Notice(secondsOf(words[0]))
+	worker.AnnounceReclaim(secondsOf(words[0]))
 }
 
 func holdTask(_ *world, _ string, worker *standin.Worker, words []string) {
-	worker.Launched(words[0], uint64(number(words[1])), uint64(number(words[2])))
+	worker.ReceiveLaunch(words[0], uint64(number(words[1])), uint64(number(words[2])))
 }
 
 func keepHeartbeats(_ *world, _ string, worker *standin.Worker, words []string) {
-	worker.Keep(times(words))
+	worker.RecordHeartbeats(times(words))
 }
 
-func deliverHeartbeats(_ *world, _ string, worker *standin.Worker, _ []string) { worker.Deliver() }
+func deliverHeartbeats(_ *world, _ string, worker *standin.Worker, _ []string) {
+	worker.DeliverRecordedHeartbeats()
+}
 
 func copyHeartbeats(_ *world, _ string, worker *standin.Worker, words []string) {
-	worker.Copies(secondsOf(words[0]))
+	worker.DuplicateHeartbeats(secondsOf(words[0]))
 }
 
 func repeatCommands(_ *world, _ string, worker *standin.Worker, words []string) {
-	worker.Repeats(secondsOf(words[0]))
+	worker.DuplicateCommands(secondsOf(words[0]))
 }
--- a/internal/scenario/loopback/burst_test.go
+++ b/internal/scenario/loopback/burst_test.go
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	logLoads(t, events)
-	sum := standin.SummarizeSpread(events, burstMachines, burstSample, burstBounce)
+	sum := standin.SummarizeRebalancing(events, burstMachines, burstSample, burstBounce)
 	t.Logf("%+v", sum)
 	logWaits(t, events)
 	if sum.Moves == 0 || sum.Bounces > 0 {
@@ -71,9 +71,9 @@
 }
 
 // logWaits writes how long each team's tasks waited.
-func logWaits(t *testing.T, events []standin.WorkEvent) {
+func logWaits(t *testing.T, events []standin.Event) {
 	t.Helper()
-	for team, waits := range standin.Waits(events) {
+	for team, waits := range standin.WaitTimes(events) {
 		t.Logf("%s: %d tasks waited %s", team, waits.TotalCount(), quantiles(waits))
 	}
 }
@@ -85,7 +85,7 @@
 }
 
 // logLoads writes a line for each second and a column for each machine: the tasks of red and of blue on it.
-func logLoads(t *testing.T, events []standin.WorkEvent) {
+func logLoads(t *testing.T, events []standin.Event) {
 	t.Helper()
 	samples := standin.SampleLoad(events, time.Second)
 	machines := map[string]bool{}
@@ -114,7 +114,7 @@
 	var imbalance [2]float64
 	for n := range repeats {
 		for i, off := range []bool{false, true} {
-			var events []standin.WorkEvent
+			var events []standin.Event
 			var err error
 			var logs bytes.Buffer
 			played := burst(t, off)
@@ -125,7 +125,7 @@
 				t.Log(logs.String())
 				t.Fatal(err)
 			}
-			sum := standin.SummarizeSpread(events, burstMachines, burstSample, burstBounce)
+			sum := standin.SummarizeRebalancing(events, burstMachines, burstSample, burstBounce)
 			t.Logf("repeat %d, moves off: %v: %+v", n, off, sum)
 			logWaits(t, events)
 			imbalance[i] += sum.Imbalance / repeats
--- a/internal/scenario/loopback/drain_test.go
+++ b/internal/scenario/loopback/drain_test.go
@@ -97,7 +97,7 @@
 	for _, attempt := range counted.twice {
 		t.Errorf("the disturbance of %s is counted twice", attempt)
 	}
-	all, _ := standin.AuditDisturbances(events, nil, 0)
+	all, _ := standin.AuditDisruptions(events, nil, 0)
 	lasted := map[string]*hdrhistogram.Histogram{}
 	for _, d := range all {
 		if lasted[d.Team] == nil {
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -45,9 +45,9 @@
 type world struct {
 	log     *slog.Logger
 	net     *standin.Network
-	state   *standin.State
+	state   *standin.Store
 	cloud   *standin.Cloud
-	referee *standin.Referee
+	referee *standin.Checker
 	users   *http.Client
 	// operators is the host from which operators send commands.
 	operators *standin.Host
@@ -60,9 +60,9 @@
 	members   []string
 	workers   standin.WorkerConfig
 	values    map[string]float64
-	repeats   map[string]*standin.Repeater // by the service whose requests are repeated
-	picked    map[string]string            // machines by the names that steps have given them
-	budgets   map[string]int               // tasks of a team that may be disturbed at once
+	repeats   map[string]*standin.Duplicator // by the service whose requests are repeated
+	picked    map[string]string              // machines by the names that steps have given them
+	budgets   map[string]int                 // tasks of a team that may be disturbed at once
 }
 
 // node is a controller, which may run or not.
@@ -86,13 +86,13 @@
 // logs. The log of the controllers goes to logs.
 func (s *Scenario) PlayOn(
 	ctx context.Context, network *standin.Network, logs io.Writer,
-) (events []standin.WorkEvent, err error) {
+) (events []standin.Event, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	w := &world{
 		log:     slog.New(slog.NewTextHandler(logs, &slog.HandlerOptions{Level: slog.LevelDebug})),
 		net:     network,
-		state:   standin.NewState(),
-		referee: standin.NewReferee(),
+		state:   standin.NewStore(),
+		referee: standin.NewChecker(),
 		byName:  map[string]*wire.MachineType{},
 		options: s.options,
 		nodes:   map[string]*node{},
@@ -115,11 +115,11 @@
 			return nil, fmt.Errorf("step %q: %w", line, err)
 		}
 	}
-	w.referee.Finish()
+	w.referee.CheckAtEnd()
 	if err := w.audit(); err != nil {
 		return nil, err
 	}
-	if broken := w.referee.Broken(); len(broken) > 0 {
+	if broken := w.referee.Violations(); len(broken) > 0 {
 		return nil, fmt.Errorf("rules broken: %s", strings.Join(broken, "; "))
 	}
 	return w.referee.Events(), nil
@@ -134,7 +134,7 @@
 		w.users.CloseIdleConnections()
 	}
 	cancel()
-	if !w.net.Real() {
+	if !w.net.IsLoopback() {
 		time.Sleep(10 * time.Second) // of virtual time, for what is left to end
 	}
 }
@@ -142,8 +142,8 @@
 // audit checks the workers' logs against the teams' budgets. A loss counts once the leader must have missed a heartbeat
 // and commands that it had decided on before have arrived.
 func (w *world) audit() error {
-	detection := w.workers.Report + w.workers.Report/2 + seconds(w.values["order_s"])
-	if _, breaches := standin.AuditDisturbances(w.referee.Events(), w.budgets, detection); len(breaches) > 0 {
+	detection := w.workers.HeartbeatInterval + w.workers.HeartbeatInterval/2 + seconds(w.values["order_s"])
+	if _, breaches := standin.AuditDisruptions(w.referee.Events(), w.budgets, detection); len(breaches) > 0 {
 		return fmt.Errorf("budgets broken: %s", strings.Join(breaches, "; "))
 	}
 	return nil
@@ -156,23 +156,23 @@
 	}
 	for _, machineType := range w.types {
 		w.byName[machineType.Name] = &machineType
-		w.referee.Type(machineType)
+		w.referee.AddMachineType(machineType)
 	}
 	for i := range controllers {
 		name := fmt.Sprintf("c%d", i)
 		w.members = append(w.members, name)
 		w.nodes[name] = &node{ip: fmt.Sprintf("10.0.0.%d", i+1)}
-		address := standin.Address{Member: name, Addr: w.nodes[name].ip + ":" + servePort}
-		w.workers.Nodes = append(w.workers.Nodes, address)
+		address := standin.Controller{Name: name, Address: w.nodes[name].ip + ":" + servePort}
+		w.workers.Controllers = append(w.workers.Controllers, address)
 	}
 	if err := w.buildFakes(ctx); err != nil {
 		return err
 	}
 	w.users = &http.Client{
-		Transport: &http.Transport{DialContext: w.net.Host(usersIP).Dial, DisableKeepAlives: true},
+		Transport: &http.Transport{DialContext: w.net.StartHost(usersIP).Dial, DisableKeepAlives: true},
 		Timeout:   requestTimeout,
 	}
-	w.operators = w.net.Host(operatorsIP)
+	w.operators = w.net.StartHost(operatorsIP)
 	for _, declare := range w.later {
 		declare()
 	}
@@ -186,17 +186,17 @@
 
 // buildFakes starts the fakes of the store, the cloud and the workers.
 func (w *world) buildFakes(ctx context.Context) error {
-	w.workers.Report, w.workers.Lease = seconds(w.values["report_s"]), seconds(w.values["lease_s"])
-	w.referee.CancelWithin(seconds(w.values["cancel_s"]))
-	w.workers.Types, w.workers.Referee = w.byName, w.referee
-	w.workers.Gangs = standin.NewGangs(seconds(w.values["gang_wait_s"]), seconds(w.values["gang_peer_s"]))
+	w.workers.HeartbeatInterval, w.workers.LeaseDuration = seconds(w.values["report_s"]), seconds(w.values["lease_s"])
+	w.referee.SetCancelDeadline(seconds(w.values["cancel_s"]))
+	w.workers.MachineTypes, w.workers.Checker = w.byName, w.referee
+	w.workers.Gangs = standin.NewGangRuntime(seconds(w.values["gang_wait_s"]), seconds(w.values["gang_peer_s"]))
 	newWorker := func(id, ip, typ, zone string, spot bool) *standin.Worker {
 		return standin.NewWorker(ctx, w.net, w.workers, id, ip, typ, zone, spot)
 	}
 	w.cloud = standin.NewCloud(w.types, seconds(w.values["list_lag_s"]), newWorker)
-	w.repeats = map[string]*standin.Repeater{
-		nameState: standin.NewRepeater(w.state),
-		nameCloud: standin.NewRepeater(w.cloud),
+	w.repeats = map[string]*standin.Duplicator{
+		nameState: standin.NewDuplicator(w.state),
+		nameCloud: standin.NewDuplicator(w.cloud),
 	}
 	if err := w.serve(ctx, stateIP, statePort, w.repeats[nameState]); err != nil {
 		return err
@@ -227,7 +227,7 @@
 
 // serve serves HTTP at an address until the context ends.
 func (w *world) serve(ctx context.Context, ip, port string, handler http.Handler) error {
-	listener, err := w.net.Host(ip).Listen(ip + ":" + port)
+	listener, err := w.net.StartHost(ip).Listen(ip + ":" + port)
 	if err != nil {
 		return err
 	}
@@ -239,7 +239,7 @@
 
 // leader returns the member that holds the leader's key, or an empty string.
 func (w *world) leader() string {
-	item, ok := w.state.Item(state.LeaderKey)
+	item, ok := w.state.Get(state.LeaderKey)
 	var record state.LeaderRecord
 	if !ok || json.Unmarshal(item.Value, &record) != nil {
 		return ""
--- a/internal/standin/audit.go
+++ b/internal/standin/audit.go
@@ -6,46 +6,46 @@
 )
 
 // WorkEventKind is what happened to a task on a machine.
-type WorkEventKind int
+type EventKind int
 
 // Kinds of events.
 const (
-	Began     WorkEventKind = iota // it is on the machine and runs from now on
-	StopOrder                      // an order to stop it was carried out
-	Vanished                       // it is on the machine no more, without a result
-	Completed
-	Accepted  // a user has been told that its job is accepted
-	Withdrawn // a user asks to cancel its job: that it does not run disturbs nobody any more
+	TaskStarted   EventKind = iota // it is on the machine and runs from now on
+	StopCommanded                  // an order to stop it was carried out
+	TaskVanished                   // it is on the machine no more, without a result
+	TaskCompleted
+	JobAccepted     // a user has been told that its job is accepted
+	CancelRequested // a user asks to cancel its job: that it does not run disturbs nobody any more
 )
 
 // WorkEvent is an entry in the workers' logs.
-type WorkEvent struct {
-	At            time.Time
-	Kind          WorkEventKind
-	Team, Task    string
-	Machine       string
-	NoDisturbance bool // the job is cancelled, or the cloud takes the machine back
+type Event struct {
+	At         time.Time
+	Kind       EventKind
+	Team, Task string
+	Machine    string
+	Exempt     bool // the job is cancelled, or the cloud takes the machine back
 }
 
 // Disturbance is a time in which a task that had run did not, as the workers' logs show it.
-type Disturbance struct {
+type Disruption struct {
 	Team, Task string
 	Begin, End time.Time // End is zero while it lasts
-	Ordered    bool      // by an order to stop; otherwise the task was lost
+	Commanded  bool      // by an order to stop; otherwise the task was lost
 }
 
 // AuditDisturbances finds from workers' logs alone all disturbances, and each order to stop a task by which more of its
 // team's tasks than its budget were disturbed at once. A loss counts once the controllers can know of it, an order at
 // once.
-func AuditDisturbances(events []WorkEvent, budgets map[string]int, detection time.Duration) (all []Disturbance, breaches []string) {
-	open := map[string]*Disturbance{}
+func AuditDisruptions(events []Event, budgets map[string]int, detection time.Duration) (all []Disruption, breaches []string) {
+	open := map[string]*Disruption{}
 	running := map[string]bool{}
-	begin := func(e WorkEvent, ordered bool) {
-		if running[e.Task] && open[e.Task] == nil && !e.NoDisturbance {
-			open[e.Task] = &Disturbance{Team: e.Team, Task: e.Task, Begin: e.At, Ordered: ordered}
+	begin := func(e Event, ordered bool) {
+		if running[e.Task] && open[e.Task] == nil && !e.Exempt {
+			open[e.Task] = &Disruption{Team: e.Team, Task: e.Task, Begin: e.At, Commanded: ordered}
 		}
 	}
-	end := func(e WorkEvent) {
+	end := func(e Event) {
 		if d := open[e.Task]; d != nil {
 			d.End = e.At
 			all = append(all, *d)
@@ -54,16 +54,16 @@
 	}
 	for _, e := range events {
 		switch e.Kind {
-		case Began:
+		case TaskStarted:
 			end(e)
 			running[e.Task] = true
-		case Completed, Withdrawn:
+		case TaskCompleted, CancelRequested:
 			end(e)
 			delete(running, e.Task)
-		case Vanished:
+		case TaskVanished:
 			begin(e, false)
 			delete(running, e.Task)
-		case StopOrder:
+		case StopCommanded:
 			before := open[e.Task]
 			begin(e, true)
 			if d := open[e.Task]; d == nil || before != nil {
@@ -71,7 +71,7 @@
 			}
 			n := 0
 			for _, d := range open {
-				if d.Team == e.Team && (d.Ordered || e.At.Sub(d.Begin) > detection) {
+				if d.Team == e.Team && (d.Commanded || e.At.Sub(d.Begin) > detection) {
 					n++
 				}
 			}
--- a/internal/standin/audit_test.go
+++ b/internal/standin/audit_test.go
@@ -7,16 +7,16 @@
 )
 
 // event reads an event such as "12 stop run-1/0" at a second after the beginning.
-func events(t *testing.T, lines string) []WorkEvent {
-	kinds := map[string]WorkEventKind{"begin": Began, "stop": StopOrder, "gone": Vanished, "done": Completed, "withdrawn": Withdrawn}
-	var out []WorkEvent
+func events(t *testing.T, lines string) []Event {
+	kinds := map[string]EventKind{"begin": TaskStarted, "stop": StopCommanded, "gone": TaskVanished, "done": TaskCompleted, "withdrawn": CancelRequested}
+	var out []Event
 	for _, line := range strings.Split(lines, ";") {
 		f := strings.Fields(line)
 		at, err := time.ParseDuration(f[0] + "s")
 		if err != nil {
 			t.Fatal(err)
 		}
-		out = append(out, WorkEvent{At: time.Unix(0, 0).Add(at), Kind: kinds[f[1]], Team: "red", Task: f[2], Machine: "n-1", NoDisturbance: len(f) > 3})
+		out = append(out, Event{At: time.Unix(0, 0).Add(at), Kind: kinds[f[1]], Team: "red", Task: f[2], Machine: "n-1", Exempt: len(f) > 3})
 	}
 	return out
 }
@@ -45,7 +45,7 @@
 		{"the cancellation of another job", three + "1 stop a;2 gone a;3 withdrawn c;4 stop b", 2, 1, 1, 0},
 		{"nothing at all may be disturbed", three + "1 stop a", 1, 1, 0, 0},
 	} {
-		all, breaches := AuditDisturbances(events(t, c.log), map[string]int{"red": c.budget}, 10*time.Second)
+		all, breaches := AuditDisruptions(events(t, c.log), map[string]int{"red": c.budget}, 10*time.Second)
 		if len(all) != c.disturbed || len(breaches) != c.breaches {
 			t.Errorf("%s: %v, %v", c.name, all, breaches)
 		}
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -14,17 +14,17 @@
 
 // Cloud is a cloud. It starts workers for the machines that it rents.
 type Cloud struct {
-	mu       sync.Mutex
-	types    []wire.MachineType
-	lag      time.Duration
-	machines map[string]*rented
-	hires    map[string][]string
-	places   map[string]int // machines left by type, zone and kind
-	next     int
-	outage   bool
-	lose     bool
-	start    func(id, ip, typ, zone string, spot bool) *Worker
-	hired    int
+	mu        sync.Mutex
+	types     []wire.MachineType
+	lag       time.Duration
+	machines  map[string]*rented
+	hires     map[string][]string
+	places    map[string]int // machines left by type, zone and kind
+	next      int
+	outage    bool
+	lose      bool
+	start     func(id, ip, typ, zone string, spot bool) *Worker
+	scaledOut int
 }
 
 type rented struct {
@@ -43,38 +43,40 @@
 func placeKey(typ, zone string, spot bool) string { return fmt.Sprint(typ, "/", zone, "/", spot) }
 
 // Capacity sets how many machines may be rented.
-func (c *Cloud) Capacity(typ, zone string, spot bool, n int) { c.places[placeKey(typ, zone, spot)] = n }
+func (c *Cloud) SetCapacity(typ, zone string, spot bool, n int) {
+	c.places[placeKey(typ, zone, spot)] = n
+}
 
 // Outage begins or ends an outage.
-func (c *Cloud) Outage(on bool) {
+func (c *Cloud) SetOutage(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.outage = on
 }
 
 // LoseAnswer has the next hire carried out without an answer.
-func (c *Cloud) LoseAnswer() {
+func (c *Cloud) LoseNextResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lose = true
 }
 
 // Hired gives how many machines have been rented so far.
-func (c *Cloud) Hired() int {
+func (c *Cloud) ScaledOut() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.hired
+	return c.scaledOut
 }
 
 // Up gives how many machines there are.
-func (c *Cloud) Up() int {
+func (c *Cloud) MachineCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.machines)
 }
 
 // InZone gives how many machines there are in a zone.
-func (c *Cloud) InZone(zone string) int {
+func (c *Cloud) MachinesInZone(zone string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
@@ -97,7 +99,7 @@
 }
 
 // Workers gives the workers of the machines that are up.
-func (c *Cloud) Workers() []*Worker {
+func (c *Cloud) RunningMachines() []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []*Worker
@@ -110,14 +112,14 @@
 }
 
 // Add enters a machine that is up from the start.
-func (c *Cloud) Add(typ, zone string, spot bool) string {
+func (c *Cloud) AddMachine(typ, zone string, spot bool) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rent(typ, zone, spot, 0)
 }
 
 // Die ends a machine by itself; it is listed as failed at once.
-func (c *Cloud) Die(id string) {
+func (c *Cloud) FailMachine(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.machines[id]
@@ -126,7 +128,7 @@
 }
 
 // Take takes a machine back: it is gone and no longer listed.
-func (c *Cloud) Take(id string) {
+func (c *Cloud) ReclaimMachine(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.machines[id].worker.Stop()
@@ -254,7 +256,7 @@
 		}
 		c.places[placeKey(h.Type, h.Zone, h.Spot)] -= n
 		c.hires[h.RequestID] = names
-		c.hired += n
+		c.scaledOut += n
 	}
 	if c.lose {
 		c.lose = false
--- a/internal/standin/gangs.go
+++ b/internal/standin/gangs.go
@@ -9,7 +9,7 @@
 
 // Gangs is what the tasks of gangs know of one another: those of a job that have the same
 // attempt find each other, wherever they are.
-type Gangs struct {
+type GangRuntime struct {
 	wait, peer time.Duration
 	mu         sync.Mutex
 	attempts   map[gangKey]*gangAttempt
@@ -37,15 +37,15 @@
 }
 
 // NewGangs makes the book of a world's gangs.
-func NewGangs(wait, peer time.Duration) *Gangs {
-	return &Gangs{wait: wait, peer: peer, attempts: map[gangKey]*gangAttempt{}, saved: map[string]time.Duration{}}
+func NewGangRuntime(wait, peer time.Duration) *GangRuntime {
+	return &GangRuntime{wait: wait, peer: peer, attempts: map[gangKey]*gangAttempt{}, saved: map[string]time.Duration{}}
 }
 
 // gangStep is how often a worker looks what its gang tasks' mates do.
 const gangStep = 100 * time.Millisecond
 
 // enter notes that a task has its image and waits for the others.
-func (g *Gangs) enter(t *workerTask) {
+func (g *GangRuntime) enter(t *workerTask) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	k := gangKey{t.job, t.attempt}
@@ -61,7 +61,7 @@
 }
 
 // leave notes that a task is gone. If the others had begun, they are short of it.
-func (g *Gangs) leave(t *workerTask) {
+func (g *GangRuntime) leave(t *workerTask) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	at := g.attempts[gangKey{t.job, t.attempt}]
@@ -75,7 +75,7 @@
 }
 
 // lose ends an attempt that is short of a task: its progress since the last checkpoint is lost.
-func (g *Gangs) lose(t *workerTask, at *gangAttempt, now time.Time) {
+func (g *GangRuntime) lose(t *workerTask, at *gangAttempt, now time.Time) {
 	at.lost = now
 	if !at.finished {
 		at.finished = true
@@ -96,7 +96,7 @@
 }
 
 // told notes that a running task is told to stop and has the time to save.
-func (g *Gangs) told(t *workerTask) {
+func (g *GangRuntime) told(t *workerTask) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	at := g.attempts[gangKey{t.job, t.attempt}]
@@ -115,7 +115,7 @@
 
 // look tells a task that is there what becomes of it. since is when it began to wait, run the
 // length of the job.
-func (g *Gangs) look(t *workerTask, since time.Time, run time.Duration) gangFate {
+func (g *GangRuntime) look(t *workerTask, since time.Time, run time.Duration) gangFate {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -154,7 +154,7 @@
 }
 
 // saving is the fate of a task while its gang is told to stop.
-func (g *Gangs) saving(t *workerTask, at *gangAttempt, now time.Time) gangFate {
+func (g *GangRuntime) saving(t *workerTask, at *gangAttempt, now time.Time) gangFate {
 	all := len(at.members) == t.desc.Tasks
 	for _, m := range at.members {
 		all = all && m.told
@@ -173,7 +173,7 @@
 }
 
 // Saved gives the progress that a job has saved.
-func (g *Gangs) Saved(job string) time.Duration {
+func (g *GangRuntime) SavedProgress(job string) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.saved[job]
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -23,23 +23,23 @@
 }
 
 // SampleLoad gives the load of the machines at regular times between the first task's begin and the last event.
-func SampleLoad(events []WorkEvent, every time.Duration) []LoadSample {
-	first := slices.IndexFunc(events, func(e WorkEvent) bool { return e.Kind == Began })
+func SampleLoad(events []Event, every time.Duration) []LoadSample {
+	first := slices.IndexFunc(events, func(e Event) bool { return e.Kind == TaskStarted })
 	if first < 0 {
 		return nil
 	}
 	events = events[first:]
 	var samples []LoadSample
-	on := map[string]WorkEvent{} // by task
+	on := map[string]Event{} // by task
 	next := events[0].At
 	for _, e := range events {
 		for ; e.At.After(next); next = next.Add(every) {
 			samples = append(samples, sampleAt(next, on))
 		}
 		switch e.Kind {
-		case Began:
+		case TaskStarted:
 			on[e.Task] = e
-		case Vanished, Completed:
+		case TaskVanished, TaskCompleted:
 			if on[e.Task].Machine == e.Machine {
 				delete(on, e.Task)
 			}
@@ -48,7 +48,7 @@
 	return samples
 }
 
-func sampleAt(at time.Time, on map[string]WorkEvent) LoadSample {
+func sampleAt(at time.Time, on map[string]Event) LoadSample {
 	s := LoadSample{At: at, Tasks: map[string]map[string]int{}}
 	for _, e := range on {
 		if s.Tasks[e.Machine] == nil {
@@ -60,21 +60,21 @@
 }
 
 // SpreadSummary says how evenly work was spread over a number of machines, and what moving it has cost.
-type SpreadSummary struct {
+type RebalancingSummary struct {
 	// Greatest and P99 are loads of single machines, in tasks, over all samples. Imbalance is the mean over time of the
 	// difference between the greatest load and the mean load.
-	Greatest, P99 int64
-	Imbalance     float64
+	MaxLoad, P99 int64
+	Imbalance    float64
 	// Moves are tasks that were stopped and began on another machine, Bounces those of them that were stopped for a
 	// move before within the given time, Warm those whose destination had run a task before.
-	Moves, Bounces, Warm int
+	Moves, Bounces, WarmMoves int
 	// Lost is how long the moved tasks did not run.
-	Lost time.Duration
+	Downtime time.Duration
 }
 
 // SummarizeSpread sums up the workers' logs.
-func SummarizeSpread(events []WorkEvent, machines int, every, bounce time.Duration) SpreadSummary {
-	var sum SpreadSummary
+func SummarizeRebalancing(events []Event, machines int, every, bounce time.Duration) RebalancingSummary {
+	var sum RebalancingSummary
 	sum.addLoad(SampleLoad(events, every), machines)
 	sum.addMoves(events, bounce)
 	return sum
@@ -83,7 +83,7 @@
 // mostTasks bounds the tasks on one machine that the histogram of loads tells apart.
 const mostTasks = 1000
 
-func (sum *SpreadSummary) addLoad(samples []LoadSample, machines int) {
+func (sum *RebalancingSummary) addLoad(samples []LoadSample, machines int) {
 	loads := hdrhistogram.New(1, mostTasks, 3)
 	difference := 0.0
 	for i := range samples {
@@ -98,22 +98,22 @@
 		}
 		difference += float64(greatest) - float64(total)/float64(machines)
 	}
-	sum.Greatest, sum.P99 = loads.Max(), loads.ValueAtQuantile(99)
+	sum.MaxLoad, sum.P99 = loads.Max(), loads.ValueAtQuantile(99)
 	sum.Imbalance = difference / float64(max(1, len(samples)))
 }
 
-func (sum *SpreadSummary) addMoves(events []WorkEvent, bounce time.Duration) {
-	stopped, moved := map[string]WorkEvent{}, map[string]time.Time{}
+func (sum *RebalancingSummary) addMoves(events []Event, bounce time.Duration) {
+	stopped, moved := map[string]Event{}, map[string]time.Time{}
 	used := map[string]bool{}
 	for _, e := range events {
 		switch e.Kind {
-		case StopOrder:
-			if _, twice := stopped[e.Task]; !twice && !e.NoDisturbance {
+		case StopCommanded:
+			if _, twice := stopped[e.Task]; !twice && !e.Exempt {
 				stopped[e.Task] = e
 			}
-		case Completed, Withdrawn:
+		case TaskCompleted, CancelRequested:
 			delete(stopped, e.Task)
-		case Began:
+		case TaskStarted:
 			before, is := stopped[e.Task]
 			if is && before.Machine != e.Machine {
 				sum.Moves++
@@ -121,9 +121,9 @@
 					sum.Bounces++
 				}
 				if used[e.Machine] {
-					sum.Warm++
+					sum.WarmMoves++
 				}
-				sum.Lost += e.At.Sub(before.At)
+				sum.Downtime += e.At.Sub(before.At)
 				moved[e.Task] = before.At
 			}
 			delete(stopped, e.Task)
@@ -137,14 +137,14 @@
 
 // Waits gives for each team how long its tasks waited from the acceptance of their job until they first began, in
 // milliseconds.
-func Waits(events []WorkEvent) map[string]*hdrhistogram.Histogram {
+func WaitTimes(events []Event) map[string]*hdrhistogram.Histogram {
 	waits := map[string]*hdrhistogram.Histogram{}
 	accepted := map[string]time.Time{}
 	for _, e := range events {
 		switch e.Kind {
-		case Accepted:
+		case JobAccepted:
 			accepted[e.Task] = e.At
-		case Began:
+		case TaskStarted:
 			since, first := accepted[e.Task]
 			if !first {
 				continue
--- a/internal/standin/loopback.go
+++ b/internal/standin/loopback.go
@@ -61,7 +61,7 @@
 }
 
 // Real reports whether the network's connections, and so its time, are real.
-func (n *Network) Real() bool { return n.loopback }
+func (n *Network) IsLoopback() bool { return n.loopback }
 
 func newSockets(block int) *sockets {
 	return &sockets{block: block, listeners: map[net.Listener]bool{}, conns: map[net.Conn]bool{}}
--- a/internal/standin/loopback_test.go
+++ b/internal/standin/loopback_test.go
@@ -17,7 +17,7 @@
 		networks[i] = network
 	}
 	for _, network := range networks {
-		host := network.Host("10.3.0.1")
+		host := network.StartHost("10.3.0.1")
 		t.Cleanup(host.Kill)
 		if _, err := host.Listen("10.3.0.1:2379"); err != nil {
 			t.Error(err)
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -16,22 +16,22 @@
 )
 
 // Mode is how a link between two hosts behaves.
-type Mode int
+type LinkMode int
 
 // Modes of a link.
 const (
-	Pass   Mode = iota
-	Hold        // packets are held back and delivered once the link passes again
-	Refuse      // connections are refused and open ones reset
-	Deaf        // what goes to the first host is held back; what it sends arrives
-	Mute        // connections that the first host opens are held back; those to it are not
+	LinkUp      LinkMode = iota
+	LinkHeld             // packets are held back and delivered once the link passes again
+	LinkRefused          // connections are refused and open ones reset
+	InboundHeld          // what goes to the first host is held back; what it sends arrives
+	DialedHeld           // connections that the first host opens are held back; those to it are not
 )
 
 // Network connects hosts, each with one address.
 type Network struct {
 	mu     sync.Mutex
 	hosts  map[string]*Host
-	links  map[[2]string]Mode
+	links  map[[2]string]LinkMode
 	first  map[[2]string]string // the host named first where a link is deaf or mute
 	change chan struct{}        // closed when something may have become possible
 	// loopback networks use real connections, to addresses in a block of their own.
@@ -42,7 +42,7 @@
 
 // NewNetwork makes a network without hosts.
 func NewNetwork() *Network {
-	return &Network{hosts: map[string]*Host{}, links: map[[2]string]Mode{}, first: map[[2]string]string{}, change: make(chan struct{})}
+	return &Network{hosts: map[string]*Host{}, links: map[[2]string]LinkMode{}, first: map[[2]string]string{}, change: make(chan struct{})}
 }
 
 // Host is a machine for as long as it lives; another may take its address then.
@@ -56,7 +56,7 @@
 }
 
 // Host starts a host; the one that had the address before is dead.
-func (n *Network) Host(ip string) *Host {
+func (n *Network) StartHost(ip string) *Host {
 	h := &Host{net: n, ip: ip, listeners: map[string]*listener{}, conns: map[*conn]bool{}}
 	if n.loopback {
 		h.sockets = newSockets(n.block)
@@ -106,7 +106,7 @@
 
 // Link sets how the link between two hosts behaves; with Deaf, a is the one that does not
 // hear, with Mute the one that can't speak up.
-func (n *Network) Link(a, b string, m Mode) {
+func (n *Network) SetLink(a, b string, m LinkMode) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.links[pair(a, b)] = m
@@ -120,7 +120,7 @@
 			if pair(c.local.ip, c.remote.ip) != pair(a, b) {
 				continue
 			}
-			if m == Refuse {
+			if m == LinkRefused {
 				c.breakBoth(syscall.ECONNRESET)
 			} else {
 				c.in.setHeld(n.holds(c.remote.ip, c.local.ip, c.dialer))
@@ -135,7 +135,7 @@
 // has opened.
 func (n *Network) holds(from, to, dialer string) bool {
 	p := pair(from, to)
-	return n.links[p] == Hold || n.links[p] == Deaf && n.first[p] == to || n.links[p] == Mute && n.first[p] == dialer
+	return n.links[p] == LinkHeld || n.links[p] == InboundHeld && n.first[p] == to || n.links[p] == DialedHeld && n.first[p] == dialer
 }
 
 // Listen opens a listener on the host.
@@ -192,10 +192,10 @@
 	to := n.hosts[ip]
 	mode := n.links[pair(h.ip, ip)]
 	first := n.first[pair(h.ip, ip)]
-	if to == nil || mode == Hold || mode == Deaf && first == ip || mode == Mute && first == h.ip {
+	if to == nil || mode == LinkHeld || mode == InboundHeld && first == ip || mode == DialedHeld && first == h.ip {
 		return nil, n.change, nil // silent
 	}
-	if to.dead || mode == Refuse || to.listeners[addr] == nil {
+	if to.dead || mode == LinkRefused || to.listeners[addr] == nil {
 		return nil, nil, refused
 	}
 	l := to.listeners[addr]
@@ -214,7 +214,7 @@
 
 // Remove takes a host off the network without a word: whoever talks to it hears
 // nothing.
-func (n *Network) Remove(ip string) {
+func (n *Network) RemoveHost(ip string) {
 	h := n.swap(ip, nil)
 	if h == nil {
 		return
--- a/internal/standin/referee.go
+++ b/internal/standin/referee.go
@@ -12,7 +12,7 @@
 
 // Referee knows what users have submitted and been told, and where each task is. It
 // notes every breach of the protocol's rules.
-type Referee struct {
+type Checker struct {
 	mu     sync.Mutex
 	cancel time.Duration
 	limits map[string]float64 // CPUs by team, 0: none
@@ -25,7 +25,7 @@
 	broken []string
 	// lateStarts counts the starts after a confirmed cancellation.
 	lateStarts int
-	events     []WorkEvent // the workers' logs
+	events     []Event // the workers' logs
 }
 
 type refJob struct {
@@ -42,43 +42,43 @@
 }
 
 // NewReferee makes a referee.
-func NewReferee() *Referee {
-	return &Referee{limits: map[string]float64{}, types: map[string]*wire.MachineType{}, jobs: map[string]*refJob{},
+func NewChecker() *Checker {
+	return &Checker{limits: map[string]float64{}, types: map[string]*wire.MachineType{}, jobs: map[string]*refJob{},
 		starts: map[string]int{}, run: map[string]int{}, begun: map[gangKey]map[int]bool{}, used: map[string]float64{}}
 }
 
 // Limit sets a team's limit of CPUs.
-func (r *Referee) Limit(team string, cpus float64) { r.limits[team] = cpus }
+func (r *Checker) SetTeamLimit(team string, cpus float64) { r.limits[team] = cpus }
 
 // Type makes a machine type known.
-func (r *Referee) Type(t wire.MachineType) { r.types[t.Name] = &t }
+func (r *Checker) AddMachineType(t wire.MachineType) { r.types[t.Name] = &t }
 
-func (r *Referee) breach(rule, format string, args ...any) {
+func (r *Checker) breach(rule, format string, args ...any) {
 	r.broken = append(r.broken, rule+": "+fmt.Sprintf(format, args...))
 }
 
 // Broken lists the breaches so far.
-func (r *Referee) Broken() []string {
+func (r *Checker) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]string(nil), r.broken...)
 }
 
 // Job gives what was submitted.
-func (r *Referee) Job(id string) (wire.Job, bool) {
+func (r *Checker) Job(id string) (wire.Job, bool) {
 	j, _, _, known := r.describe(id)
 	return j, known
 }
 
 // Starts gives how many task starts a job has seen.
-func (r *Referee) Starts(job string) int {
+func (r *Checker) TaskStarts(job string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.starts[job]
 }
 
 // Runs gives how often a gang has begun to run.
-func (r *Referee) Runs(job string) int {
+func (r *Checker) GangRuns(job string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.run[job]
@@ -86,7 +86,7 @@
 
 // runs notes that a task of a gang runs, which it may only while each of its mates is on a
 // machine too, or was within the time in which the loss of one is noticed.
-func (r *Referee) runs(id string, n int, attempt uint64) {
+func (r *Checker) runs(id string, n int, attempt uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k := gangKey{id, attempt}
@@ -104,7 +104,7 @@
 }
 
 // On gives the machines that a job's tasks are on.
-func (r *Referee) On(job string) map[int]string {
+func (r *Checker) Placements(job string) map[int]string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	on := map[int]string{}
@@ -117,7 +117,7 @@
 }
 
 // Submitted notes that a user has begun to submit a job.
-func (r *Referee) Submitted(j wire.Job, run time.Duration, fails bool) {
+func (r *Checker) JobSubmitted(j wire.Job, run time.Duration, fails bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.jobs[j.ID] == nil {
@@ -126,10 +126,10 @@
 }
 
 // CancelWithin says how soon all of a cancelled job must be gone.
-func (r *Referee) CancelWithin(d time.Duration) { r.cancel = d }
+func (r *Checker) SetCancelDeadline(d time.Duration) { r.cancel = d }
 
 // Asked notes that a user asks to cancel.
-func (r *Referee) Asked(id string) {
+func (r *Checker) CancelRequested(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[id]
@@ -137,19 +137,19 @@
 		return
 	}
 	j.cancelled = true
-	r.logJob(j, Withdrawn)
+	r.logJob(j, CancelRequested)
 }
 
 // logJob enters something into the logs that concerns all tasks of a job.
-func (r *Referee) logJob(j *refJob, kind WorkEventKind) {
+func (r *Checker) logJob(j *refJob, kind EventKind) {
 	for n := range j.job.Tasks {
-		r.events = append(r.events, WorkEvent{At: time.Now(), Kind: kind, Team: j.job.Team, Task: wire.TaskName(j.job.ID, n), NoDisturbance: j.cancelled})
+		r.events = append(r.events, Event{At: time.Now(), Kind: kind, Team: j.job.Team, Task: wire.TaskName(j.job.ID, n), Exempt: j.cancelled})
 	}
 }
 
 // Told notes an answer to a user, to a question asked at the given time. What the user has been told since
 // then binds no answer to it.
-func (r *Referee) Told(id string, asked time.Time, code int, status wire.JobState) {
+func (r *Checker) AnswerSeen(id string, asked time.Time, code int, status wire.JobState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[id]
@@ -180,14 +180,14 @@
 	}
 	if j.told == "" {
 		j.knownAt = time.Now()
-		r.logJob(j, Accepted)
+		r.logJob(j, JobAccepted)
 	}
 	if j.told != status {
 		j.told, j.toldAt = status, time.Now()
 	}
 }
 
-func (r *Referee) describe(id string) (wire.Job, time.Duration, bool, bool) {
+func (r *Checker) describe(id string) (wire.Job, time.Duration, bool, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[id]
@@ -198,7 +198,7 @@
 }
 
 // started notes that a task is on a machine from now on.
-func (r *Referee) started(w *Worker, id string, n int) {
+func (r *Checker) started(w *Worker, id string, n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[id]
@@ -206,7 +206,7 @@
 	if other := j.on[n]; other != nil && other != w {
 		r.breach("ran_twice", "%s/%d starts on %s while it is on %s", id, n, w.id, other.id)
 	}
-	r.logWork(w, Began, id, n)
+	r.logWork(w, TaskStarted, id, n)
 	r.late(id, j, "starts")
 	if j.told == wire.JobCancelled {
 		r.lateStarts++
@@ -229,21 +229,21 @@
 	}
 }
 
-func (r *Referee) late(id string, j *refJob, what string) {
+func (r *Checker) late(id string, j *refJob, what string) {
 	if j.told == wire.JobCancelled && time.Since(j.toldAt) > r.cancel {
 		r.breach("ran_cancelled", "a task of %s %s %s after its cancellation", id, what, time.Since(j.toldAt))
 	}
 }
 
 // LateStarts gives the number of starts after a confirmed cancellation.
-func (r *Referee) LateStarts() int {
+func (r *Checker) StartsAfterCancel() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lateStarts
 }
 
 // Accepted gives the jobs that users were told are known.
-func (r *Referee) Accepted() []string {
+func (r *Checker) AcceptedJobs() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var ids []string
@@ -257,7 +257,7 @@
 
 // LookForRoom looks for jobs none of whose tasks runs while a machine that fits has room and their team
 // is under its limit. None may be left so for 90 s.
-func (r *Referee) LookForRoom(workers []*Worker) {
+func (r *Checker) CheckLeftWaiting(workers []*Worker) {
 	const most = 90 * time.Second
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -289,28 +289,28 @@
 }
 
 // logWork enters what happens to a task on a machine into the workers' logs.
-func (r *Referee) logWork(w *Worker, kind WorkEventKind, id string, n int) {
+func (r *Checker) logWork(w *Worker, kind EventKind, id string, n int) {
 	j := r.jobs[id]
-	r.events = append(r.events, WorkEvent{At: time.Now(), Kind: kind, Team: j.job.Team, Task: wire.TaskName(id, n), Machine: w.id,
-		NoDisturbance: j.cancelled || !w.notice.IsZero()})
+	r.events = append(r.events, Event{At: time.Now(), Kind: kind, Team: j.job.Team, Task: wire.TaskName(id, n), Machine: w.id,
+		Exempt: j.cancelled || !w.notice.IsZero()})
 }
 
 // stopOrdered notes that a worker carries out an order to stop a task that is on it.
-func (r *Referee) stopOrdered(w *Worker, id string, n int) {
+func (r *Checker) stopOrdered(w *Worker, id string, n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.logWork(w, StopOrder, id, n)
+	r.logWork(w, StopCommanded, id, n)
 }
 
 // Events gives the workers' logs so far.
-func (r *Referee) Events() []WorkEvent {
+func (r *Checker) Events() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.events)
 }
 
 // Finish looks at what is left at the end.
-func (r *Referee) Finish() {
+func (r *Checker) CheckAtEnd() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(r.jobs)) {
@@ -321,14 +321,14 @@
 }
 
 // left notes that a task is no longer on a machine.
-func (r *Referee) left(w *Worker, id string, n int, done bool) {
+func (r *Checker) left(w *Worker, id string, n int, done bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[id]
 	r.late(id, j, "leaves")
-	kind := Vanished
+	kind := TaskVanished
 	if done {
-		kind = Completed
+		kind = TaskCompleted
 	}
 	r.logWork(w, kind, id, n)
 	if j.on[n] == w {
--- a/internal/standin/repeat.go
+++ b/internal/standin/repeat.go
@@ -12,30 +12,30 @@
 
 // Repeater serves what another handler serves, and has requests that were carried out
 // come again late, as copies on the network do. Nobody gets the copies' answers.
-type Repeater struct {
+type Duplicator struct {
 	h    http.Handler
 	mu   sync.Mutex
 	late time.Duration
 }
 
 // NewRepeater makes a repeater that repeats nothing yet.
-func NewRepeater(h http.Handler) *Repeater { return &Repeater{h: h} }
+func NewDuplicator(h http.Handler) *Duplicator { return &Duplicator{h: h} }
 
 // Repeat sets how late copies come; 0: none do.
-func (r *Repeater) Repeat(late time.Duration) {
+func (r *Duplicator) SetDelay(late time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.late = late
 }
 
-func (r *Repeater) after() time.Duration {
+func (r *Duplicator) after() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.late
 }
 
 // ServeHTTP serves a request, and its copy later.
-func (r *Repeater) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (r *Duplicator) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	late := r.after()
 	if late == 0 || req.Method == http.MethodGet {
 		r.h.ServeHTTP(w, req)
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -15,7 +15,7 @@
 )
 
 // State is a state service.
-type State struct {
+type Store struct {
 	mu       sync.Mutex
 	items    map[string]wire.KeyValue
 	revision uint64
@@ -31,7 +31,7 @@
 	lost     string        // the next such transactions are applied, their answers lost
 	lateLeft int
 	lostLeft int
-	limits   StateLimits
+	limits   StoreLimits
 	tokens   float64 // changes that may be made at once
 	filled   time.Time
 	refusals int
@@ -39,19 +39,19 @@
 }
 
 // StateLimits bounds changes; 0: not at all.
-type StateLimits struct {
-	ValueBytes, Ops int
-	WriteRPS        float64
+type StoreLimits struct {
+	ValueBytes, Operations int
+	WriteRPS               float64
 }
 
 // NewState makes an empty service.
-func NewState() *State {
-	return &State{items: map[string]wire.KeyValue{}, leases: map[uint64]*time.Timer{}, lives: map[uint64]time.Duration{},
+func NewStore() *Store {
+	return &Store{items: map[string]wire.KeyValue{}, leases: map[uint64]*time.Timer{}, lives: map[uint64]time.Duration{},
 		change: make(chan struct{}), refused: map[string]bool{}}
 }
 
 // Outage begins or ends an outage; after one, every lease has its full time again.
-func (s *State) Outage(on bool) {
+func (s *Store) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.outage = on
@@ -66,14 +66,14 @@
 }
 
 // WatchesLag sets by how much the answers of watches come late.
-func (s *State) WatchesLag(lag time.Duration) {
+func (s *Store) SetWatchDelay(lag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watchLag = lag
 }
 
 // Refuse begins or ends refusing one host.
-func (s *State) Refuse(ip string, on bool) {
+func (s *Store) RefuseHost(ip string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refused[ip] = on
@@ -82,7 +82,7 @@
 
 // Late holds the next transactions that change a key with the prefix back: they are
 // applied after the time given, if their conditions hold then; their answers are lost.
-func (s *State) Late(prefix string, after time.Duration, times int) {
+func (s *Store) DelayTransactions(prefix string, after time.Duration, times int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.late, s.lateFor, s.lateLeft = prefix, after, times
@@ -90,38 +90,38 @@
 
 // LoseAnswer has the next transactions that change a key with the prefix carried out
 // without an answer.
-func (s *State) LoseAnswer(prefix string, times int) {
+func (s *Store) LoseResponses(prefix string, times int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lost, s.lostLeft = prefix, times
 }
 
 // Limit sets the limits. What is stored stays as it is.
-func (s *State) Limit(l StateLimits) {
+func (s *Store) SetLimits(l StoreLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits, s.tokens, s.filled = l, l.WriteRPS, time.Now()
 }
 
 // Refusals gives the number of transactions refused because they were too large.
-func (s *State) Refusals() int {
+func (s *Store) RejectedTooLarge() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.refusals
 }
 
 // Put stores records as a process that is no more has left them, in one transaction.
-func (s *State) Put(changes []wire.Change) {
+func (s *Store) Put(changes []wire.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.apply(wire.Transaction{Then: changes})
 }
 
 // beyond gives the status by which a transaction beyond the limits is refused, or 0.
-func (s *State) beyond(t wire.Transaction) int {
+func (s *Store) beyond(t wire.Transaction) int {
 	l := s.limits
 	large := slices.ContainsFunc(t.Then, func(c wire.Change) bool { return l.ValueBytes > 0 && len(c.Value) > l.ValueBytes })
-	if large || l.Ops > 0 && (len(t.Then) > l.Ops || len(t.If) > 4*l.Ops) {
+	if large || l.Operations > 0 && (len(t.Then) > l.Operations || len(t.If) > 4*l.Operations) {
 		s.refusals++
 		return http.StatusBadRequest
 	}
@@ -138,7 +138,7 @@
 }
 
 // Count gives the number of keys with a prefix.
-func (s *State) Count(prefix string) int {
+func (s *Store) CountKeys(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -150,12 +150,12 @@
 	return n
 }
 
-func (s *State) signal() {
+func (s *Store) signal() {
 	close(s.change)
 	s.change = make(chan struct{})
 }
 
-func (s *State) unavailable(ip string) bool {
+func (s *Store) unavailable(ip string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.outage || s.refused[ip]
@@ -168,7 +168,7 @@
 }
 
 // ServeHTTP serves the protocol.
-func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	ip, _, _ := net.SplitHostPort(r.RemoteAddr)
 	if s.unavailable(ip) {
 		reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "outage"})
@@ -182,7 +182,7 @@
 	case r.URL.Path == "/kv":
 		s.list(w, r)
 	case strings.HasPrefix(r.URL.Path, "/kv/"):
-		s.get(w, strings.TrimPrefix(r.URL.Path, "/kv/"))
+		s.serveKey(w, strings.TrimPrefix(r.URL.Path, "/kv/"))
 	case strings.HasPrefix(r.URL.Path, "/grants"):
 		s.grants(w, r)
 	default:
@@ -190,7 +190,7 @@
 	}
 }
 
-func (s *State) get(w http.ResponseWriter, key string) {
+func (s *Store) serveKey(w http.ResponseWriter, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if it, ok := s.items[key]; ok {
@@ -200,7 +200,7 @@
 	reply(w, http.StatusNotFound, wire.TransactionResult{Revision: s.revision})
 }
 
-func (s *State) list(w http.ResponseWriter, r *http.Request) {
+func (s *Store) list(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	q := r.URL.Query()
@@ -226,7 +226,7 @@
 	reply(w, http.StatusOK, l)
 }
 
-func (s *State) txn(w http.ResponseWriter, r *http.Request) {
+func (s *Store) txn(w http.ResponseWriter, r *http.Request) {
 	var t wire.Transaction
 	if json.NewDecoder(r.Body).Decode(&t) != nil {
 		reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
@@ -260,7 +260,7 @@
 	reply(w, code, body)
 }
 
-func (s *State) apply(t wire.Transaction) (int, any) {
+func (s *Store) apply(t wire.Transaction) (int, any) {
 	for _, c := range t.Then {
 		if _, ok := s.leases[c.Lease]; c.Lease != 0 && !ok {
 			return http.StatusBadRequest, wire.ErrorResponse{Error: "no such lease"}
@@ -292,14 +292,14 @@
 	return http.StatusOK, res
 }
 
-func (s *State) remove(key string) {
+func (s *Store) remove(key string) {
 	if _, ok := s.items[key]; ok {
 		delete(s.items, key)
 		s.log = append(s.log, wire.WatchEvent{Delete: key, Version: s.revision})
 	}
 }
 
-func (s *State) grants(w http.ResponseWriter, r *http.Request) {
+func (s *Store) grants(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	parts := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
@@ -326,7 +326,7 @@
 	reply(w, http.StatusOK, wire.StoreLease{ID: id})
 }
 
-func (s *State) expire(id uint64) {
+func (s *Store) expire(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.outage || s.leases[id] == nil {
@@ -342,7 +342,7 @@
 	s.signal()
 }
 
-func (s *State) watch(w http.ResponseWriter, r *http.Request, ip string) {
+func (s *Store) watch(w http.ResponseWriter, r *http.Request, ip string) {
 	q := r.URL.Query()
 	from, _ := strconv.ParseUint(q.Get("from"), 10, 64)
 	block, _ := strconv.Atoi(q.Get("block_ms"))
@@ -366,7 +366,7 @@
 	}
 }
 
-func (s *State) since(prefix string, from uint64) (wire.WatchResponse, chan struct{}, time.Duration) {
+func (s *Store) since(prefix string, from uint64) (wire.WatchResponse, chan struct{}, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	res := wire.WatchResponse{Revision: s.revision, Events: []wire.WatchEvent{}}
@@ -379,7 +379,7 @@
 }
 
 // Item gives a key's item.
-func (s *State) Item(key string) (wire.KeyValue, bool) {
+func (s *Store) Get(key string) (wire.KeyValue, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	it, ok := s.items[key]
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -18,15 +18,15 @@
 
 // WorkerConfig holds the times of the worker protocol.
 type WorkerConfig struct {
-	Report, Lease time.Duration
-	Nodes         []Address
-	Types         map[string]*wire.MachineType
-	Referee       *Referee
-	Gangs         *Gangs
+	HeartbeatInterval, LeaseDuration time.Duration
+	Controllers                      []Controller
+	MachineTypes                     map[string]*wire.MachineType
+	Checker                          *Checker
+	Gangs                            *GangRuntime
 }
 
 // Address is a controller and where it serves workers.
-type Address struct{ Member, Addr string }
+type Controller struct{ Name, Address string }
 
 // Worker is the worker of one machine. Its goroutine owns all of its state.
 type Worker struct {
@@ -78,9 +78,9 @@
 // NewWorker starts a worker; it ends with ctx or Stop.
 func NewWorker(ctx context.Context, n *Network, cfg WorkerConfig, id, ip, typ, zone string, spot bool) *Worker {
 	ctx, cancel := context.WithCancel(ctx)
-	w := &Worker{id: id, ip: ip, typ: typ, zone: zone, spot: spot, cfg: cfg, host: n.Host(ip), inbox: make(chan func(), 64),
+	w := &Worker{id: id, ip: ip, typ: typ, zone: zone, spot: spot, cfg: cfg, host: n.StartHost(ip), inbox: make(chan func(), 64),
 		cancel: cancel, gone: make(chan struct{}), session: 1, images: map[string]time.Time{}, renewed: time.Now()}
-	w.mail = &http.Client{Transport: &http.Transport{DialContext: n.Host("mail-" + ip).Dial, DisableKeepAlives: true}, Timeout: 4 * time.Second}
+	w.mail = &http.Client{Transport: &http.Transport{DialContext: n.StartHost("mail-" + ip).Dial, DisableKeepAlives: true}, Timeout: 4 * time.Second}
 	l, err := w.host.Listen(ip + ":9000")
 	if err != nil {
 		panic(err)
@@ -111,7 +111,7 @@
 	w.inbox <- func() {
 		select {
 		case <-hung:
-		case <-time.After(time.Until(w.renewed.Add(w.cfg.Lease)) + time.Millisecond):
+		case <-time.After(time.Until(w.renewed.Add(w.cfg.LeaseDuration)) + time.Millisecond):
 			w.expire(time.Now()) // the lease runs out all the same
 			<-hung
 		}
@@ -127,17 +127,17 @@
 }
 
 // Launched has the machine hold a task that a controller has launched under a token.
-func (w *Worker) Launched(task string, attempt, token uint64) {
+func (w *Worker) ReceiveLaunch(task string, attempt, token uint64) {
 	w.inbox <- func() {
 		w.obey(wire.CommandPush{FencingToken: token, Incarnation: w.session, Commands: []wire.Command{{Op: wire.OpStart, Task: task, Attempt: attempt}}})
 	}
 }
 
 // Sicken has the machine fail every task that it starts.
-func (w *Worker) Sicken() { w.inbox <- func() { w.sick = true } }
+func (w *Worker) FailEveryTask() { w.inbox <- func() { w.sick = true } }
 
 // Slow has everything that begins on the machine from now on take so many times as long: fetching, running and saving.
-func (w *Worker) Slow(times float64) { w.inbox <- func() { w.slowness = times } }
+func (w *Worker) SetSlowdown(times float64) { w.inbox <- func() { w.slowness = times } }
 
 // takes is how long something takes on the machine.
 func (w *Worker) takes(usual time.Duration) time.Duration {
@@ -148,20 +148,20 @@
 }
 
 // Copies has a copy of every report arrive late as well, also once the machine is gone.
-func (w *Worker) Copies(late time.Duration) { w.inbox <- func() { w.copies = late } }
+func (w *Worker) DuplicateHeartbeats(late time.Duration) { w.inbox <- func() { w.copies = late } }
 
 // Repeats has a copy of every direct order that is carried out arrive late as well.
-func (w *Worker) Repeats(late time.Duration) { w.inbox <- func() { w.repeats = late } }
+func (w *Worker) DuplicateCommands(late time.Duration) { w.inbox <- func() { w.repeats = late } }
 
 // Keep has copies of the next reports be kept, for Deliver.
-func (w *Worker) Keep(reports int) { w.inbox <- func() { w.toKeep = reports } }
+func (w *Worker) RecordHeartbeats(reports int) { w.inbox <- func() { w.toKeep = reports } }
 
 // Deliver has the kept copies arrive at every controller.
-func (w *Worker) Deliver() {
+func (w *Worker) DeliverRecordedHeartbeats() {
 	w.inbox <- func() {
 		for _, body := range w.kept {
-			for _, n := range w.cfg.Nodes {
-				go w.mailed(n.Addr, body)
+			for _, n := range w.cfg.Controllers {
+				go w.mailed(n.Address, body)
 			}
 		}
 		w.toKeep, w.kept = 0, nil
@@ -169,7 +169,7 @@
 }
 
 // Notice has the cloud announce that it takes the machine back.
-func (w *Worker) Notice(in time.Duration) {
+func (w *Worker) AnnounceReclaim(in time.Duration) {
 	at := time.Now().Add(in)
 	w.inbox <- func() {
 		w.notice = at
@@ -179,7 +179,7 @@
 
 // Stop ends the machine and everything on it, without a word on the network.
 func (w *Worker) Stop() {
-	w.host.net.Remove(w.ip)
+	w.host.net.RemoveHost(w.ip)
 	w.dying.Store(true)
 	w.Resume()
 	select {
@@ -216,7 +216,7 @@
 // idle is how long nothing happens by itself.
 func (w *Worker) idle(now time.Time) time.Duration {
 	const least = 10 * time.Millisecond
-	at := w.renewed.Add(w.cfg.Lease + least)
+	at := w.renewed.Add(w.cfg.LeaseDuration + least)
 	for _, t := range w.tasks {
 		until := t.until
 		if t.state == wire.TaskFetching {
@@ -242,7 +242,7 @@
 
 func (w *Worker) step(ctx context.Context) {
 	now := time.Now()
-	if now.Sub(w.renewed) > w.cfg.Lease {
+	if now.Sub(w.renewed) > w.cfg.LeaseDuration {
 		w.expire(now)
 	}
 	for _, t := range w.tasks {
@@ -275,7 +275,7 @@
 		if t.gang() {
 			w.cfg.Gangs.leave(t)
 		}
-		w.cfg.Referee.left(w, t.job, t.index, done)
+		w.cfg.Checker.left(w, t.job, t.index, done)
 	}
 }
 
@@ -295,11 +295,11 @@
 		if now.Before(w.images[t.desc.Image]) {
 			return
 		}
-		_, run, fails, _ := w.cfg.Referee.describe(t.job)
+		_, run, fails, _ := w.cfg.Checker.describe(t.job)
 		t.state, t.on = wire.TaskRunning, true
 		t.until = now.Add(w.takes(run))
 		w.changed = true
-		w.cfg.Referee.started(w, t.job, t.index)
+		w.cfg.Checker.started(w, t.job, t.index)
 		if fails || w.sick {
 			w.exit(t, wire.ExitError, false)
 			return
@@ -321,12 +321,12 @@
 
 // withMates takes a task of a gang on by what its mates do.
 func (w *Worker) withMates(t *workerTask) {
-	_, run, _, _ := w.cfg.Referee.describe(t.job)
+	_, run, _, _ := w.cfg.Checker.describe(t.job)
 	fate := w.cfg.Gangs.look(t, t.until, run)
 	if fate.runs && t.state == wire.TaskWaitingForGang {
 		t.state = wire.TaskRunning
 		w.changed = true
-		w.cfg.Referee.runs(t.job, t.index, t.attempt)
+		w.cfg.Checker.runs(t.job, t.index, t.attempt)
 	}
 	if fate.exits != "" {
 		w.exit(t, fate.exits, fate.saved)
@@ -336,9 +336,9 @@
 func (w *Worker) report(ctx context.Context, now time.Time) {
 	w.inFlight, w.changed = true, false
 	w.lastReport = now
-	w.nextReport = now.Add(time.Duration(float64(w.cfg.Report) * (0.75 + rand.Float64()/2)))
+	w.nextReport = now.Add(time.Duration(float64(w.cfg.HeartbeatInterval) * (0.75 + rand.Float64()/2)))
 	body, session := w.describe(), w.session
-	addr := w.cfg.Nodes[w.node].Addr
+	addr := w.cfg.Controllers[w.node].Address
 	if w.toKeep > 0 {
 		w.toKeep--
 		w.kept = append(w.kept, body)
@@ -447,8 +447,8 @@
 	case http.StatusMisdirectedRequest:
 		var red wire.LeaderRedirect
 		if json.Unmarshal(body, &red) == nil {
-			for i, n := range w.cfg.Nodes {
-				if n.Member == red.Leader && i != w.node {
+			for i, n := range w.cfg.Controllers {
+				if n.Name == red.Leader && i != w.node {
 					w.node = i
 					w.nextReport = now.Add(100 * time.Millisecond)
 					return
@@ -456,7 +456,7 @@
 			}
 		}
 	}
-	w.node = (w.node + 1) % len(w.cfg.Nodes)
+	w.node = (w.node + 1) % len(w.cfg.Controllers)
 	w.nextReport = now.Add(time.Second)
 }
 
@@ -464,7 +464,7 @@
 func (w *Worker) heed(now time.Time, token uint64) {
 	if token > w.token {
 		w.token = token
-		if now.Sub(w.tokenNoted) > w.cfg.Lease/2 {
+		if now.Sub(w.tokenNoted) > w.cfg.LeaseDuration/2 {
 			w.tokenNoted = now
 			w.changed = true
 		}
@@ -472,7 +472,7 @@
 }
 
 // Orders gives how many direct orders have come in.
-func (w *Worker) Orders() int { return int(w.orders.Load()) }
+func (w *Worker) CommandPushes() int { return int(w.orders.Load()) }
 
 func (w *Worker) direct(rw http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != wire.PathCommands {
@@ -545,7 +545,7 @@
 	id, n, _ := wire.ParseTaskName(c.Task)
 	t := &workerTask{name: c.Task, job: id, index: n, attempt: c.Attempt, state: wire.TaskFetching}
 	w.tasks = append(w.tasks, t)
-	desc, _, _, known := w.cfg.Referee.describe(id)
+	desc, _, _, known := w.cfg.Checker.describe(id)
 	if !known {
 		w.exit(t, wire.ExitUnknownTask, false)
 		return
@@ -562,7 +562,7 @@
 		}
 		cpus, mem = cpus+o.desc.CPUs, mem+o.desc.MemoryGB
 	}
-	spec := w.cfg.Types[w.typ]
+	spec := w.cfg.MachineTypes[w.typ]
 	if cpus+desc.CPUs > spec.CPUs+1e-9 || mem+desc.MemoryGB > spec.MemoryGB+1e-9 {
 		w.exit(t, wire.ExitInsufficientResources, false)
 		return
@@ -578,7 +578,7 @@
 		grace = *c.GraceS
 	}
 	if t.on {
-		w.cfg.Referee.stopOrdered(w, t.job, t.index)
+		w.cfg.Checker.stopOrdered(w, t.job, t.index)
 	}
 	if t.state == wire.TaskRunning && t.desc.CheckpointIntervalS > 0 && grace >= t.desc.CheckpointSaveS {
 		t.state = wire.TaskCheckpointing
