--- a/cmd/saffronbend/job_test.go
+++ b/cmd/saffronbend/job_test.go
@@ -17,8 +17,8 @@
 	"github.com/alecthomas/kong"
 
 	"saffronbend"
+	"saffronbend/internal/fake"
 	"saffronbend/internal/settings"
-	"saffronbend/internal/standin"
 	"saffronbend/wire"
 )
 
@@ -53,7 +53,7 @@
 
 // controllerWith is controller with the operators' options; it gives the cluster address, too.
 func controllerWith(t *testing.T, options []byte) (front, cluster string) {
-	cloud := standin.NewCloud([]wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 16, BootS: 30, Price: 1, SpotPrice: 0.3,
+	cloud := fake.NewCloud([]wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 16, BootS: 30, Price: 1, SpotPrice: 0.3,
 		FetchGBPS: 1, Zones: []string{"a"}}}, time.Second, nil)
 	front, cluster = freeAddr(t), freeAddr(t)
 	set, err := settings.Parse(fmt.Appendf(nil, `member = "one"
@@ -84,7 +84,7 @@
 core_share = 1.0
 mem_mb = 200.0
 max_connections = 200
-`, front, cluster, serve(t, cloud), serve(t, standin.NewStore())), options)
+`, front, cluster, serve(t, cloud), serve(t, fake.NewStore())), options)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/cloud.go
+++ b/internal/fake/cloud.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"encoding/json"
@@ -9,6 +9,7 @@
 	"sync"
 	"time"
 
+	"saffronbend/internal/invariant"
 	"saffronbend/wire"
 )
 
@@ -23,7 +24,7 @@
 	next      int
 	outage    bool
 	lose      bool
-	start     func(id, ip, typ, zone string, spot bool) *Worker
+	start     func(Machine) *Worker
 	scaledOut int
 }
 
@@ -36,7 +37,7 @@
 }
 
 // NewCloud makes a cloud; start starts the worker of a machine that is up.
-func NewCloud(types []wire.MachineType, lag time.Duration, start func(id, ip, typ, zone string, spot bool) *Worker) *Cloud {
+func NewCloud(types []wire.MachineType, lag time.Duration, start func(Machine) *Worker) *Cloud {
 	return &Cloud{types: types, lag: lag, machines: map[string]*rented{}, hires: map[string][]string{}, places: map[string]int{}, start: start}
 }
 
@@ -99,13 +100,13 @@
 }
 
 // Workers gives the workers of the machines that are up.
-func (c *Cloud) RunningMachines() []*Worker {
+func (c *Cloud) RunningMachines() []invariant.Machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var out []*Worker
+	var out []invariant.Machine
 	for _, id := range slices.Sorted(maps.Keys(c.machines)) {
 		if m := c.machines[id]; m.worker != nil && m.m.State == wire.MachineRunning {
-			out = append(out, m.worker)
+			out = append(out, m.worker.machine.Machine)
 		}
 	}
 	return out
@@ -154,7 +155,7 @@
 		m: wire.Machine{ID: id, Addr: ip + ":9000", Type: typ, Zone: zone, Spot: spot, State: wire.MachineStarting}}
 	c.machines[id] = m
 	up := func() {
-		m.worker = c.start(id, ip, typ, zone, spot)
+		m.worker = c.start(Machine{Machine: invariant.Machine{ID: id, Type: typ, Zone: zone, Spot: spot}, IP: ip})
 		m.m.State = wire.MachineRunning
 	}
 	if boot == 0 {
--- a/internal/standin/network.go
+++ b/internal/fake/network.go
@@ -1,8 +1,8 @@
-// Package standin holds what the tests put in the place of the world outside: a
+// Package fake holds what the tests put in the place of the world outside: a
 // network whose links can be cut, a state service, a cloud, workers, and a referee
 // that watches the protocol's rules. All of it follows the protocol and lives in memory,
 // so that scenarios run on a virtual clock.
-package standin
+package fake
 
 import (
 	"context"
--- a/internal/standin/worker.go
+++ b/internal/fake/worker.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
@@ -13,6 +13,7 @@
 	"sync/atomic"
 	"time"
 
+	"saffronbend/internal/invariant"
 	"saffronbend/wire"
 )
 
@@ -21,26 +22,32 @@
 	HeartbeatInterval, LeaseDuration time.Duration
 	Controllers                      []Controller
 	MachineTypes                     map[string]*wire.MachineType
-	Checker                          *Checker
+	Network                          *Network
+	Checker                          *invariant.Checker
 	Gangs                            *GangRuntime
 }
 
 // Address is a controller and where it serves workers.
 type Controller struct{ Name, Address string }
 
+// Machine is a machine that a worker runs on.
+type Machine struct {
+	invariant.Machine
+	IP string
+}
+
 // Worker is the worker of one machine. Its goroutine owns all of its state.
 type Worker struct {
-	id, ip, typ, zone string
-	spot              bool
-	cfg               WorkerConfig
-	host              *Host
-	line              line         // used by the one report in flight
-	mail              *http.Client // outlives the machine, as late copies do
-	copies, repeats   time.Duration
-	toKeep            int
-	kept              [][]byte // copies of reports, to be delivered when told to
-	inbox             chan func()
-	cancel            context.CancelFunc
+	machine         Machine
+	cfg             WorkerConfig
+	host            *Host
+	line            line         // used by the one report in flight
+	mail            *http.Client // outlives the machine, as late copies do
+	copies, repeats time.Duration
+	toKeep          int
+	kept            [][]byte // copies of reports, to be delivered when told to
+	inbox           chan func()
+	cancel          context.CancelFunc
 
 	session, seq, token uint64
 	renewed             time.Time // when the last answered report was sent
@@ -76,12 +83,12 @@
 func (t *workerTask) gang() bool { return t.desc.Kind == wire.KindGang }
 
 // NewWorker starts a worker; it ends with ctx or Stop.
-func NewWorker(ctx context.Context, n *Network, cfg WorkerConfig, id, ip, typ, zone string, spot bool) *Worker {
+func NewWorker(ctx context.Context, cfg WorkerConfig, machine Machine) *Worker {
 	ctx, cancel := context.WithCancel(ctx)
-	w := &Worker{id: id, ip: ip, typ: typ, zone: zone, spot: spot, cfg: cfg, host: n.StartHost(ip), inbox: make(chan func(), 64),
+	w := &Worker{machine: machine, cfg: cfg, host: cfg.Network.StartHost(machine.IP), inbox: make(chan func(), 64),
 		cancel: cancel, gone: make(chan struct{}), session: 1, images: map[string]time.Time{}, renewed: time.Now()}
-	w.mail = &http.Client{Transport: &http.Transport{DialContext: n.StartHost("mail-" + ip).Dial, DisableKeepAlives: true}, Timeout: 4 * time.Second}
-	l, err := w.host.Listen(ip + ":9000")
+	w.mail = &http.Client{Transport: &http.Transport{DialContext: cfg.Network.StartHost("mail-" + machine.IP).Dial, DisableKeepAlives: true}, Timeout: 4 * time.Second}
+	l, err := w.host.Listen(machine.IP + ":9000")
 	if err != nil {
 		panic(err)
 	}
@@ -173,13 +180,14 @@
 	at := time.Now().Add(in)
 	w.inbox <- func() {
 		w.notice = at
+		w.cfg.Checker.ReclaimAnnounced(w.machine.Machine)
 		w.changed = true
 	}
 }
 
 // Stop ends the machine and everything on it, without a word on the network.
 func (w *Worker) Stop() {
-	w.host.net.RemoveHost(w.ip)
+	w.host.net.RemoveHost(w.machine.IP)
 	w.dying.Store(true)
 	w.Resume()
 	select {
@@ -275,7 +283,7 @@
 		if t.gang() {
 			w.cfg.Gangs.leave(t)
 		}
-		w.cfg.Checker.left(w, t.job, t.index, done)
+		w.cfg.Checker.TaskLeft(w.machine.Machine, invariant.Task{Job: t.job, Index: t.index}, done)
 	}
 }
 
@@ -295,12 +303,12 @@
 		if now.Before(w.images[t.desc.Image]) {
 			return
 		}
-		_, run, fails, _ := w.cfg.Checker.describe(t.job)
+		workload, _ := w.cfg.Checker.Workload(t.job)
 		t.state, t.on = wire.TaskRunning, true
-		t.until = now.Add(w.takes(run))
+		t.until = now.Add(w.takes(workload.RunTime))
 		w.changed = true
-		w.cfg.Checker.started(w, t.job, t.index)
-		if fails || w.sick {
+		w.cfg.Checker.TaskStarted(w.machine.Machine, invariant.Task{Job: t.job, Index: t.index})
+		if workload.Fails || w.sick {
 			w.exit(t, wire.ExitError, false)
 			return
 		}
@@ -321,12 +329,12 @@
 
 // withMates takes a task of a gang on by what its mates do.
 func (w *Worker) withMates(t *workerTask) {
-	_, run, _, _ := w.cfg.Checker.describe(t.job)
-	fate := w.cfg.Gangs.look(t, t.until, run)
+	workload, _ := w.cfg.Checker.Workload(t.job)
+	fate := w.cfg.Gangs.look(t, t.until, workload.RunTime)
 	if fate.runs && t.state == wire.TaskWaitingForGang {
 		t.state = wire.TaskRunning
 		w.changed = true
-		w.cfg.Checker.runs(t.job, t.index, t.attempt)
+		w.cfg.Checker.GangTaskRunning(invariant.Task{Job: t.job, Index: t.index}, t.attempt)
 	}
 	if fate.exits != "" {
 		w.exit(t, fate.exits, fate.saved)
@@ -354,7 +362,7 @@
 
 func (w *Worker) describe() []byte {
 	w.seq++
-	r := wire.Heartbeat{Machine: w.id, Addr: w.ip + ":9000", Type: w.typ, Zone: w.zone, Spot: w.spot, Incarnation: w.session,
+	r := wire.Heartbeat{Machine: w.machine.ID, Addr: w.machine.IP + ":9000", Type: w.machine.Type, Zone: w.machine.Zone, Spot: w.machine.Spot, Incarnation: w.session,
 		Sequence: w.seq, FencingToken: w.token, Tasks: []wire.TaskStatus{}}
 	if !w.notice.IsZero() {
 		s := time.Until(w.notice).Seconds()
@@ -545,11 +553,12 @@
 	id, n, _ := wire.ParseTaskName(c.Task)
 	t := &workerTask{name: c.Task, job: id, index: n, attempt: c.Attempt, state: wire.TaskFetching}
 	w.tasks = append(w.tasks, t)
-	desc, _, _, known := w.cfg.Checker.describe(id)
+	workload, known := w.cfg.Checker.Workload(id)
 	if !known {
 		w.exit(t, wire.ExitUnknownTask, false)
 		return
 	}
+	desc := workload.Job
 	t.desc = desc
 	cpus, mem := 0.0, 0.0
 	for _, o := range w.tasks {
@@ -562,7 +571,7 @@
 		}
 		cpus, mem = cpus+o.desc.CPUs, mem+o.desc.MemoryGB
 	}
-	spec := w.cfg.MachineTypes[w.typ]
+	spec := w.cfg.MachineTypes[w.machine.Type]
 	if cpus+desc.CPUs > spec.CPUs+1e-9 || mem+desc.MemoryGB > spec.MemoryGB+1e-9 {
 		w.exit(t, wire.ExitInsufficientResources, false)
 		return
@@ -578,7 +587,7 @@
 		grace = *c.GraceS
 	}
 	if t.on {
-		w.cfg.Checker.stopOrdered(w, t.job, t.index)
+		w.cfg.Checker.StopCommanded(w.machine.Machine, invariant.Task{Job: t.job, Index: t.index})
 	}
 	if t.state == wire.TaskRunning && t.desc.CheckpointIntervalS > 0 && grace >= t.desc.CheckpointSaveS {
 		t.state = wire.TaskCheckpointing
--- a/internal/standin/audit_test.go
+++ b/internal/invariant/disruption_test.go
@@ -1,22 +1,24 @@
-package standin
+package invariant
 
 import (
 	"strings"
 	"testing"
 	"time"
+
+	"saffronbend/internal/worklog"
 )
 
 // event reads an event such as "12 stop run-1/0" at a second after the beginning.
-func events(t *testing.T, lines string) []Event {
-	kinds := map[string]EventKind{"begin": TaskStarted, "stop": StopCommanded, "gone": TaskVanished, "done": TaskCompleted, "withdrawn": CancelRequested}
-	var out []Event
+func events(t *testing.T, lines string) []worklog.Event {
+	kinds := map[string]worklog.EventKind{"begin": worklog.TaskStarted, "stop": worklog.StopCommanded, "gone": worklog.TaskVanished, "done": worklog.TaskCompleted, "withdrawn": worklog.CancelRequested}
+	var out []worklog.Event
 	for _, line := range strings.Split(lines, ";") {
 		f := strings.Fields(line)
 		at, err := time.ParseDuration(f[0] + "s")
 		if err != nil {
 			t.Fatal(err)
 		}
-		out = append(out, Event{At: time.Unix(0, 0).Add(at), Kind: kinds[f[1]], Team: "red", Task: f[2], Machine: "n-1", Exempt: len(f) > 3})
+		out = append(out, worklog.Event{At: time.Unix(0, 0).Add(at), Kind: kinds[f[1]], Team: "red", Task: f[2], Machine: "n-1", Exempt: len(f) > 3})
 	}
 	return out
 }
--- a/internal/scenario/commands.go
+++ b/internal/scenario/commands.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"strings"
 
-	"saffronbend/internal/standin"
+	"saffronbend/internal/fake"
 )
 
 // arguments are what follows the first word of a step.
@@ -49,11 +49,11 @@
 	"restart": {"MEMBER... or all", "controllers end without a word and start", 1, (*world).restartControllers},
 
 	// Links.
-	"cut":    {"A B", "packets between the hosts are held back", 2, linkCommand(standin.LinkHeld)},
-	"refuse": {"A B", "connections between the hosts are refused", 2, linkCommand(standin.LinkRefused)},
-	"deaf":   {"A B", "packets to A are held back", 2, linkCommand(standin.InboundHeld)},
-	"mute":   {"A B", "packets on connections that A opens are held back", 2, linkCommand(standin.DialedHeld)},
-	"heal":   {"A B", "packets between the hosts pass", 2, linkCommand(standin.LinkUp)},
+	"cut":    {"A B", "packets between the hosts are held back", 2, linkCommand(fake.LinkHeld)},
+	"refuse": {"A B", "connections between the hosts are refused", 2, linkCommand(fake.LinkRefused)},
+	"deaf":   {"A B", "packets to A are held back", 2, linkCommand(fake.InboundHeld)},
+	"mute":   {"A B", "packets on connections that A opens are held back", 2, linkCommand(fake.DialedHeld)},
+	"heal":   {"A B", "packets between the hosts pass", 2, linkCommand(fake.LinkUp)},
 
 	// Services.
 	nameState: {"FAULT", "a fault of the store, see stateFaults", 1, (*world).stateFault},
--- a/internal/scenario/conditions.go
+++ b/internal/scenario/conditions.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"strings"
 
-	"saffronbend/internal/standin"
+	"saffronbend/internal/invariant"
 	"saffronbend/wire"
 )
 
@@ -136,12 +136,12 @@
 }
 
 func disturbed(w *world, _ []string) int {
-	all, _ := standin.AuditDisruptions(w.referee.Events(), w.budgets, 0)
+	all, _ := invariant.AuditDisruptions(w.referee.Events(), w.budgets, 0)
 	return len(all)
 }
 
 func stopped(w *world, _ []string) int {
-	all, _ := standin.AuditDisruptions(w.referee.Events(), nil, 0)
+	all, _ := invariant.AuditDisruptions(w.referee.Events(), nil, 0)
 	n := 0
 	for _, disturbance := range all {
 		if disturbance.Commanded {
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"saffronbend/internal/standin"
+	"saffronbend/internal/fake"
 )
 
 // Names of hosts beside those of controllers and machines.
@@ -58,7 +58,7 @@
 }
 
 // linkCommand makes a command that sets the links between two hosts, or groups of hosts, to a mode.
-func linkCommand(mode standin.LinkMode) func(*world, context.Context, arguments) error {
+func linkCommand(mode fake.LinkMode) func(*world, context.Context, arguments) error {
 	return func(w *world, _ context.Context, args arguments) error {
 		from, err := w.addresses(args.words[0])
 		if err != nil {
@@ -96,7 +96,7 @@
 	if n := w.nodes[w.member(name)]; n != nil {
 		return []string{n.ip}, nil
 	}
-	if ip, ok := standin.MachineIP(name); ok {
+	if ip, ok := fake.MachineIP(name); ok {
 		return []string{ip}, nil
 	}
 	return nil, fmt.Errorf("no host %q", name)
@@ -133,7 +133,7 @@
 	}},
 	"limits": {"BYTES OPS WRITES", "lower limits of values, transactions and writes a second", 3,
 		func(w *world, words []string) {
-			w.state.SetLimits(standin.StoreLimits{
+			w.state.SetLimits(fake.StoreLimits{
 				ValueBytes: integer(words[0]), Operations: integer(words[1]), WriteRPS: number(words[2]),
 			})
 		}},
@@ -193,7 +193,7 @@
 }
 
 // machine returns the machine of a name, which a step may have picked, and nil if there is none.
-func (w *world) machine(name string) (id string, worker *standin.Worker) {
+func (w *world) machine(name string) (id string, worker *fake.Worker) {
 	id = name
 	if picked, ok := w.picked[name]; ok {
 		id = picked
@@ -202,7 +202,7 @@
 }
 
 // machineFault is what happens to a machine. The words are those after its name.
-type machineFault func(w *world, id string, worker *standin.Worker, words []string)
+type machineFault func(w *world, id string, worker *fake.Worker, words []string)
 
 // machineCommand makes a command of what happens to a machine.
 func machineCommand(fault machineFault) func(*world, context.Context, arguments) error {
@@ -224,35 +224,35 @@
 	return nil
 }
 
-func hangMachine(_ *world, _ string, worker *standin.Worker, _ []string)   { worker.Hang() }
-func sickenMachine(_ *world, _ string, worker *standin.Worker, _ []string) { worker.FailEveryTask() }
-func killMachine(w *world, id string, _ *standin.Worker, _ []string)       { w.cloud.FailMachine(id) }
-func takeMachine(w *world, id string, _ *standin.Worker, _ []string)       { w.cloud.ReclaimMachine(id) }
+func hangMachine(_ *world, _ string, worker *fake.Worker, _ []string)   { worker.Hang() }
+func sickenMachine(_ *world, _ string, worker *fake.Worker, _ []string) { worker.FailEveryTask() }
+func killMachine(w *world, id string, _ *fake.Worker, _ []string)       { w.cloud.FailMachine(id) }
+func takeMachine(w *world, id string, _ *fake.Worker, _ []string)       { w.cloud.ReclaimMachine(id) }
 
-func slowMachine(_ *world, _ string, worker *standin.Worker, words []string) {
+func slowMachine(_ *world, _ string, worker *fake.Worker, words []string) {
 	worker.SetSlowdown(number(words[0]))
 }
 
-func noticeMachine(_ *world, _ string, worker *standin.Worker, words []string) {
+func noticeMachine(_ *world, _ string, worker *fake.Worker, words []string) {
 	worker.AnnounceReclaim(secondsOf(words[0]))
 }
 
-func holdTask(_ *world, _ string, worker *standin.Worker, words []string) {
+func holdTask(_ *world, _ string, worker *fake.Worker, words []string) {
 	worker.ReceiveLaunch(words[0], uint64(number(words[1])), uint64(number(words[2])))
 }
 
-func keepHeartbeats(_ *world, _ string, worker *standin.Worker, words []string) {
+func keepHeartbeats(_ *world, _ string, worker *fake.Worker, words []string) {
 	worker.RecordHeartbeats(times(words))
 }
 
-func deliverHeartbeats(_ *world, _ string, worker *standin.Worker, _ []string) {
+func deliverHeartbeats(_ *world, _ string, worker *fake.Worker, _ []string) {
 	worker.DeliverRecordedHeartbeats()
 }
 
-func copyHeartbeats(_ *world, _ string, worker *standin.Worker, words []string) {
+func copyHeartbeats(_ *world, _ string, worker *fake.Worker, words []string) {
 	worker.DuplicateHeartbeats(secondsOf(words[0]))
 }
 
-func repeatCommands(_ *world, _ string, worker *standin.Worker, words []string) {
+func repeatCommands(_ *world, _ string, worker *fake.Worker, words []string) {
 	worker.DuplicateCommands(secondsOf(words[0]))
 }
--- a/internal/scenario/loopback/burst_test.go
+++ b/internal/scenario/loopback/burst_test.go
@@ -13,8 +13,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"saffronbend/internal/fake"
 	"saffronbend/internal/scenario"
-	"saffronbend/internal/standin"
+	"saffronbend/internal/worklog"
 )
 
 // Figures of the burst scenario.
@@ -52,7 +53,7 @@
 		t.Fatal(err)
 	}
 	logLoads(t, events)
-	sum := standin.SummarizeRebalancing(events, burstMachines, burstSample, burstBounce)
+	sum := worklog.SummarizeRebalancing(events, burstMachines, burstSample, burstBounce)
 	t.Logf("%+v", sum)
 	logWaits(t, events)
 	if sum.Moves == 0 || sum.Bounces > 0 {
@@ -61,9 +62,9 @@
 }
 
 // newLoopback makes a network with real connections.
-func newLoopback(t *testing.T) *standin.Network {
+func newLoopback(t *testing.T) *fake.Network {
 	t.Helper()
-	network, err := standin.NewLoopback()
+	network, err := fake.NewLoopback()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,9 +72,9 @@
 }
 
 // logWaits writes how long each team's tasks waited.
-func logWaits(t *testing.T, events []standin.Event) {
+func logWaits(t *testing.T, events []worklog.Event) {
 	t.Helper()
-	for team, waits := range standin.WaitTimes(events) {
+	for team, waits := range worklog.WaitTimes(events) {
 		t.Logf("%s: %d tasks waited %s", team, waits.TotalCount(), quantiles(waits))
 	}
 }
@@ -85,9 +86,9 @@
 }
 
 // logLoads writes a line for each second and a column for each machine: the tasks of red and of blue on it.
-func logLoads(t *testing.T, events []standin.Event) {
+func logLoads(t *testing.T, events []worklog.Event) {
 	t.Helper()
-	samples := standin.SampleLoad(events, time.Second)
+	samples := worklog.SampleLoad(events, time.Second)
 	machines := map[string]bool{}
 	for _, e := range events {
 		machines[e.Machine] = true
@@ -114,18 +115,18 @@
 	var imbalance [2]float64
 	for n := range repeats {
 		for i, off := range []bool{false, true} {
-			var events []standin.Event
+			var events []worklog.Event
 			var err error
 			var logs bytes.Buffer
 			played := burst(t, off)
 			synctest.Test(t, func(t *testing.T) {
-				events, err = played.PlayOn(t.Context(), standin.NewNetwork(), &logs)
+				events, err = played.PlayOn(t.Context(), fake.NewNetwork(), &logs)
 			})
 			if err != nil {
 				t.Log(logs.String())
 				t.Fatal(err)
 			}
-			sum := standin.SummarizeRebalancing(events, burstMachines, burstSample, burstBounce)
+			sum := worklog.SummarizeRebalancing(events, burstMachines, burstSample, burstBounce)
 			t.Logf("repeat %d, moves off: %v: %+v", n, off, sum)
 			logWaits(t, events)
 			imbalance[i] += sum.Imbalance / repeats
--- a/internal/scenario/loopback/drain_test.go
+++ b/internal/scenario/loopback/drain_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"saffronbend/internal/invariant"
 	"saffronbend/internal/scenario"
-	"saffronbend/internal/standin"
 )
 
 // Words of the controllers' logs: a term begins, a disturbance begins, it ends.
@@ -97,7 +97,7 @@
 	for _, attempt := range counted.twice {
 		t.Errorf("the disturbance of %s is counted twice", attempt)
 	}
-	all, _ := standin.AuditDisruptions(events, nil, 0)
+	all, _ := invariant.AuditDisruptions(events, nil, 0)
 	lasted := map[string]*hdrhistogram.Histogram{}
 	for _, d := range all {
 		if lasted[d.Team] == nil {
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -13,9 +13,11 @@
 	"strings"
 	"time"
 
+	"saffronbend/internal/fake"
+	"saffronbend/internal/invariant"
 	"saffronbend/internal/settings"
-	"saffronbend/internal/standin"
 	"saffronbend/internal/state"
+	"saffronbend/internal/worklog"
 	"saffronbend/wire"
 )
 
@@ -44,13 +46,13 @@
 // world is the state of a play. The goroutine that plays the steps owns it.
 type world struct {
 	log     *slog.Logger
-	net     *standin.Network
-	state   *standin.Store
-	cloud   *standin.Cloud
-	referee *standin.Checker
+	net     *fake.Network
+	state   *fake.Store
+	cloud   *fake.Cloud
+	referee *invariant.Checker
 	users   *http.Client
 	// operators is the host from which operators send commands.
-	operators *standin.Host
+	operators *fake.Host
 	types     []wire.MachineType
 	teams     []settings.Team
 	byName    map[string]*wire.MachineType
@@ -58,17 +60,17 @@
 	options   []byte
 	nodes     map[string]*node // controllers by member
 	members   []string
-	workers   standin.WorkerConfig
+	workers   fake.WorkerConfig
 	values    map[string]float64
-	repeats   map[string]*standin.Duplicator // by the service whose requests are repeated
-	picked    map[string]string              // machines by the names that steps have given them
-	budgets   map[string]int                 // tasks of a team that may be disturbed at once
+	repeats   map[string]*fake.Duplicator // by the service whose requests are repeated
+	picked    map[string]string           // machines by the names that steps have given them
+	budgets   map[string]int              // tasks of a team that may be disturbed at once
 }
 
 // node is a controller, which may run or not.
 type node struct {
 	ip     string
-	host   *standin.Host
+	host   *fake.Host
 	cancel context.CancelFunc // nil while it does not run
 	done   chan struct{}      // closed when it has ended
 }
@@ -78,21 +80,21 @@
 
 // Play plays the scenario; it must be called inside a synctest bubble. The log of the controllers goes to logs.
 func (s *Scenario) Play(ctx context.Context, logs io.Writer) error {
-	_, err := s.PlayOn(ctx, standin.NewNetwork(), logs)
+	_, err := s.PlayOn(ctx, fake.NewNetwork(), logs)
 	return err
 }
 
 // PlayOn plays the scenario on a network, outside of a bubble if that has real connections. It returns the workers'
 // logs. The log of the controllers goes to logs.
 func (s *Scenario) PlayOn(
-	ctx context.Context, network *standin.Network, logs io.Writer,
-) (events []standin.Event, err error) {
+	ctx context.Context, network *fake.Network, logs io.Writer,
+) (events []worklog.Event, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	w := &world{
 		log:     slog.New(slog.NewTextHandler(logs, &slog.HandlerOptions{Level: slog.LevelDebug})),
 		net:     network,
-		state:   standin.NewStore(),
-		referee: standin.NewChecker(),
+		state:   fake.NewStore(),
+		referee: invariant.NewChecker(),
 		byName:  map[string]*wire.MachineType{},
 		options: s.options,
 		nodes:   map[string]*node{},
@@ -119,8 +121,8 @@
 	if err := w.audit(); err != nil {
 		return nil, err
 	}
-	if broken := w.referee.Violations(); len(broken) > 0 {
-		return nil, fmt.Errorf("rules broken: %s", strings.Join(broken, "; "))
+	if err := invariant.Err(w.referee.Violations()); err != nil {
+		return nil, fmt.Errorf("rules broken: %w", err)
 	}
 	return w.referee.Events(), nil
 }
@@ -143,8 +145,9 @@
 // and commands that it had decided on before have arrived.
 func (w *world) audit() error {
 	detection := w.workers.HeartbeatInterval + w.workers.HeartbeatInterval/2 + seconds(w.values["order_s"])
-	if _, breaches := standin.AuditDisruptions(w.referee.Events(), w.budgets, detection); len(breaches) > 0 {
-		return fmt.Errorf("budgets broken: %s", strings.Join(breaches, "; "))
+	_, violations := invariant.AuditDisruptions(w.referee.Events(), w.budgets, detection)
+	if err := invariant.Err(violations); err != nil {
+		return fmt.Errorf("budgets broken: %w", err)
 	}
 	return nil
 }
@@ -162,7 +165,7 @@
 		name := fmt.Sprintf("c%d", i)
 		w.members = append(w.members, name)
 		w.nodes[name] = &node{ip: fmt.Sprintf("10.0.0.%d", i+1)}
-		address := standin.Controller{Name: name, Address: w.nodes[name].ip + ":" + servePort}
+		address := fake.Controller{Name: name, Address: w.nodes[name].ip + ":" + servePort}
 		w.workers.Controllers = append(w.workers.Controllers, address)
 	}
 	if err := w.buildFakes(ctx); err != nil {
@@ -188,15 +191,15 @@
 func (w *world) buildFakes(ctx context.Context) error {
 	w.workers.HeartbeatInterval, w.workers.LeaseDuration = seconds(w.values["report_s"]), seconds(w.values["lease_s"])
 	w.referee.SetCancelDeadline(seconds(w.values["cancel_s"]))
-	w.workers.MachineTypes, w.workers.Checker = w.byName, w.referee
-	w.workers.Gangs = standin.NewGangRuntime(seconds(w.values["gang_wait_s"]), seconds(w.values["gang_peer_s"]))
-	newWorker := func(id, ip, typ, zone string, spot bool) *standin.Worker {
-		return standin.NewWorker(ctx, w.net, w.workers, id, ip, typ, zone, spot)
+	w.workers.Network, w.workers.MachineTypes, w.workers.Checker = w.net, w.byName, w.referee
+	w.workers.Gangs = fake.NewGangRuntime(seconds(w.values["gang_wait_s"]), seconds(w.values["gang_peer_s"]))
+	newWorker := func(machine fake.Machine) *fake.Worker {
+		return fake.NewWorker(ctx, w.workers, machine)
 	}
-	w.cloud = standin.NewCloud(w.types, seconds(w.values["list_lag_s"]), newWorker)
-	w.repeats = map[string]*standin.Duplicator{
-		nameState: standin.NewDuplicator(w.state),
-		nameCloud: standin.NewDuplicator(w.cloud),
+	w.cloud = fake.NewCloud(w.types, seconds(w.values["list_lag_s"]), newWorker)
+	w.repeats = map[string]*fake.Duplicator{
+		nameState: fake.NewDuplicator(w.state),
+		nameCloud: fake.NewDuplicator(w.cloud),
 	}
 	if err := w.serve(ctx, stateIP, statePort, w.repeats[nameState]); err != nil {
 		return err
