--- a/internal/drain/planner.go
+++ b/internal/drain/planner.go
@@ -2,11 +2,11 @@
 // take nothing new, has the tasks on a few of them evicted at a time, within the teams' disruption budgets, and has
 // each machine deleted once it is empty.
 //
-// The Planner is owned by the goroutine of the leader's term, which also serves the operators' requests and writes
-// the records. Package manager provides the Snapshot of cordoned machines and carries out the evictions; package
-// operator serves the requests over the network. The Planner is a state machine without I/O and without a clock. It
-// applies a change of a drain only after its record is durable, and it never evicts more than the budgets allow, nor
-// a task for whose successor the Evictor has found no room. It isn't safe for concurrent use.
+// The Planner is owned by the goroutine of the leader's term. Package leader/drains calls it, makes its records
+// durable and has the empty machines deleted; package manager provides the Snapshot of cordoned machines and carries
+// out the evictions; package operator serves the operators' requests. The Planner is a state machine without I/O and
+// without a clock. It applies a change of a drain only after its record is durable, and it never evicts more than the
+// budgets allow, nor a task for whose successor the Evictor has found no room. It isn't safe for concurrent use.
 package drain
 
 import (
