--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -46,6 +46,11 @@
 
 // cancel serves a cancellation. It responds with the job's final state, which is not cancelled if the job was done
 // before.
+//
+// The cancellation is durable, and told to the user, once both records of the job are written. Both are conditioned on
+// their version, so that a job is either done or cancelled, never both. The leader sees the write in its watch of the
+// open jobs and stops the job's tasks; until it has seen it, the limit on renewals without fresh knowledge of
+// cancellations holds (the resolved timestamp).
 func (a *API) cancel(ctx context.Context, w http.ResponseWriter, job string) {
 	for range cancelAttempts {
 		switch jobState, err := a.readState(ctx, job); {
