--- a/cmd/saffronbend/drain.go
+++ b/cmd/saffronbend/drain.go
@@ -3,8 +3,7 @@
 import (
 	"context"
 	"fmt"
-	"io"
-	"os"
+	"strings"
 	"time"
 
 	"connectrpc.com/connect"
@@ -35,8 +34,8 @@
 		OlderThan  time.Duration     `help:"All machines that are older."`
 		Step       uint32            `help:"Machines that are emptied at the same time; 0: as the options say."`
 		Deadline   time.Duration     `help:"When the drain should be done; 0: none."`
-		OnDeadline string            `help:"What then becomes of tasks that can't save: wait for their end, or evict them." enum:"wait,evict" default:"wait"`
-		Budget     map[string]string `help:"Tasks of a team that may be disturbed at once, such as 3 or 10%." placeholder:"TEAM=LIMIT"`
+		OnDeadline string            `help:"What then becomes of tasks that can't save: wait for their end, or evict them." enum:"wait,evict" default:"wait"` //nolint:lll // a struct tag cannot be broken
+		Budget     map[string]string `help:"Tasks of a team that may be disturbed at once, such as 3 or 10%." placeholder:"TEAM=LIMIT"`                       //nolint:lll // a struct tag cannot be broken
 	}
 	drainStatusCmd struct {
 		Name string `arg:"" optional:"" help:"The drain's name; all drains without."`
@@ -49,33 +48,57 @@
 	drainCancelCmd struct{ drainName }
 )
 
+// drainCall is a call that is answered with the status of a drain.
+type drainCall func(
+	ctx context.Context, client operatorpbconnect.DrainServiceClient,
+) (*connect.Response[operatorpb.DrainStatus], error)
+
 // ask asks one controller after another, until one can be reached.
 func (d *drainCmd) ask(f func(context.Context, operatorpbconnect.DrainServiceClient) error) error {
 	return askControllers(d.Cluster, operator.NewDrainClient, f)
 }
 
-// one asks for something that is answered with one drain's status, and prints that.
-func (d *drainCmd) one(f func(context.Context, operatorpbconnect.DrainServiceClient) (*connect.Response[operatorpb.DrainStatus], error)) error {
-	return d.ask(func(ctx context.Context, c operatorpbconnect.DrainServiceClient) error {
-		resp, err := f(ctx, c)
+// change asks for a change of a drain and prints the status that it is answered with.
+func (d *drainCmd) change(call drainCall) error {
+	return d.ask(func(ctx context.Context, client operatorpbconnect.DrainServiceClient) error {
+		resp, err := call(ctx, client)
 		if err == nil {
-			printDrain(os.Stdout, resp.Msg)
+			fmt.Print(drainLine(resp.Msg))
 		}
 		return err
 	})
 }
 
+// changeNamed asks for a change of the drain of a name with one of the client's methods.
+func (d *drainCmd) changeNamed(name string, method func(
+	operatorpbconnect.DrainServiceClient, context.Context, *connect.Request[operatorpb.NamedDrainRequest],
+) (*connect.Response[operatorpb.DrainStatus], error)) error {
+	request := connect.NewRequest(&operatorpb.NamedDrainRequest{Name: name})
+	return d.change(func(
+		ctx context.Context, client operatorpbconnect.DrainServiceClient,
+	) (*connect.Response[operatorpb.DrainStatus], error) {
+		return method(client, ctx, request)
+	})
+}
+
+// Run starts a drain.
 func (s drainStartCmd) Run(c *cli) error {
 	if s.Deadline < 0 || s.OlderThan < 0 {
 		return drain.ErrNegativeDuration
 	}
-	req := &operatorpb.StartDrainRequest{Name: s.Name, Machines: s.Machine, Zone: s.Zone, Type: s.Type, OlderThanS: s.OlderThan.Seconds(), Step: s.Step,
-		DeadlineS: s.Deadline.Seconds(), EvictAtDeadline: s.OnDeadline == "evict", Budgets: s.Budget}
-	return c.Drain.one(func(ctx context.Context, client operatorpbconnect.DrainServiceClient) (*connect.Response[operatorpb.DrainStatus], error) {
+	req := &operatorpb.StartDrainRequest{
+		Name: s.Name, Machines: s.Machine, Zone: s.Zone, Type: s.Type,
+		OlderThanS: s.OlderThan.Seconds(), Step: s.Step, DeadlineS: s.Deadline.Seconds(),
+		EvictAtDeadline: s.OnDeadline == "evict", Budgets: s.Budget,
+	}
+	return c.Drain.change(func(
+		ctx context.Context, client operatorpbconnect.DrainServiceClient,
+	) (*connect.Response[operatorpb.DrainStatus], error) {
 		return client.StartDrain(ctx, connect.NewRequest(req))
 	})
 }
 
+// Run shows drains.
 func (s drainStatusCmd) Run(c *cli) error {
 	return c.Drain.ask(func(ctx context.Context, client operatorpbconnect.DrainServiceClient) error {
 		resp, err := client.GetDrains(ctx, connect.NewRequest(&operatorpb.GetDrainsRequest{Name: s.Name}))
@@ -83,50 +106,45 @@
 			return err
 		}
 		for _, st := range resp.Msg.Drains {
-			printDrain(os.Stdout, st)
-			printDetails(os.Stdout, st)
+			fmt.Print(drainLine(st), drainDetails(st))
 		}
 		return nil
 	})
 }
 
-func (n drainName) request() *connect.Request[operatorpb.NamedDrainRequest] {
-	return connect.NewRequest(&operatorpb.NamedDrainRequest{Name: n.Name})
-}
-
+// Run pauses a drain.
 func (s drainPauseCmd) Run(c *cli) error {
-	return c.Drain.one(func(ctx context.Context, client operatorpbconnect.DrainServiceClient) (*connect.Response[operatorpb.DrainStatus], error) {
-		return client.PauseDrain(ctx, s.request())
-	})
+	return c.Drain.changeNamed(s.Name, operatorpbconnect.DrainServiceClient.PauseDrain)
 }
 
+// Run resumes a drain.
 func (s drainResumeCmd) Run(c *cli) error {
-	return c.Drain.one(func(ctx context.Context, client operatorpbconnect.DrainServiceClient) (*connect.Response[operatorpb.DrainStatus], error) {
-		return client.ResumeDrain(ctx, s.request())
-	})
+	return c.Drain.changeNamed(s.Name, operatorpbconnect.DrainServiceClient.ResumeDrain)
 }
 
+// Run cancels a drain.
 func (s drainCancelCmd) Run(c *cli) error {
-	return c.Drain.one(func(ctx context.Context, client operatorpbconnect.DrainServiceClient) (*connect.Response[operatorpb.DrainStatus], error) {
-		return client.CancelDrain(ctx, s.request())
-	})
+	return c.Drain.changeNamed(s.Name, operatorpbconnect.DrainServiceClient.CancelDrain)
 }
 
-// printDrain prints a drain in one line.
-func printDrain(w io.Writer, st *operatorpb.DrainStatus) {
+// drainLine describes a drain in one line.
+func drainLine(status *operatorpb.DrainStatus) string {
 	overdue := ""
-	if st.Overdue {
+	if status.Overdue {
 		overdue = ", overdue"
 	}
-	fmt.Fprintf(w, "%s %s: %d of %d machines gone, %d being emptied, %d tasks left%s\n", st.Name, st.State, st.Gone, st.Machines, st.Emptying, st.TasksLeft, overdue)
+	return fmt.Sprintf("%s %s: %d of %d machines gone, %d being emptied, %d tasks left%s\n",
+		status.Name, status.State, status.Gone, status.Machines, status.Emptying, status.TasksLeft, overdue)
 }
 
-// printDetails prints what a drain waits for.
-func printDetails(w io.Writer, st *operatorpb.DrainStatus) {
-	for _, b := range st.Budgets {
-		fmt.Fprintf(w, "  team %s: %d tasks disturbed, %d may be\n", b.Team, b.Disturbed, b.Allowed)
+// drainDetails describes what a drain waits for, a line for each budget and each task that blocks it.
+func drainDetails(status *operatorpb.DrainStatus) string {
+	var text strings.Builder
+	for _, budget := range status.Budgets {
+		fmt.Fprintf(&text, "  team %s: %d tasks disturbed, %d may be\n", budget.Team, budget.Disturbed, budget.Allowed)
 	}
-	for _, b := range st.Blocked {
-		fmt.Fprintf(w, "  %s: %s of team %s: %s\n", b.Machine, b.Task, b.Team, b.Reason)
+	for _, blocked := range status.Blocked {
+		fmt.Fprintf(&text, "  %s: %s of team %s: %s\n", blocked.Machine, blocked.Task, blocked.Team, blocked.Reason)
 	}
+	return text.String()
 }
--- a/cmd/saffronbend/drain_test.go
+++ b/cmd/saffronbend/drain_test.go
@@ -15,7 +15,8 @@
 		{line: "drain start old --machine=n-000001", fails: "no such machine: n-000001"},
 		{line: "drain start old", fails: "a drain needs machines, a zone, a type or an age"},
 		{line: "drain start old --zone=a --budget=green=1", fails: `no such team: "green"`},
-		{line: "drain start old --zone=a --budget=red=-1", fails: `"-1": a budget is a number of tasks such as "3" or a share of the running ones such as "10%"`},
+		{line: "drain start old --zone=a --budget=red=-1",
+			fails: `"-1": a budget is a number of tasks such as "3" or a share of the running ones such as "10%"`},
 		{line: "drain start -- -old --zone=a", fails: "unexpected argument --zone=a"},
 		{line: "drain start old --zone=a --deadline=-1s", fails: "a deadline and an age are at least 0 s"},
 		{line: "drain start old --zone=a --step=1001", fails: "a step has at most 1000 machines"},
@@ -32,14 +33,18 @@
 	expect(t, "drain status", "--cluster="+freeAddr(t), "", "connection refused")
 }
 
-// expect runs a command line and holds what it prints, or how it fails, against what it should. While the controller starts,
-// it is repeated, as the answer asks.
+// expect runs a command line and holds what it prints, or how it fails, against what it should. While the controller
+// starts, it is repeated, as the answer asks.
 func expect(t *testing.T, line, flag, want, fails string) {
 	t.Helper()
 	words := strings.Fields(line)
 	got, err := command(t, append([]string{words[0], flag}, words[1:]...)...)
-	for tries := 0; err != nil && strings.Contains(err.Error(), "try again") && !strings.Contains(err.Error(), fails) && tries < 100; tries++ {
-		time.Sleep(100 * time.Millisecond)
+	const pause, tries = 100 * time.Millisecond, 100
+	for range tries {
+		if err == nil || !strings.Contains(err.Error(), "try again") || strings.Contains(err.Error(), fails) {
+			break
+		}
+		time.Sleep(pause)
 		got, err = command(t, append([]string{words[0], flag}, words[1:]...)...)
 	}
 	switch {
--- a/cmd/saffronbend/job.go
+++ b/cmd/saffronbend/job.go
@@ -16,7 +16,7 @@
 
 // jobCmd is the users' side: a thin client.
 type jobCmd struct {
-	Server   []string      `help:"Addresses of the service, with ports." default:"127.0.0.1:8080" env:"SAFFRONBEND_SERVER" placeholder:"ADDR,..."`
+	Server   []string      `help:"Addresses of the service, with ports." default:"127.0.0.1:8080" env:"SAFFRONBEND_SERVER" placeholder:"ADDR,..."` //nolint:lll // a struct tag cannot be broken
 	Patience time.Duration `help:"How long a request that can't be served is repeated." default:"60s"`
 
 	Submit   submitCmd   `cmd:"" help:"Submit a job."`
@@ -42,6 +42,7 @@
 	}}
 }
 
+// Run submits a job.
 func (s submitCmd) Run(c *cli) error {
 	in := io.Reader(os.Stdin)
 	if s.File != "-" {
@@ -49,7 +50,7 @@
 		if err != nil {
 			return fmt.Errorf("the job can't be read: %w", err)
 		}
-		defer f.Close()
+		defer func() { _ = f.Close() }() // it is only read
 		in = f
 	}
 	job, err := io.ReadAll(io.LimitReader(in, wire.MaxBodyBytes+1))
@@ -59,19 +60,21 @@
 	if len(job) > wire.MaxBodyBytes {
 		return fmt.Errorf("the job is longer than %d bytes", wire.MaxBodyBytes)
 	}
-	return tell(func(ctx context.Context) (*wire.JobStatus, error) { return c.Job.client().Submit(ctx, job) })
+	return printStatus(func(ctx context.Context) (*wire.JobStatus, error) { return c.Job.client().Submit(ctx, job) })
 }
 
+// Run asks for a job.
 func (s statusCmd) Run(c *cli) error {
-	return tell(func(ctx context.Context) (*wire.JobStatus, error) { return c.Job.client().Status(ctx, s.ID) })
+	return printStatus(func(ctx context.Context) (*wire.JobStatus, error) { return c.Job.client().Status(ctx, s.ID) })
 }
 
+// Run cancels a job.
 func (w withdrawCmd) Run(c *cli) error {
-	return tell(func(ctx context.Context) (*wire.JobStatus, error) { return c.Job.client().Cancel(ctx, w.ID) })
+	return printStatus(func(ctx context.Context) (*wire.JobStatus, error) { return c.Job.client().Cancel(ctx, w.ID) })
 }
 
-// tell prints a job's state in one line.
-func tell(ask func(context.Context) (*wire.JobStatus, error)) error {
+// printStatus prints a job's state in one line.
+func printStatus(ask func(context.Context) (*wire.JobStatus, error)) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	st, err := ask(ctx)
--- a/cmd/saffronbend/job_test.go
+++ b/cmd/saffronbend/job_test.go
@@ -22,8 +22,9 @@
 	"saffronbend/wire"
 )
 
-// serve serves a stand-in on this machine and gives its address.
+// serve serves a fake on this machine and returns its address.
 func serve(t *testing.T, h http.Handler) string {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -34,25 +35,27 @@
 	return l.Addr().String()
 }
 
-// freeAddr gives an address that nobody listens on.
+// freeAddr returns an address that nobody listens on.
 func freeAddr(t *testing.T) string {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	return l.Addr().String()
 }
 
-// controller starts a controller over stand-ins, in this process but on real sockets, and
-// gives the users' address.
+// controller starts a controller over fakes, in this process but on real sockets, and returns the users' address.
 func controller(t *testing.T) string {
+	t.Helper()
 	front, _ := controllerWith(t, nil)
 	return front
 }
 
-// controllerWith is controller with the operators' options; it gives the cluster address, too.
+// controllerWith is controller with the operators' options; it returns the cluster address, too.
 func controllerWith(t *testing.T, options []byte) (front, cluster string) {
+	t.Helper()
 	cloud := fake.NewCloud([]wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 16, BootS: 30, Price: 1, SpotPrice: 0.3,
 		FetchGBPS: 1, Zones: []string{"a"}}}, time.Second, nil)
 	front, cluster = freeAddr(t), freeAddr(t)
@@ -88,7 +91,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() {
 		ended <- saffronbend.New(set, saffronbend.NewTCP(), slog.New(slog.NewTextHandler(io.Discard, nil))).Run(ctx)
@@ -105,6 +108,7 @@
 
 // awaitListener waits until connections to an address are accepted.
 func awaitListener(t *testing.T, addr string) {
+	t.Helper()
 	const pause, tries = 20 * time.Millisecond, 500
 	for range tries {
 		if c, err := net.Dial("tcp", addr); err == nil {
@@ -116,10 +120,12 @@
 	t.Fatalf("nobody listens on %s", addr)
 }
 
-// command runs the command line and gives what it prints, or how it fails.
+// command runs the command line and returns what it prints, or how it fails.
 func command(t *testing.T, args ...string) (string, error) {
+	t.Helper()
 	var c cli
-	p, err := kong.New(&c, kong.Name("saffronbend"), kong.Vars{"version": "x"}, kong.Exit(func(int) { t.Fatal("the command line ended the process") }))
+	exit := func(int) { t.Fatal("the command line ended the process") }
+	p, err := kong.New(&c, kong.Name("saffronbend"), kong.Vars{"version": "x"}, kong.Exit(exit))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,8 +153,9 @@
 	server := "--server=" + controller(t)
 	job := func(id, team string) string {
 		path := filepath.Join(t.TempDir(), "job.json")
-		body := fmt.Sprintf(`{"id":%q,"lane":"work","owner":%q,"shape":"batch","urgency":"normal","pieces":3,"cores":1,"cards":0,"memory_gb":1,
-"bundle":"img","size_gb":1,"together":false,"scatter":false,"loaners":true,"guess_s":5,"snapshot_s":0,"stash_s":0}`, id, team)
+		body := fmt.Sprintf(`{"id":%q,"lane":"work","owner":%q,"shape":"batch","urgency":"normal",
+"pieces":3,"cores":1,"cards":0,"memory_gb":1,"bundle":"img","size_gb":1,"together":false,"scatter":false,"loaners":true,
+"guess_s":5,"snapshot_s":0,"stash_s":0}`, id, team)
 		if err := os.WriteFile(path, []byte(body), 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/saffronbend/main.go
+++ b/cmd/saffronbend/main.go
@@ -61,6 +61,7 @@
 	}
 }
 
+// Run runs a controller.
 func (runCmd) Run(c *cli) error {
 	level, err := logLevel()
 	if err != nil {
@@ -85,6 +86,7 @@
 	return saffronbend.New(set, saffronbend.NewTCP(), log).Run(ctx)
 }
 
+// Run checks the settings.
 func (checkCmd) Run(c *cli) error {
 	if _, err := logLevel(); err != nil {
 		return err
@@ -105,7 +107,9 @@
 
 func main() {
 	var c cli
-	ctx := kong.Parse(&c, kong.Name("saffronbend"), kong.Description("A cluster scheduler: places users' tasks on rented machines."),
+	ctx := kong.Parse(&c,
+		kong.Name("saffronbend"),
+		kong.Description("A cluster scheduler: places users' tasks on rented machines."),
 		kong.Vars{"version": "saffronbend " + version})
 	ctx.FatalIfErrorf(ctx.Run(&c))
 }
--- a/cmd/saffronbend/operators.go
+++ b/cmd/saffronbend/operators.go
@@ -17,17 +17,21 @@
 
 // clusterFlag names the controllers that operators' commands go to.
 type clusterFlag struct {
-	Cluster []string `help:"Cluster addresses of the controllers, with ports." default:"127.0.0.1:8081" env:"SAFFRONBEND_CLUSTER" placeholder:"ADDR,..."`
+	Cluster []string `help:"Cluster addresses of the controllers, with ports." default:"127.0.0.1:8081" env:"SAFFRONBEND_CLUSTER" placeholder:"ADDR,..."` //nolint:lll // a struct tag cannot be broken
 }
 
 // askControllers asks one controller after another, until one can be reached. Its client is of the type C.
-func askControllers[C any](cluster []string, newClient func(dial call.Dialer, addr string) (C, func()), f func(context.Context, C) error) error {
+func askControllers[C any](
+	cluster []string,
+	newClient func(dial call.Dialer, addr string) (client C, closeIdle func()),
+	ask func(context.Context, C) error,
+) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	err := errors.New("no controller is named")
 	for _, addr := range cluster {
 		client, closeIdle := newClient(saffronbend.NewTCP().Dial, addr)
-		err = f(ctx, client)
+		err = ask(ctx, client)
 		closeIdle()
 		if connect.CodeOf(err) != connect.CodeUnavailable || ctx.Err() != nil {
 			break
--- a/cmd/saffronbend/spread.go
+++ b/cmd/saffronbend/spread.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"io"
-	"os"
 	"strings"
 
 	"connectrpc.com/connect"
@@ -31,59 +29,77 @@
 	spreadResumeCmd struct{}
 )
 
-type spreadCall func(context.Context, operatorpbconnect.SpreadServiceClient) (*connect.Response[operatorpb.SpreadStatus], error)
+// rebalancingCall is a call that is answered with the status of rebalancing.
+type rebalancingCall func(
+	ctx context.Context, client operatorpbconnect.SpreadServiceClient,
+) (*connect.Response[operatorpb.SpreadStatus], error)
 
 // ask asks one controller after another, until one can be reached, and prints the status that it answers with.
-func (s *spreadCmd) ask(f spreadCall) error {
-	return askControllers(s.Cluster, operator.NewRebalancingClient, func(ctx context.Context, client operatorpbconnect.SpreadServiceClient) error {
-		resp, err := f(ctx, client)
+func (s *spreadCmd) ask(call rebalancingCall) error {
+	ask := func(ctx context.Context, client operatorpbconnect.SpreadServiceClient) error {
+		resp, err := call(ctx, client)
 		if err == nil {
-			printSpread(os.Stdout, resp.Msg)
+			fmt.Print(rebalancingText(resp.Msg))
 		}
 		return err
-	})
+	}
+	return askControllers(s.Cluster, operator.NewRebalancingClient, ask)
 }
 
+// Run shows load and moves.
 func (s spreadStatusCmd) Run(c *cli) error {
-	return c.Spread.ask(func(ctx context.Context, client operatorpbconnect.SpreadServiceClient) (*connect.Response[operatorpb.SpreadStatus], error) {
-		return client.GetSpread(ctx, connect.NewRequest(&operatorpb.GetSpreadRequest{Machines: s.Machines}))
+	request := connect.NewRequest(&operatorpb.GetSpreadRequest{Machines: s.Machines})
+	return c.Spread.ask(func(
+		ctx context.Context, client operatorpbconnect.SpreadServiceClient,
+	) (*connect.Response[operatorpb.SpreadStatus], error) {
+		return client.GetSpread(ctx, request)
 	})
 }
 
+// Run pauses moves.
 func (spreadPauseCmd) Run(c *cli) error {
-	return c.Spread.ask(func(ctx context.Context, client operatorpbconnect.SpreadServiceClient) (*connect.Response[operatorpb.SpreadStatus], error) {
+	return c.Spread.ask(func(
+		ctx context.Context, client operatorpbconnect.SpreadServiceClient,
+	) (*connect.Response[operatorpb.SpreadStatus], error) {
 		return client.PauseSpread(ctx, connect.NewRequest(&operatorpb.ChangeSpreadRequest{}))
 	})
 }
 
+// Run resumes moves.
 func (spreadResumeCmd) Run(c *cli) error {
-	return c.Spread.ask(func(ctx context.Context, client operatorpbconnect.SpreadServiceClient) (*connect.Response[operatorpb.SpreadStatus], error) {
+	return c.Spread.ask(func(
+		ctx context.Context, client operatorpbconnect.SpreadServiceClient,
+	) (*connect.Response[operatorpb.SpreadStatus], error) {
 		return client.ResumeSpread(ctx, connect.NewRequest(&operatorpb.ChangeSpreadRequest{}))
 	})
 }
 
-// printSpread prints load, moves and what is held back, one line each.
-func printSpread(w io.Writer, st *operatorpb.SpreadStatus) {
+// rebalancingText describes load, moves and what is held back, a line each.
+func rebalancingText(status *operatorpb.SpreadStatus) string {
+	var text strings.Builder
 	switch {
-	case st.Paused:
-		fmt.Fprintln(w, "moves are paused")
-	case st.WaitsFor != "":
-		fmt.Fprintf(w, "nothing is moved: %s\n", st.WaitsFor)
+	case status.Paused:
+		text.WriteString("moves are paused\n")
+	case status.WaitsFor != "":
+		fmt.Fprintf(&text, "nothing is moved: %s\n", status.WaitsFor)
 	default:
-		fmt.Fprintln(w, "moves are decided on")
+		text.WriteString("moves are decided on\n")
 	}
-	fmt.Fprintf(w, "load is known of %d machines\n", st.KnownMachines)
-	for _, m := range st.Machines {
+	fmt.Fprintf(&text, "load is known of %d machines\n", status.KnownMachines)
+	for _, machine := range status.Machines {
 		var teams []string
-		for _, t := range m.Teams {
-			teams = append(teams, fmt.Sprintf("%s %.2f", t.Team, t.Load))
+		for _, team := range machine.Teams {
+			teams = append(teams, fmt.Sprintf("%s %.2f", team.Team, team.Load))
 		}
-		fmt.Fprintf(w, "  %s: load %.2f, smoothed %.2f (%s)\n", m.Machine, m.Load, m.Smoothed, strings.Join(teams, ", "))
+		fmt.Fprintf(&text, "  %s: load %.2f, smoothed %.2f (%s)\n",
+			machine.Machine, machine.Load, machine.Smoothed, strings.Join(teams, ", "))
 	}
-	for _, m := range st.Moves {
-		fmt.Fprintf(w, "  moved %.0f s ago: %s of team %s from %s to %s, relief %.2f, gain %.0f s, price %.0f s\n", m.AgoS, m.Task, m.Team, m.From, m.To, m.Relief, m.GainS, m.PriceS)
+	for _, move := range status.Moves {
+		fmt.Fprintf(&text, "  moved %.0f s ago: %s of team %s from %s to %s, relief %.2f, gain %.0f s, price %.0f s\n",
+			move.AgoS, move.Task, move.Team, move.From, move.To, move.Relief, move.GainS, move.PriceS)
 	}
-	for _, h := range st.Held {
-		fmt.Fprintf(w, "  held on %s: %s of team %s: %s\n", h.Machine, h.Task, h.Team, h.Reason)
+	for _, held := range status.Held {
+		fmt.Fprintf(&text, "  held on %s: %s of team %s: %s\n", held.Machine, held.Task, held.Team, held.Reason)
 	}
+	return text.String()
 }
