--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,25 +1,31 @@
-// Package lease holds the messages by which framework schedulers ask the Resource Manager for leases.
+// Package lease holds the messages with which framework schedulers request leases from the Resource Manager.
+//
+// Schedulers build transactions, package manager serves them with Manager.Grant, and package peer carries them from
+// other controllers to the leader. The package decides nothing. Its JSON keys are those of the stream between
+// controllers.
 package lease
 
 import "saffronbend/internal/micros"
 
-// Request is a scheduler's request for leases on one machine for tasks of one job, or,
-// with Wait, for the place of the one waiter of a lease.
+// Request is a scheduler's request for leases of a job's tasks on one machine or, with WaitFor, to be the one waiter
+// of an attempt's lease.
 type Request struct {
 	Job      string          `json:"job"`
 	Machine  string          `json:"machine"`
-	Count    int             `json:"count,omitempty"`
-	Duration micros.Duration `json:"lease,omitempty"`
-	WaitFor  uint64          `json:"wait,omitempty"` // attempt whose lease is waited for
+	Count    int             `json:"count,omitempty"` // tasks
+	Duration micros.Duration `json:"lease,omitempty"` // of each lease, as the scheduler expects the tasks to run
+	WaitFor  uint64          `json:"wait,omitempty"`  // the attempt whose lease the job waits for; 0: none
 }
 
-// Transaction is an atomic lease request: with All, either every ask is granted or none.
+// Transaction is a lease request that is served atomically. With AllOrNothing either every request is granted in full
+// or none is; without, each is granted as many leases as there is room for.
 type Transaction struct {
 	Requests     []Request `json:"asks"`
 	AllOrNothing bool      `json:"all,omitempty"`
 }
 
-// Result says how many tasks each ask of a request was granted.
+// Result is the answer to a Transaction.
 type Result struct {
+	// Granted is how many leases each request was granted, in the order of the requests; 1 for one that may wait.
 	Granted []int `json:"granted"`
 }
--- a/internal/manager/agent.go
+++ b/internal/manager/agent.go
@@ -122,8 +122,8 @@
 // markReachable records that something shows that the agent receives what we send.
 func (agent *agentState) markReachable() { agent.unreachableSince = 0 }
 
-// heardOnlyThroughRelay reports whether heartbeats come through another controller and pushes don't arrive.
-func (agent *agentState) heardOnlyThroughRelay() bool {
+// reachableOnlyThroughRelay reports whether heartbeats come through another controller and pushes don't arrive.
+func (agent *agentState) reachableOnlyThroughRelay() bool {
 	return agent.relayedBy != "" && !agent.pushWorks
 }
 
--- a/internal/manager/agent_test.go
+++ b/internal/manager/agent_test.go
@@ -74,10 +74,10 @@
 	agent := agentState{pushWorks: true, probedAt: 9}
 	h := &harness{T: t}
 	h.want(agent.routeHeartbeats("c2"), true)
-	h.want(agent.heardOnlyThroughRelay(), true)
+	h.want(agent.reachableOnlyThroughRelay(), true)
 	h.want(agent.probedAt, micros.Timestamp(0))
 	h.want(agent.routeHeartbeats("c2"), false)
 	h.want(agent.routeHeartbeats(""), false)
-	h.want(agent.heardOnlyThroughRelay(), false)
+	h.want(agent.reachableOnlyThroughRelay(), false)
 	h.want(agent.pushWorks, true)
 }
--- a/internal/manager/bench_test.go
+++ b/internal/manager/bench_test.go
@@ -45,13 +45,7 @@
 		b.Fatal(err)
 	}
 	m.SetTypes([]wire.MachineType{{Name: "small", CPUs: 32, MemoryGB: 64, CacheGB: 50, Zones: []string{"a"}}})
-	heartbeats := make([]*wire.Heartbeat, machines)
-	for i := range heartbeats {
-		heartbeats[i] = &wire.Heartbeat{
-			Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.0.1:9000", Type: "small", Zone: "a",
-			Incarnation: 1, FencingToken: token,
-		}
-	}
+	heartbeats := newHeartbeats(machines)
 	i := 0
 	next = func() *wire.Heartbeat {
 		heartbeat := heartbeats[i%machines]
@@ -62,23 +56,7 @@
 	for range machines {
 		m.Heartbeat(*now, next(), "", true)
 	}
-	for j := range 100 {
-		id := fmt.Sprintf("run-%06d", j+1)
-		rec := record(id, machines*each/100, nil)
-		m.OpenRecordChanged(*now, *now, 0, rec, uint64(j+1))
-		for k := range machines / 100 {
-			machine := heartbeats[j*machines/100+k].Machine
-			request := lease.Request{Job: id, Machine: machine, Count: each, Duration: workerLease}
-			m.Grant(*now, lease.Transaction{Requests: []lease.Request{request}})
-		}
-	}
-	for revision := uint64(1000); ; revision++ {
-		batch := m.NextWrite(*now)
-		if batch == nil {
-			break
-		}
-		m.WriteCommitted(*now, batch.ID, revision)
-	}
+	fillFleet(m, *now, heartbeats, each)
 	for _, heartbeat := range heartbeats {
 		for _, attempt := range attemptsByID(m.machines[heartbeat.Machine].attempts) {
 			heartbeat.Tasks = append(heartbeat.Tasks, runningTask(attempt.taskName, attempt.id))
@@ -92,6 +70,40 @@
 	return m, now, next
 }
 
+// newHeartbeats returns a heartbeat without tasks for each machine.
+func newHeartbeats(machines int) []*wire.Heartbeat {
+	heartbeats := make([]*wire.Heartbeat, machines)
+	for i := range heartbeats {
+		heartbeats[i] = &wire.Heartbeat{
+			Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.0.1:9000", Type: "small", Zone: "a",
+			Incarnation: 1, FencingToken: token,
+		}
+	}
+	return heartbeats
+}
+
+// fillFleet places the tasks of 100 jobs, so many on each machine, and commits the writes.
+func fillFleet(m *Manager, now micros.Timestamp, heartbeats []*wire.Heartbeat, each int) {
+	const jobs = 100
+	for j := range jobs {
+		id := fmt.Sprintf("run-%06d", j+1)
+		rec := record(id, len(heartbeats)*each/jobs, nil)
+		m.OpenRecordChanged(now, now, 0, rec, uint64(j+1))
+		for k := range len(heartbeats) / jobs {
+			machine := heartbeats[j*len(heartbeats)/jobs+k].Machine
+			request := lease.Request{Job: id, Machine: machine, Count: each, Duration: workerLease}
+			m.Grant(now, lease.Transaction{Requests: []lease.Request{request}})
+		}
+	}
+	for revision := uint64(1000); ; revision++ {
+		batch := m.NextWrite(now)
+		if batch == nil {
+			break
+		}
+		m.WriteCommitted(now, batch.ID, revision)
+	}
+}
+
 // BenchmarkHeartbeat measures a heartbeat without changes.
 func BenchmarkHeartbeat(b *testing.B) {
 	runBySize(b, func(b *testing.B, machines int) {
--- a/internal/manager/exits.go
+++ b/internal/manager/exits.go
@@ -49,7 +49,7 @@
 	}
 	exit.machine.useImage(now, job.spec(), true)
 	if exit.of(attempt) {
-		m.keepTombstone(attempt, true)
+		m.addTombstone(attempt, true)
 		m.releaseAttempt(now, attempt, exitOf(*exit.status))
 	} else if attempt != nil {
 		m.stopAttempt(now, attempt, 0, disruption.Lost)
@@ -93,7 +93,7 @@
 	case exit.status.ExitReason == wire.ExitError:
 		m.recordFailure(now, exit.machine, exit.job)
 	}
-	m.keepTombstone(attempt, false)
+	m.addTombstone(attempt, false)
 	m.releaseAttempt(now, attempt, exitOf(*exit.status))
 }
 
--- a/internal/manager/gone_test.go
+++ b/internal/manager/gone_test.go
@@ -51,7 +51,7 @@
 	h.tick()
 	h.start("n-2-a")
 	h.want(h.grant("run-1", "n-2-a", 1), 1)
-	// A report of the dead session that was held back renews nothing.
+	// A delayed heartbeat of the expired incarnation renews nothing.
 	h.want(h.heartbeat("n-1-a", token, 1), "dropped")
 }
 
@@ -151,7 +151,7 @@
 	h.advance(workerLease + 2*micros.Second)
 	h.tick()
 	h.want(h.m.machines["n-1-a"].agent.reporting, false)
-	// An answer of the session that has ended brings nothing, and no second question at once.
+	// An answer of the expired incarnation changes nothing, and the machine is not probed again at once.
 	out = h.m.CommandPushes(h.now, true)
 	h.want(len(out), 1)
 	h.seq++
--- a/internal/manager/heartbeat.go
+++ b/internal/manager/heartbeat.go
@@ -8,11 +8,11 @@
 // Heartbeat applies an agent's heartbeat and returns its answer. relayedBy names the controller that has relayed it;
 // empty: it has come here. mayLaunch is false while the leader's lease does not allow it to launch anything.
 //
-// The answer is nil if the agent's worker lease must not be renewed. deposed reports that the agent has seen a higher
-// fencing token: the term is over.
+// The answer is nil if the agent's worker lease must not be renewed. superseded reports that the agent has seen a
+// higher fencing token: the term is over.
 func (m *Manager) Heartbeat(
 	now micros.Timestamp, heartbeat *wire.Heartbeat, relayedBy string, mayLaunch bool,
-) (answer *wire.HeartbeatResponse, deposed bool) {
+) (answer *wire.HeartbeatResponse, superseded bool) {
 	if heartbeat.FencingToken > m.cfg.FencingToken {
 		return nil, true
 	}
--- a/internal/manager/heartbeat_test.go
+++ b/internal/manager/heartbeat_test.go
@@ -62,14 +62,14 @@
 		return commandsText(answer.Commands)
 	}
 	h.want(passed(), command("launch", "run-1/0", first))
-	d := h.m.CommandPushes(h.now, true) // asked at once
+	d := h.m.CommandPushes(h.now, true) // probed at once
 	h.want(len(d), 1)
 	h.want(len(d[0].Body.Commands), 0)
 	h.m.CommandPushDone(h.now, d[0], PushOutcomeUnknown, nil)
 	h.want(len(h.m.CommandPushes(h.now, true)), 0)
 	h.want(h.m.MayReturnToLeader(h.now, "n-1-a"), false)
-	// The answer did not come through as far as the report shows, but the worker has stayed
-	// where it got it from.
+	// As far as the heartbeat shows, the answer has not arrived; but the agent has stayed with the controller that sent
+	// it.
 	h.want(passed(), command("launch", "run-1/0", first))
 	h.want(h.m.machines["n-1-a"].agent.unreachableSince, micros.Timestamp(0))
 	for range 2 {
@@ -81,7 +81,7 @@
 	h.seq++
 	h.pushExecuted(d[0], pushAnswer(1, h.seq))
 	h.want(h.m.MayReturnToLeader(h.now, "n-1-a"), true)
-	// It is back with the other controller: our orders reach it, its reports don't reach us.
+	// It is back with the other controller: our pushes reach it, its heartbeats don't reach us.
 	passed()
 	h.want(h.m.MayReturnToLeader(h.now, "n-1-a"), false)
 }
--- a/internal/manager/machines.go
+++ b/internal/manager/machines.go
@@ -138,7 +138,7 @@
 		m.prepareForReclaim(now, machine)
 	}
 	m.abortUnlaunchableGangs(now, machine)
-	if machine.needsProbe() && m.probeDue(now, machine) {
+	if machine.needsProbe() && m.shouldProbe(now, machine) {
 		m.pushes.mark(machine)
 	}
 	// Whether a machine that has yet to acknowledge our token is still expected soon depends on the time alone.
--- a/internal/manager/publisher_test.go
+++ b/internal/manager/publisher_test.go
@@ -35,6 +35,6 @@
 	h.m.MachinesDeleted(h.now, []string{"n-2-a"})
 	h.submit("run-2", 1, nil)
 	catchUp()
-	h.want(len(h.m.SnapshotUpdate(h.now, since).Machines), 0) // nothing new to tell
+	h.want(len(h.m.SnapshotUpdate(h.now, since).Machines), 0) // nothing has changed
 	h.want(mi.Apply(&snapshot.Update{FencingToken: token, BaseVersion: since + 1, Version: since + 2}) == nil, true)
 }
--- a/internal/manager/pushes.go
+++ b/internal/manager/pushes.go
@@ -62,7 +62,7 @@
 // commands.
 func (m *Manager) nextPush(now micros.Timestamp, machine *machineState, mayLaunch bool) (push CommandPush, ok bool) {
 	if machine.needsProbe() {
-		if !m.probeDue(now, machine) {
+		if !m.shouldProbe(now, machine) {
 			return CommandPush{}, false
 		}
 		machine.agent.probedAt = now
@@ -116,7 +116,7 @@
 // all but its agents, and learns of us only so.
 func (machine *machineState) needsProbe() bool {
 	agent := &machine.agent
-	return agent.unreachableSince != 0 || agent.heardOnlyThroughRelay() ||
+	return agent.unreachableSince != 0 || agent.reachableOnlyThroughRelay() ||
 		!agent.reporting && machine.listing.state == wire.MachineRunning
 }
 
@@ -130,10 +130,10 @@
 	return latest
 }
 
-// probeDue reports whether it is time to probe a machine that needs it. One that has reported and has yet to
+// shouldProbe reports whether it is time to probe a machine that needs it. One that has reported and has yet to
 // acknowledge our token most likely does so with its next heartbeat; most of a new leader's machines report within
 // the first seconds.
-func (m *Manager) probeDue(now micros.Timestamp, machine *machineState) bool {
+func (m *Manager) shouldProbe(now micros.Timestamp, machine *machineState) bool {
 	const (
 		interval     = 3 * micros.Second
 		longInterval = 15 * micros.Second
@@ -144,7 +144,7 @@
 		return false
 	}
 	sinceProbe := now.Sub(agent.probedAt)
-	if !agent.reporting || agent.heardOnlyThroughRelay() {
+	if !agent.reporting || agent.reachableOnlyThroughRelay() {
 		return agent.probedAt == 0 || sinceProbe >= longInterval
 	}
 	patience := micros.Duration(0)
@@ -173,7 +173,7 @@
 // reports that the agent has seen a higher fencing token: the term is over.
 func (m *Manager) CommandPushDone(
 	now micros.Timestamp, push CommandPush, outcome PushOutcome, status *wire.Heartbeat,
-) (deposed bool) {
+) (superseded bool) {
 	m.pushes.inFlight--
 	machine := m.machines[push.Machine]
 	if machine == nil {
--- a/internal/manager/pushes_test.go
+++ b/internal/manager/pushes_test.go
@@ -94,7 +94,7 @@
 	out := h.m.CommandPushes(h.now, true)
 	h.want(len(out), 2)
 	h.want(len(h.m.CommandPushes(h.now, true)), 0)
-	// Every turn of the leader asks; while all are out that must cost nothing.
+	// The leader calls it all the time: while all are in flight that must cost nothing.
 	h.want(testing.AllocsPerRun(10, func() { h.m.CommandPushes(h.now, true) }), 0.0)
 	h.m.CommandPushDone(h.now, out[0], PushOutcomeUnknown, nil)
 	out = h.m.CommandPushes(h.now, true)
--- a/internal/manager/tombstones.go
+++ b/internal/manager/tombstones.go
@@ -20,9 +20,9 @@
 	clearableWhenJobDone bool
 }
 
-// keepTombstone keeps an exited attempt if its launch was pushed. Where its team has a limit, a second start would
+// addTombstone keeps an exited attempt if its launch was pushed. Where its team has a limit, a second start would
 // break that, so it is never cleared.
-func (m *Manager) keepTombstone(attempt *taskAttempt, done bool) {
+func (m *Manager) addTombstone(attempt *taskAttempt, done bool) {
 	if attempt.launch.push == pushNone {
 		return
 	}
@@ -34,8 +34,8 @@
 
 // clearTombstone reports whether the agent may clear an exited attempt, and removes its tombstone then.
 func (machine *machineState) clearTombstone(key attemptKey) bool {
-	kept, ok := machine.tombstones[key]
-	if ok && (!kept.clearableWhenJobDone || kept.job.finalState != wire.JobDone) {
+	found, ok := machine.tombstones[key]
+	if ok && (!found.clearableWhenJobDone || found.job.finalState != wire.JobDone) {
 		return false
 	}
 	delete(machine.tombstones, key)
--- a/internal/manager/waiting_reservations_test.go
+++ b/internal/manager/waiting_reservations_test.go
@@ -45,21 +45,13 @@
 	h.submit("run-2", machines, func(j *wire.Job) { j.Team, j.CPUs = "blue", 8 })
 	h.advance(micros.Minute)
 	h.start(ids...)
-	kept := func() (n int) {
-		for _, machine := range h.m.machines {
-			if machine.reservedForJob == "run-2" {
-				n++
-			}
-		}
-		return n
-	}
 	allocs := testing.AllocsPerRun(1, func() {
 		for _, machine := range h.m.machines {
 			machine.reservedForJob = ""
 		}
 		h.m.ReserveForWaitingJobs(h.now)
 	})
-	h.want(kept(), machines/reservableFraction)
+	h.want(len(h.reservedMachines("run-2")), machines/reservableFraction)
 	if allocs > machines*most {
 		t.Errorf("%v allocations for %d machines, at most %d each", allocs, machines, most)
 	}
--- a/internal/manager/write_limits_test.go
+++ b/internal/manager/write_limits_test.go
@@ -86,7 +86,7 @@
 	h.want(h.m.WriteRefused(h.now, batch, 600), true)
 	batch = h.m.NextWrite(h.now)
 	h.want(len(batch.Changes), 2)
-	h.want(h.m.WriteRefused(h.now, batch, 600), true) // 450 bytes now: what was to be placed is taken back
+	h.want(h.m.WriteRefused(h.now, batch, 600), true) // 450 bytes now: what was to be placed is withdrawn
 	for range 3 {
 		for i := range 6 {
 			h.grant(fmt.Sprintf("run-%d", i), "n-1-a", 8)
--- a/internal/manager/writes.go
+++ b/internal/manager/writes.go
@@ -200,8 +200,8 @@
 				continue
 			}
 			shard := job.shards[key.index]
-			due := launches == shard.launchPending && (launches || builder.now.Sub(shard.dirtySince) >= delay)
-			if !due || !builder.addShard(job, key) {
+			ready := launches == shard.launchPending && (launches || builder.now.Sub(shard.dirtySince) >= delay)
+			if !ready || !builder.addShard(job, key) {
 				rest = append(rest, key)
 			}
 		}
--- a/internal/manager/writes_test.go
+++ b/internal/manager/writes_test.go
@@ -36,7 +36,7 @@
 	h.want(len(batch.OpenRecordConditions), 1)
 	h.want(batch.OpenRecordConditions[0].Key, state.OpenJobKey("run-1"))
 	h.want(batch.OpenRecordConditions[0].Version, h.revision-1)
-	// It was cancelled through another controller: the write fails, and is not made again.
+	// It was cancelled through another controller: the write fails, and is not repeated.
 	rec := record("run-1", 1, nil).Finalized(wire.JobCancelled)
 	h.revision++
 	h.m.OpenRecordChanged(h.now, h.now, 0, rec, h.revision)
