--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,9 +1,9 @@
 // Package fleet decides how many machines of which types to add (scale out) and which to delete (scale in).
 //
-// A Fleet belongs to a leader's term and to the goroutine that owns it, which calls Decide with each published
-// snapshot, sends the requests to the cloud and reports their outcomes by ScaledOut. The package is a state machine
-// without I/O and without a clock. It never places tasks and never deletes a machine on which something may run,
-// except one that has failed or can't be reached for so long that only its deletion ends its tasks. Nothing of its
+// A Fleet belongs to a leader's term and to the goroutine that owns it. Package leader/scaling calls Decide with each
+// published snapshot, sends the requests to the cloud and reports their outcomes by ScaledOut. The package is a state
+// machine without I/O and without a clock. It never places tasks and never deletes a machine on which something may
+// run, except one that has failed or can't be reached for so long that only its deletion ends its tasks. Nothing of its
 // state is durable: a new leader begins with the machines that exist. A Fleet isn't safe for concurrent use.
 //
 // A decision has four steps: machines that are of no use are deleted (unhealthy.go), the tasks are packed into the
--- a/internal/rebalance/rebalance.go
+++ b/internal/rebalance/rebalance.go
@@ -3,16 +3,15 @@
 // disruption budgets and uses the reservations that drains use, and the task's successor starts only when the attempt
 // is provably gone.
 //
-// The Planner is owned by the goroutine of the leader's term. Package manager provides the Snapshot and carries out
-// the moves as the MoveExecutor; package operator shows the Status and pauses the planner. The Planner is a state
-// machine without I/O and without a clock. It never moves gangs, tasks that would lose progress, or work of cordoned
-// machines, and its state isn't durable: after a failover it waits for the cooldowns of the previous leader. It isn't
-// safe for concurrent use. docs/spread.md argues the rules; operators know rebalancing as "spread".
+// The Planner is owned by the goroutine of the leader's term. Package leader/rebalancing calls it and makes durable
+// that it is paused; package manager provides the Snapshot and carries out the moves as the MoveExecutor; package
+// operator serves the Status. The Planner is a state machine without I/O and without a clock. It never moves gangs,
+// tasks that would lose progress, or work of cordoned machines, and its state isn't durable: after a failover it waits
+// for the cooldowns of the previous leader. It isn't safe for concurrent use. docs/spread.md argues the rules;
+// operators know rebalancing as "spread".
 package rebalance
 
-import (
-	"saffronbend/internal/micros"
-)
+import "saffronbend/internal/micros"
 
 // Config holds the operators' settings.
 type Config struct {
