--- a/internal/scenario/conditions.go
+++ b/internal/scenario/conditions.go
@@ -114,10 +114,10 @@
 
 func last(words []string) string { return words[len(words)-1] }
 
-func starts(w *world, words []string) int         { return w.referee.TaskStarts(words[0]) }
-func lateStarts(w *world, _ []string) int         { return w.referee.StartsAfterCancel() }
-func runs(w *world, words []string) int           { return w.referee.GangRuns(words[0]) }
-func running(w *world, words []string) int        { return len(w.referee.Placements(words[0])) }
+func starts(w *world, words []string) int         { return w.checker.TaskStarts(words[0]) }
+func lateStarts(w *world, _ []string) int         { return w.checker.StartsAfterCancel() }
+func runs(w *world, words []string) int           { return w.checker.GangRuns(words[0]) }
+func running(w *world, words []string) int        { return len(w.checker.Placements(words[0])) }
 func machinesUp(w *world, _ []string) int         { return w.cloud.MachineCount() }
 func machinesInZone(w *world, words []string) int { return w.cloud.MachinesInZone(words[0]) }
 func rented(w *world, _ []string) int             { return w.cloud.ScaledOut() }
@@ -128,7 +128,7 @@
 func mostOnOneMachine(w *world, words []string) int {
 	tasks := map[string]int{}
 	most := 0
-	for _, machine := range w.referee.Placements(words[0]) {
+	for _, machine := range w.checker.Placements(words[0]) {
 		tasks[machine]++
 		most = max(most, tasks[machine])
 	}
@@ -136,12 +136,12 @@
 }
 
 func disturbed(w *world, _ []string) int {
-	all, _ := invariant.AuditDisruptions(w.referee.Events(), w.budgets, 0)
+	all, _ := invariant.AuditDisruptions(w.checker.Events(), w.budgets, 0)
 	return len(all)
 }
 
 func stopped(w *world, _ []string) int {
-	all, _ := invariant.AuditDisruptions(w.referee.Events(), nil, 0)
+	all, _ := invariant.AuditDisruptions(w.checker.Events(), nil, 0)
 	n := 0
 	for _, disturbance := range all {
 		if disturbance.Commanded {
@@ -152,7 +152,7 @@
 }
 
 func machineOfTask(_ context.Context, w *world, words []string) (string, error) {
-	return w.referee.Placements(words[0])[integer(words[1])], nil
+	return w.checker.Placements(words[0])[integer(words[1])], nil
 }
 
 // jobStatus returns the status that a controller answers with; if none does, that of the last one asked.
--- a/internal/scenario/declarations.go
+++ b/internal/scenario/declarations.go
@@ -84,7 +84,7 @@
 	team := settings.Team{Name: words[0]}
 	if len(words) > 1 {
 		team.CPUsMax = number(words[1])
-		w.referee.SetTeamLimit(team.Name, team.CPUsMax)
+		w.checker.SetTeamLimit(team.Name, team.CPUsMax)
 	}
 	w.teams = append(w.teams, team)
 }
--- a/internal/scenario/expectations.go
+++ b/internal/scenario/expectations.go
@@ -72,7 +72,7 @@
 	begun := time.Now()
 	answered := map[string]time.Time{} // when a job was last answered for, by its id
 	for end := begun.Add(secondsOf(args.words[0])); time.Now().Before(end); time.Sleep(interval) {
-		for _, id := range w.referee.AcceptedJobs() {
+		for _, id := range w.checker.AcceptedJobs() {
 			everywhere, err := w.answeredEverywhere(ctx, id)
 			if err != nil {
 				return err
@@ -87,7 +87,7 @@
 				return fmt.Errorf("no question about %s is answered for %s", id, time.Since(since))
 			}
 		}
-		w.referee.CheckLeftWaiting(w.cloud.RunningMachines())
+		w.checker.CheckLeftWaiting(w.cloud.RunningMachines())
 	}
 	return nil
 }
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -143,7 +143,9 @@
 var cloudFaults = map[string]serviceFault{
 	"outage": {"", "it does not serve", 0, func(w *world, _ []string) { w.cloud.SetOutage(true) }},
 	"back":   {"", "it serves again", 0, func(w *world, _ []string) { w.cloud.SetOutage(false) }},
-	"lose":   {"", "the response to the next rental is lost", 0, func(w *world, _ []string) { w.cloud.LoseNextResponse() }},
+	"lose": {"", "the next response to a rental is lost", 0, func(w *world, _ []string) {
+		w.cloud.LoseNextResponse()
+	}},
 	"repeats": {"S", "requests that were carried out are carried out again later", 1, func(w *world, words []string) {
 		w.repeats[nameCloud].SetDelay(secondsOf(words[0]))
 	}},
@@ -181,7 +183,7 @@
 // certain beforehand which of the machines that are drained will be empty by a step.
 func (w *world) pick(_ context.Context, args arguments) error {
 	name, job, machines := args.words[0], args.words[1], strings.Split(args.words[2], ",")
-	busy := slices.Collect(maps.Values(w.referee.Placements(job)))
+	busy := slices.Collect(maps.Values(w.checker.Placements(job)))
 	for _, id := range slices.Backward(machines) {
 		if slices.Contains(busy, id) {
 			w.picked[name] = id
--- a/internal/scenario/jobs.go
+++ b/internal/scenario/jobs.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return s.job, err
 	}
-	w.referee.JobSubmitted(s.job, s.run, s.fails)
+	w.checker.JobSubmitted(s.job, s.run, s.fails)
 	return s.job, nil
 }
 
@@ -123,7 +123,7 @@
 func (w *world) withdraw(ctx context.Context, args arguments) error {
 	_, member := w.cutMember(args.words)
 	id := args.words[0]
-	w.referee.CancelRequested(id)
+	w.checker.CancelRequested(id)
 	code, status, err := w.askToCancel(ctx, member, id)
 	if err != nil {
 		return err
@@ -139,7 +139,7 @@
 
 func (w *world) cancelJob(ctx context.Context, args arguments) error {
 	id := args.words[0]
-	w.referee.CancelRequested(id)
+	w.checker.CancelRequested(id)
 	return w.retry(id, func(member string) error {
 		code, status, err := w.askToCancel(ctx, member, id)
 		if err != nil {
@@ -154,7 +154,7 @@
 	const tries = 60
 	for try := range tries {
 		err = request(w.members[try%len(w.members)])
-		if err == nil && slices.Contains(w.referee.AcceptedJobs(), id) {
+		if err == nil && slices.Contains(w.checker.AcceptedJobs(), id) {
 			return nil
 		}
 		time.Sleep(time.Second)
@@ -182,11 +182,11 @@
 // accepted. The checker hears the responses; which they are does not matter here.
 func (w *world) pollEverywhere(ctx context.Context, id string, submitAt int) {
 	for i, member := range w.members {
-		job, known := w.referee.Job(id)
+		job, known := w.checker.Job(id)
 		if !known {
 			continue
 		}
-		if i == submitAt && slices.Contains(w.referee.AcceptedJobs(), id) {
+		if i == submitAt && slices.Contains(w.checker.AcceptedJobs(), id) {
 			_, _, _ = w.ask(ctx, http.MethodPost, member, wire.PathJobs, id, job)
 		} else {
 			_, _, _ = w.poll(ctx, member, id)
@@ -214,7 +214,7 @@
 			return err
 		}
 		if i%cancelEvery == cancelEvery-1 && code < http.StatusMultipleChoices {
-			w.referee.CancelRequested(id)
+			w.checker.CancelRequested(id)
 			wait := time.Duration(i%waits) * time.Second
 			time.AfterFunc(wait, func() { w.cancelUntilConfirmed(ctx, id, i) })
 		}
@@ -252,7 +252,7 @@
 	asked := time.Now()
 	code, response, err := w.request(ctx, method, member, path, body)
 	if err == nil {
-		w.referee.AnswerSeen(id, asked, code, response.State)
+		w.checker.AnswerSeen(id, asked, code, response.State)
 	}
 	return code, string(response.State), err
 }
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -49,7 +49,7 @@
 	net     *fake.Network
 	state   *fake.Store
 	cloud   *fake.Cloud
-	referee *invariant.Checker
+	checker *invariant.Checker
 	users   *http.Client
 	// operators is the host from which operators send commands.
 	operators *fake.Host
@@ -94,7 +94,7 @@
 		log:     slog.New(slog.NewTextHandler(logs, &slog.HandlerOptions{Level: slog.LevelDebug})),
 		net:     network,
 		state:   fake.NewStore(),
-		referee: invariant.NewChecker(),
+		checker: invariant.NewChecker(),
 		byName:  map[string]*wire.MachineType{},
 		options: s.options,
 		nodes:   map[string]*node{},
@@ -117,14 +117,14 @@
 			return nil, fmt.Errorf("step %q: %w", line, err)
 		}
 	}
-	w.referee.CheckAtEnd()
+	w.checker.CheckAtEnd()
 	if err := w.audit(); err != nil {
 		return nil, err
 	}
-	if err := invariant.Err(w.referee.Violations()); err != nil {
+	if err := invariant.Err(w.checker.Violations()); err != nil {
 		return nil, fmt.Errorf("rules broken: %w", err)
 	}
-	return w.referee.Events(), nil
+	return w.checker.Events(), nil
 }
 
 // end ends the controllers and the fakes.
@@ -145,7 +145,7 @@
 // and commands that it had decided on before have arrived.
 func (w *world) audit() error {
 	detection := w.workers.HeartbeatInterval + w.workers.HeartbeatInterval/2 + seconds(w.values["order_s"])
-	_, violations := invariant.AuditDisruptions(w.referee.Events(), w.budgets, detection)
+	_, violations := invariant.AuditDisruptions(w.checker.Events(), w.budgets, detection)
 	if err := invariant.Err(violations); err != nil {
 		return fmt.Errorf("budgets broken: %w", err)
 	}
@@ -159,7 +159,7 @@
 	}
 	for _, machineType := range w.types {
 		w.byName[machineType.Name] = &machineType
-		w.referee.AddMachineType(machineType)
+		w.checker.AddMachineType(machineType)
 	}
 	for i := range controllers {
 		name := fmt.Sprintf("c%d", i)
@@ -190,8 +190,8 @@
 // buildFakes starts the fakes of the store, the cloud and the workers.
 func (w *world) buildFakes(ctx context.Context) error {
 	w.workers.HeartbeatInterval, w.workers.LeaseDuration = seconds(w.values["report_s"]), seconds(w.values["lease_s"])
-	w.referee.SetCancelDeadline(seconds(w.values["cancel_s"]))
-	w.workers.Network, w.workers.MachineTypes, w.workers.Checker = w.net, w.byName, w.referee
+	w.checker.SetCancelDeadline(seconds(w.values["cancel_s"]))
+	w.workers.Network, w.workers.MachineTypes, w.workers.Checker = w.net, w.byName, w.checker
 	w.workers.Gangs = fake.NewGangRuntime(seconds(w.values["gang_wait_s"]), seconds(w.values["gang_peer_s"]))
 	newWorker := func(machine fake.Machine) *fake.Worker {
 		return fake.NewWorker(ctx, w.workers, machine)
