--- a/internal/manager/disruptions.go
+++ b/internal/manager/disruptions.go
@@ -36,7 +36,7 @@
 		Task: attempt.task(), Team: job.spec().Team, Attempt: attempt.id, Cause: cause, Since: now,
 	})
 	if begun {
-		m.markShardDirty(now, job, attempt.taskIndex, false)
+		m.writes.markDirty(now, job, attempt.taskIndex, false)
 		m.event("task disrupted", "task", attempt.taskName, "attempt", attempt.id, "team", job.spec().Team,
 			"reason", string(cause), "machine", attempt.machine.id)
 	}
@@ -59,7 +59,7 @@
 	if !ok {
 		return
 	}
-	m.markShardDirty(now, job, task, false)
+	m.writes.markDirty(now, job, task, false)
 	m.event("task disruption ended", "task", disrupted.Task.String(), "team", disrupted.Team,
 		"reason", string(disrupted.Cause), "after_s", now.Sub(disrupted.Since).Seconds())
 }
@@ -74,7 +74,7 @@
 		id, shardIndex, ok := state.ParseDisruptionKey(item.Key)
 		job := m.jobs[id]
 		if !ok || job == nil {
-			m.writes.orphanRecords = append(m.writes.orphanRecords, RecordChange{Key: item.Key, Version: item.Version})
+			m.writes.deleteOrphan(item)
 			continue
 		}
 		var record state.DisruptionRecord
--- a/internal/manager/evictions.go
+++ b/internal/manager/evictions.go
@@ -40,7 +40,7 @@
 	m.reserveForSuccessor(now, attempt.task(), destination, resources.ForTask(attempt.spec()))
 	m.beginDisruption(now, attempt, cause)
 	attempt.pendingEviction = cause
-	m.markShardDirty(now, attempt.job, attempt.taskIndex, true)
+	m.writes.markDirty(now, attempt.job, attempt.taskIndex, true)
 }
 
 // executeEvictions stops the attempts whose eviction has become durable.
--- a/internal/manager/exits.go
+++ b/internal/manager/exits.go
@@ -60,7 +60,7 @@
 	if job.allDone() {
 		m.estimates.learn(job)
 	}
-	m.queueFinalWrite(job)
+	m.writes.queueFinal(job)
 }
 
 // recordResult records the first result of a task, and what it says about the machine and the job's run time.
@@ -75,7 +75,7 @@
 	if exit.of(attempt) && attempt.grantedThisTerm && attempt.runningSince != 0 {
 		runTime := now.Sub(attempt.runningSince)
 		m.recordRunTime(machine, job, runTime)
-		m.publisher.completedRuns = append(m.publisher.completedRuns, snapshot.CompletedRun{
+		m.publisher.addRun(snapshot.CompletedRun{
 			Job: job.id(), Class: job.spec().Class, Team: job.spec().Team, Machine: machine.id, Run: runTime,
 		})
 	}
--- a/internal/manager/gone.go
+++ b/internal/manager/gone.go
@@ -87,9 +87,9 @@
 		attempt.machine.idleSince = now
 	}
 	if !job.final() {
-		m.markShardDirty(now, job, attempt.taskIndex, false)
+		m.writes.markDirty(now, job, attempt.taskIndex, false)
 	}
-	m.queueFinalWrite(job)
+	m.writes.queueFinal(job)
 	m.publisher.markMachine(attempt.machine)
 	if reserved := m.reservations.byTask[attempt.task()]; reserved != nil {
 		m.publisher.markMachine(reserved.machine) // it may be claimed now
--- a/internal/manager/grants.go
+++ b/internal/manager/grants.go
@@ -108,7 +108,7 @@
 	}
 	m.attemptIDs.advance()
 	m.registerAttempt(attempt)
-	m.markShardDirty(now, job, attempt.taskIndex, true)
+	m.writes.markDirty(now, job, attempt.taskIndex, true)
 	// The machine was reserved until it has as many of the job's tasks as it takes.
 	if reserved && !free.AddTasks(need, -1).Fits(need) {
 		machine.reservedForJob = ""
--- a/internal/manager/jobs.go
+++ b/internal/manager/jobs.go
@@ -129,7 +129,7 @@
 	job.done++
 	m.endDisruption(now, job, task)
 	m.publisher.markJob(job)
-	m.markShardDirty(now, job, task, false)
+	m.writes.markDirty(now, job, task, false)
 }
 
 // jobsByArrival returns the jobs that match, the oldest first.
@@ -186,7 +186,7 @@
 	job := m.jobs[id]
 	if job == nil {
 		job = m.addJob(now, wall, record, version)
-		m.queueFinalWrite(job)
+		m.writes.queueFinal(job)
 		return
 	}
 	if version <= job.version {
@@ -210,10 +210,10 @@
 	job.finalState = finalState
 	job.finalSince = min(now, notBefore)
 	job.completionInFlight = false
-	m.writes.completions = slices.DeleteFunc(m.writes.completions, func(id string) bool { return id == job.id() })
+	m.writes.withdrawCompletion(job)
 	m.ledger.EndJob(job.id())
 	m.stopJob(now, job)
-	m.queueFinalWrite(job)
+	m.writes.queueFinal(job)
 	m.publisher.markJob(job)
 }
 
@@ -234,16 +234,3 @@
 func (m *Manager) ForgetRemovedBefore(revision uint64) {
 	maps.DeleteFunc(m.removedJobs, func(_ string, removedAt uint64) bool { return removedAt <= revision })
 }
-
-// queueFinalWrite queues the write that a job needs at its end: its completion when all tasks are done, and the
-// deletion of its records when it is final and nothing of it can exist any more.
-func (m *Manager) queueFinalWrite(job *jobState) {
-	switch {
-	case job.final():
-		if len(job.active) == 0 && !slices.Contains(m.writes.cleanups, job.id()) {
-			m.writes.cleanups = append(m.writes.cleanups, job.id())
-		}
-	case job.allDone() && !job.completionInFlight && !slices.Contains(m.writes.completions, job.id()):
-		m.writes.completions = append(m.writes.completions, job.id())
-	}
-}
--- a/internal/manager/machines.go
+++ b/internal/manager/machines.go
@@ -124,7 +124,7 @@
 	for _, id := range slices.Sorted(maps.Keys(m.machines)) {
 		m.tickMachine(now, m.machines[id])
 	}
-	m.publisher.stale = true
+	m.publisher.markStale()
 }
 
 func (m *Manager) tickMachine(now micros.Timestamp, machine *machineState) {
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -121,12 +121,14 @@
 func (m *Manager) SetTeamAssignments(assignments map[string]string) {
 	if !maps.Equal(assignments, m.teamAssignments) {
 		m.teamAssignments = assignments
-		m.publisher.stale = true
+		m.publisher.markStale()
 	}
 }
 
 // SetStoreAvailable sets whether the key-value store serves this controller.
 func (m *Manager) SetStoreAvailable(available bool) {
-	m.publisher.stale = m.publisher.stale || available != m.storeAvailable
-	m.storeAvailable = available
+	if available != m.storeAvailable {
+		m.storeAvailable = available
+		m.publisher.markStale()
+	}
 }
--- a/internal/manager/progress.go
+++ b/internal/manager/progress.go
@@ -24,14 +24,14 @@
 	index int
 }
 
-// markShardDirty queues the progress record of a task for writing. launch says that a launch waits for the write.
-func (m *Manager) markShardDirty(now micros.Timestamp, job *jobState, task int, launch bool) {
+// markDirty queues the progress record of a task for writing. launch says that a launch waits for the write.
+func (pipeline *writePipeline) markDirty(now micros.Timestamp, job *jobState, task int, launch bool) {
 	shard := job.shardOf(task)
 	shard.launchPending = shard.launchPending || launch
 	if !shard.dirty {
 		shard.dirty = true
 		shard.dirtySince = now
-		m.writes.dirtyShards = append(m.writes.dirtyShards, shardKey{job: job.id(), index: job.shardIndex(task)})
+		pipeline.dirtyShards = append(pipeline.dirtyShards, shardKey{job: job.id(), index: job.shardIndex(task)})
 	}
 }
 
--- a/internal/manager/publisher.go
+++ b/internal/manager/publisher.go
@@ -31,12 +31,20 @@
 	forgottenUntil uint64
 }
 
+// newSnapshotPublisher returns a publisher whose first snapshot is due at once.
+func newSnapshotPublisher() snapshotPublisher {
+	return snapshotPublisher{dirtyMachines: map[string]bool{}, dirtyJobs: map[string]bool{}, stale: true}
+}
+
 // removal is a machine or a job that is no longer published, with the first version without it.
 type removal struct {
 	id      string
 	version uint64
 }
 
+// markStale records that something else than a machine or a job has changed.
+func (publisher *snapshotPublisher) markStale() { publisher.stale = true }
+
 // markMachine records that a machine may have to be published anew.
 func (publisher *snapshotPublisher) markMachine(machine *machineState) {
 	publisher.dirtyMachines[machine.id] = true
@@ -49,6 +57,17 @@
 	publisher.stale = true
 }
 
+// markRemoved records that a job no longer exists.
+func (publisher *snapshotPublisher) markRemoved(job string) {
+	publisher.dirtyJobs[job] = true
+	publisher.stale = true
+}
+
+// addRun adds a completed run to the next snapshot.
+func (publisher *snapshotPublisher) addRun(run snapshot.CompletedRun) {
+	publisher.completedRuns = append(publisher.completedRuns, run)
+}
+
 // maxRemovals bounds the removals that are kept for followers.
 func (publisher *snapshotPublisher) maxRemovals() int {
 	return max(minRemovals, len(publisher.machines))
--- a/internal/manager/reconcile.go
+++ b/internal/manager/reconcile.go
@@ -65,7 +65,7 @@
 		lease:       taskLease{expiry: now.Add(m.cfg.Tuning.FirstLease)},
 	}
 	m.registerAttempt(attempt)
-	m.markShardDirty(now, job, task, false)
+	m.writes.markDirty(now, job, task, false)
 	if job.gang != nil {
 		// It is not of an attempt of the whole gang that is known, so it ends.
 		m.applyGangAction(now, job, job.gang.RecoveryDone(), disruption.Gang)
--- a/internal/manager/recovery.go
+++ b/internal/manager/recovery.go
@@ -49,9 +49,7 @@
 		writes:          writePipeline{limits: newWriteLimits(cfg.StoreLimits)},
 		pushes:          pushQueue{candidates: map[string]bool{}, maxInFlight: cfg.MaxCommandPushes},
 		estimates:       runTimeEstimator{bias: map[string]float64{}},
-		publisher: snapshotPublisher{
-			dirtyMachines: map[string]bool{}, dirtyJobs: map[string]bool{}, stale: true,
-		},
+		publisher:       newSnapshotPublisher(),
 		teamAssignments: map[string]string{},
 		storeAvailable:  true,
 		replacements:    map[string]int{},
@@ -93,7 +91,7 @@
 		id, shardIndex, ok := state.ParseProgressKey(item.Key)
 		job := m.jobs[id]
 		if !ok || job == nil {
-			m.writes.orphanRecords = append(m.writes.orphanRecords, RecordChange{Key: item.Key, Version: item.Version})
+			m.writes.deleteOrphan(item)
 			continue
 		}
 		var record state.ProgressRecord
@@ -139,5 +137,5 @@
 	if job.final() {
 		m.stopJob(now, job) // cancelled under an earlier leader: tasks of it may still run
 	}
-	m.queueFinalWrite(job)
+	m.writes.queueFinal(job)
 }
--- a/internal/manager/write_outcomes.go
+++ b/internal/manager/write_outcomes.go
@@ -26,7 +26,7 @@
 	m.commitDeletions(write)
 	m.commitCompletions(now, write, revision)
 	m.executeEvictions(now, write.evictions)
-	m.publisher.stale = true
+	m.publisher.markStale()
 }
 
 func (m *Manager) commitShards(write *writeInFlight, revision uint64) {
@@ -75,12 +75,12 @@
 		job.version = revision
 		m.publisher.markJob(job)
 		if !slices.Contains(write.deletedJobs, id) {
-			m.queueFinalWrite(job)
+			m.writes.queueFinal(job)
 		}
 	}
 	for _, id := range write.deletedJobs {
 		m.removedJobs[id] = revision
-		m.publisher.dirtyJobs[id] = true
+		m.publisher.markRemoved(id)
 		delete(m.jobs, id)
 	}
 }
@@ -96,7 +96,7 @@
 	for _, key := range write.shards {
 		if job := m.jobs[key.job]; job != nil {
 			first, _ := job.tasksOf(key.index)
-			m.markShardDirty(now, job, first, true)
+			m.writes.markDirty(now, job, first, true)
 		}
 	}
 	for id, indices := range write.deletions {
@@ -109,7 +109,7 @@
 	for _, id := range slices.Concat(write.completions, write.deletedJobs) {
 		if job := m.jobs[id]; job != nil {
 			job.completionInFlight = false
-			m.queueFinalWrite(job)
+			m.writes.queueFinal(job)
 		}
 	}
 }
--- a/internal/manager/writes.go
+++ b/internal/manager/writes.go
@@ -69,6 +69,30 @@
 	return ids
 }
 
+// queueFinal queues the write that a job needs at its end: its completion when all tasks are done, and the deletion of
+// its records when it is final and nothing of it can exist any more.
+func (pipeline *writePipeline) queueFinal(job *jobState) {
+	switch {
+	case job.final():
+		if len(job.active) == 0 && !slices.Contains(pipeline.cleanups, job.id()) {
+			pipeline.cleanups = append(pipeline.cleanups, job.id())
+		}
+	case job.allDone() && !job.completionInFlight && !slices.Contains(pipeline.completions, job.id()):
+		pipeline.completions = append(pipeline.completions, job.id())
+	}
+}
+
+// withdrawCompletion removes a job from those to be completed, since it was cancelled.
+func (pipeline *writePipeline) withdrawCompletion(job *jobState) {
+	pipeline.completions = slices.DeleteFunc(pipeline.completions, func(id string) bool { return id == job.id() })
+}
+
+// deleteOrphan queues the deletion of a record without a job.
+func (pipeline *writePipeline) deleteOrphan(record wire.KeyValue) {
+	deletion := RecordChange{Key: record.Key, Version: record.Version}
+	pipeline.orphanRecords = append(pipeline.orphanRecords, deletion)
+}
+
 // finish returns the write in flight and makes way for the next; nil if another or none is in flight.
 func (pipeline *writePipeline) finish(id uint64) *writeInFlight {
 	write := pipeline.inFlight
