--- a/internal/manager/bench_test.go
+++ b/internal/manager/bench_test.go
@@ -58,7 +58,7 @@
 	}
 	fillFleet(m, *now, heartbeats, each)
 	for _, heartbeat := range heartbeats {
-		for _, attempt := range attemptsByID(m.machines[heartbeat.Machine].attempts) {
+		for _, attempt := range attemptsByID(m.machines.byID[heartbeat.Machine].attempts) {
 			heartbeat.Tasks = append(heartbeat.Tasks, runningTask(attempt.taskName, attempt.id))
 		}
 		heartbeat.Sequence++
@@ -137,7 +137,7 @@
 		b.Helper()
 		m, now, next := newLargeFleet(b, machines)
 		var list []wire.Machine
-		for range len(m.machines) {
+		for range len(m.machines.byID) {
 			heartbeat := next()
 			list = append(list, wire.Machine{
 				ID: heartbeat.Machine, Addr: heartbeat.Addr, Type: heartbeat.Type, Zone: heartbeat.Zone,
@@ -204,7 +204,7 @@
 		b.Helper()
 		m, now, _ := newLargeFleet(b, machines)
 		m.pushes.inFlight = m.pushes.maxInFlight
-		for id := range m.machines {
+		for id := range m.machines.byID {
 			m.pushes.candidates[id] = true
 		}
 		for b.Loop() {
@@ -224,13 +224,13 @@
 			m.OpenRecordChanged(*now, *now, 0, rec, uint64(5000+j))
 		}
 		*now = now.Add(micros.Minute)
-		for range m.machines {
+		for range m.machines.byID {
 			m.Heartbeat(*now, next(), "", true)
 		}
 		b.ResetTimer()
 		for b.Loop() {
 			m.ReserveForWaitingJobs(*now)
-			for _, machine := range m.machines {
+			for _, machine := range m.machines.byID {
 				machine.reservedForJob = ""
 			}
 		}
--- a/internal/manager/commands.go
+++ b/internal/manager/commands.go
@@ -63,7 +63,7 @@
 // resultUnwritten reports whether an exited task has a result that is not durable: it is cleared only then.
 func (m *Manager) resultUnwritten(status *wire.TaskStatus) bool {
 	id, task, ok := wire.ParseTaskName(status.Task)
-	job := m.jobs[id]
+	job := m.jobs.byID[id]
 	return ok && job != nil && task < len(job.taskPhases) && !job.final() &&
 		job.taskPhases[task] == taskDone && status.ExitReason == wire.ExitCompleted
 }
--- a/internal/manager/costs.go
+++ b/internal/manager/costs.go
@@ -37,7 +37,7 @@
 	}
 	hours := now.Sub(costs.accountedUntil).Seconds() / 3600
 	costs.accountedUntil = now
-	for _, machine := range m.machines {
+	for _, machine := range m.machines.byID {
 		costs.addMachine(machine, hours)
 	}
 	if now.Sub(costs.reportedAt) >= costReportInterval {
@@ -103,5 +103,5 @@
 	m.event("machine costs in this term by use", "cost", math.Round(total*1000)/1000,
 		"running_pct", percent(costs.running), "wasted_pct", percent(costs.wasted),
 		"fetching_pct", percent(costs.fetching), "booting_pct", percent(costs.booting),
-		"idle_pct", percent(costs.idle), "silent_pct", percent(costs.silent), "machines", len(m.machines))
+		"idle_pct", percent(costs.idle), "silent_pct", percent(costs.silent), "machines", len(m.machines.byID))
 }
--- a/internal/manager/disruptions.go
+++ b/internal/manager/disruptions.go
@@ -72,7 +72,7 @@
 	}
 	for _, item := range items {
 		id, shardIndex, ok := state.ParseDisruptionKey(item.Key)
-		job := m.jobs[id]
+		job := m.jobs.byID[id]
 		if !ok || job == nil {
 			m.writes.deleteOrphan(item)
 			continue
--- a/internal/manager/disruptions_test.go
+++ b/internal/manager/disruptions_test.go
@@ -69,7 +69,7 @@
 	h.placeTask()
 	h.m.SetCordons(h.now, map[string]bool{"n-1-a": true}, nil)
 	h.want(h.openDisruptions(), "")
-	h.want(h.m.jobs["run-1"].waiting, 1)
+	h.want(h.m.jobs.byID["run-1"].waiting, 1)
 }
 
 // A new leader knows what was disrupted. An eviction that was decided and not carried out is decided anew; one whose
@@ -117,7 +117,7 @@
 func TestReclaimedMachineIsADisruption(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
-	h.m.machines["n-1-a"].reclaimAt = h.now.Add(3 * micros.Second)
+	h.m.machines.byID["n-1-a"].reclaimAt = h.now.Add(3 * micros.Second)
 	h.tick()
 	h.want(h.openDisruptions(), "run-1/0 reclaimed")
 }
--- a/internal/manager/drains.go
+++ b/internal/manager/drains.go
@@ -23,12 +23,12 @@
 	before := m.cordons
 	m.cordons = cordons
 	for id := range before {
-		if machine := m.machines[id]; machine != nil && !cordons[id] {
+		if machine := m.machines.byID[id]; machine != nil && !cordons[id] {
 			m.publisher.markMachine(machine)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(cordons)) {
-		if machine := m.machines[id]; machine != nil && !before[id] {
+		if machine := m.machines.byID[id]; machine != nil && !before[id] {
 			m.withdrawUnlaunched(now, machine)
 			m.publisher.markMachine(machine)
 		}
@@ -53,7 +53,7 @@
 func (m *Manager) SetReplacements(tasks []disruption.Task) {
 	clear(m.replacements)
 	for _, task := range tasks {
-		if job := m.jobs[task.Job]; job != nil && job.gang != nil {
+		if job := m.jobs.byID[task.Job]; job != nil && job.gang != nil {
 			m.replacements[task.Job] = len(job.active)
 		} else if job != nil {
 			m.replacements[task.Job]++
@@ -65,7 +65,7 @@
 func (m *Manager) publishedReplacements() []*snapshot.Job {
 	var jobs []*snapshot.Job
 	for _, id := range slices.Sorted(maps.Keys(m.replacements)) {
-		if job := m.jobs[id]; job != nil && !job.final() {
+		if job := m.jobs.byID[id]; job != nil && !job.final() {
 			published := m.publishedJob(job)
 			published.Waiting = m.replacements[id]
 			jobs = append(jobs, published)
@@ -81,10 +81,10 @@
 		Now:            now,
 		Machines:       map[string]drain.Machine{},
 		Teams:          m.TeamUsage(now),
-		MachinesListed: m.machinesListed && now.Sub(m.termStart) > lateListFactor*m.cfg.ListLag,
+		MachinesListed: m.machines.listed && now.Sub(m.termStart) > lateListFactor*m.cfg.ListLag,
 	}
 	for id := range m.cordons {
-		if machine := m.machines[id]; machine != nil {
+		if machine := m.machines.byID[id]; machine != nil {
 			published.Machines[id] = m.drainMachine(now, machine)
 		}
 	}
@@ -128,7 +128,7 @@
 func (m *Manager) resultsDurable(machine *machineState) bool {
 	machine.unwrittenResults = slices.DeleteFunc(machine.unwrittenResults, func(result completedTask) bool {
 		job := result.job
-		return m.jobs[job.id()] != job || job.taskPhases[result.task] == taskDurable || job.final()
+		return m.jobs.byID[job.id()] != job || job.taskPhases[result.task] == taskDurable || job.final()
 	})
 	return len(machine.unwrittenResults) == 0
 }
@@ -140,7 +140,7 @@
 		disrupted := m.ledger.CountForTeam(name)
 		usage[name] = drain.TeamUsage{Disrupted: disrupted, Running: disrupted}
 	}
-	for _, machine := range m.machines {
+	for _, machine := range m.machines.byID {
 		m.addTeamUsage(now, machine, usage)
 	}
 	return usage
@@ -166,11 +166,10 @@
 // KnownMachines returns the machines that a drain may name, by identifier.
 func (m *Manager) KnownMachines(now micros.Timestamp) []drain.KnownMachine {
 	var known []drain.KnownMachine
-	for _, id := range slices.Sorted(maps.Keys(m.machines)) {
-		machine := m.machines[id]
+	for _, machine := range m.machines.sorted() {
 		if !machine.deleting && machine.listing.state != wire.MachineFailed {
 			known = append(known, drain.KnownMachine{
-				ID: id, Zone: machine.zone, Type: machine.typeName, Age: now.Sub(machine.registeredAt),
+				ID: machine.id, Zone: machine.zone, Type: machine.typeName, Age: now.Sub(machine.registeredAt),
 			})
 		}
 	}
--- a/internal/manager/evictions.go
+++ b/internal/manager/evictions.go
@@ -15,7 +15,7 @@
 // attempt is stopped once its disruption is durable. If there is no room, nothing changes. A task that has no attempt
 // any more is reported as such.
 func (m *Manager) Evict(now micros.Timestamp, task disruption.Task) drain.EvictionOutcome {
-	job := m.jobs[task.Job]
+	job := m.jobs.byID[task.Job]
 	if job == nil || job.active[task.Index] == nil {
 		return drain.AttemptEnded
 	}
@@ -132,7 +132,7 @@
 	}
 	need := resources.ForTask(job.spec())
 	var candidates []candidate
-	for _, machine := range m.machines {
+	for _, machine := range m.machines.byID {
 		if !m.mayHostSuccessor(now, machine, job) {
 			continue
 		}
--- a/internal/manager/gone_test.go
+++ b/internal/manager/gone_test.go
@@ -124,9 +124,9 @@
 	h.cancel()
 	h.seq++
 	h.pushExecuted(out[0], pushAnswer(1, h.seq, runningTask("run-2/0", first+1)))
-	h.want(len(h.m.machines["n-1-a"].attempts), 2)
+	h.want(len(h.m.machines.byID["n-1-a"].attempts), 2)
 	h.heartbeat("n-1-a", token, 1, taskStatus("run-2/0", first+1, "running"))
-	h.want(len(h.m.machines["n-1-a"].attempts), 1)
+	h.want(len(h.m.machines.byID["n-1-a"].attempts), 1)
 }
 
 // An incarnation that is first seen in the answer to a push lives for a whole lease, though nobody answers its
@@ -137,20 +137,20 @@
 	h.list("n-1-a")
 	h.advance(workerLease + 2*micros.Second)
 	h.tick()
-	h.want(h.m.machines["n-1-a"].agent.reporting, false)
+	h.want(h.m.machines.byID["n-1-a"].agent.reporting, false)
 	out := h.m.CommandPushes(h.now, true)
 	h.want(len(out), 1)
 	h.seq++
 	h.pushExecuted(out[0], pushAnswer(2, h.seq))
 	h.tick()
-	h.want(h.m.machines["n-1-a"].agent.reporting, true)
+	h.want(h.m.machines.byID["n-1-a"].agent.reporting, true)
 	h.advance(workerLease)
 	h.tick()
-	h.want(h.m.machines["n-1-a"].agent.reporting, true)
+	h.want(h.m.machines.byID["n-1-a"].agent.reporting, true)
 	h.want(h.heartbeat("n-1-a", token, 2), "")
 	h.advance(workerLease + 2*micros.Second)
 	h.tick()
-	h.want(h.m.machines["n-1-a"].agent.reporting, false)
+	h.want(h.m.machines.byID["n-1-a"].agent.reporting, false)
 	// An answer of the expired incarnation changes nothing, and the machine is not probed again at once.
 	out = h.m.CommandPushes(h.now, true)
 	h.want(len(out), 1)
--- a/internal/manager/grants.go
+++ b/internal/manager/grants.go
@@ -17,7 +17,7 @@
 		return result
 	}
 	if len(transaction.Requests) > 0 {
-		if job := m.jobs[transaction.Requests[0].Job]; job != nil && m.backlogged(now, job) {
+		if job := m.jobs.byID[transaction.Requests[0].Job]; job != nil && m.backlogged(now, job) {
 			return result
 		}
 	}
@@ -58,7 +58,7 @@
 
 // grantWait makes a job the waiter of a lease.
 func (m *Manager) grantWait(now micros.Timestamp, request lease.Request) bool {
-	machine := m.machines[request.Machine]
+	machine := m.machines.byID[request.Machine]
 	if machine == nil || m.cordons[machine.id] {
 		return false
 	}
@@ -78,7 +78,7 @@
 // grantOne grants the lease of one task, and returns the attempt, or nil if refusePlacement forbids it. granted are the
 // attempts that the transaction has been granted already.
 func (m *Manager) grantOne(now micros.Timestamp, request lease.Request, granted []*taskAttempt) *taskAttempt {
-	job, machine := m.jobs[request.Job], m.machines[request.Machine]
+	job, machine := m.jobs.byID[request.Job], m.machines.byID[request.Machine]
 	if m.refusePlacement(now, job, machine) != placementAllowed {
 		return nil
 	}
@@ -224,7 +224,7 @@
 // gangOf returns the gang that a transaction requests leases for, or nil.
 func (m *Manager) gangOf(transaction lease.Transaction) *jobState {
 	for _, request := range transaction.Requests {
-		if job := m.jobs[request.Job]; job != nil && job.gang != nil && request.WaitFor == 0 {
+		if job := m.jobs.byID[request.Job]; job != nil && job.gang != nil && request.WaitFor == 0 {
 			return job
 		}
 	}
--- a/internal/manager/grants_test.go
+++ b/internal/manager/grants_test.go
@@ -47,7 +47,7 @@
 	h.grantAll(
 		lease.Request{Job: "run-1", Machine: "n-1-a", Count: 2}, lease.Request{Job: "run-1", Machine: "n-2-a", Count: 1})
 	h.commitWrites()
-	active := h.m.jobs["run-1"].active
+	active := h.m.jobs.byID["run-1"].active
 	id := active[0].id
 	h.want(h.heartbeat("n-1-a", token, 1), command("launch", "run-1/0", id)+"; "+command("launch", "run-1/1", id))
 	h.want(active[2].id, id)
@@ -96,7 +96,7 @@
 			h := newHarness(t, nil, nil)
 			h.start("n-1-a")
 			h.submit("run-1", 3, nil)
-			job, machine := h.m.jobs["run-1"], h.m.machines["n-1-a"]
+			job, machine := h.m.jobs.byID["run-1"], h.m.machines.byID["n-1-a"]
 			c.change(h, job, machine)
 			h.want(h.m.refusePlacement(h.now, job, machine), c.want)
 		})
--- a/internal/manager/harness_test.go
+++ b/internal/manager/harness_test.go
@@ -348,7 +348,7 @@
 // reservedMachines returns the machines that are reserved for a waiting job, by identifier.
 func (h *harness) reservedMachines(job string) []string {
 	var ids []string
-	for id, machine := range h.m.machines {
+	for id, machine := range h.m.machines.byID {
 		if machine.reservedForJob == job {
 			ids = append(ids, id)
 		}
--- a/internal/manager/health_test.go
+++ b/internal/manager/health_test.go
@@ -21,7 +21,7 @@
 		h.heartbeat(m, token, 1, fmt.Sprintf("run-1/0 %d ended error", first+i))
 	}
 	h.want(h.grant("run-1", "n-3-a", 1), 0)
-	h.want(h.m.machines["n-3-a"].health.quarantineReason, "")
+	h.want(h.m.machines.byID["n-3-a"].health.quarantineReason, "")
 	h.advance(3 * micros.Second)
 	h.start("n-3-a")
 	h.want(h.grant("run-1", "n-3-a", 1), 1)
@@ -47,9 +47,9 @@
 	run("n-1-a", 10*micros.Second)
 	run("n-1-a", 10*micros.Second)
 	run("n-2-a", 40*micros.Second)
-	h.want(h.m.machines["n-2-a"].health.quarantineReason, "")
+	h.want(h.m.machines.byID["n-2-a"].health.quarantineReason, "")
 	run("n-2-a", 40*micros.Second)
-	h.want(h.m.machines["n-1-a"].health.quarantineReason, "")
+	h.want(h.m.machines.byID["n-1-a"].health.quarantineReason, "")
 	h.start("n-2-a")
 	h.want(h.grant("run-1", "n-2-a", 1), 0)
 	h.want(h.grant("run-1", "n-1-a", 1), 0) // silent by now
@@ -69,6 +69,6 @@
 	h.heartbeat("n-1-a", token, 1, "run-1/0 90 running", "run-1/1 91 running")
 	h.advance(micros.Second / 2)
 	h.heartbeat("n-1-a", token, 1, "run-1/0 90 ended done", "run-1/1 91 ended done")
-	h.want(h.m.jobs["run-1"].normalRuns, 0)
+	h.want(h.m.jobs.byID["run-1"].normalRuns, 0)
 	h.want(len(h.m.publisher.completedRuns), 0)
 }
--- a/internal/manager/heartbeat.go
+++ b/internal/manager/heartbeat.go
@@ -17,8 +17,8 @@
 		return nil, true
 	}
 	answer = &wire.HeartbeatResponse{FencingToken: m.cfg.FencingToken, Commands: []wire.Command{}}
-	known := m.machines[heartbeat.Machine]
-	if known == nil && !m.deletedMachines[heartbeat.Machine] && heartbeat.FencingToken != m.cfg.FencingToken {
+	known := m.machines.byID[heartbeat.Machine]
+	if known == nil && !m.machines.deleted[heartbeat.Machine] && heartbeat.FencingToken != m.cfg.FencingToken {
 		// The machine is unknown and has not acknowledged our token: it may be new, or this is a late copy from one that
 		// was deleted under an earlier leader. It only gets an answer; if that arrives, its next heartbeat has our token.
 		return answer, false
@@ -50,7 +50,7 @@
 // it may be told to send them here again. If it turns to the other controller again all the same, its heartbeats
 // don't reach us: they are relayed until another push has arrived.
 func (m *Manager) MayReturnToLeader(now micros.Timestamp, id string) bool {
-	machine := m.machines[id]
+	machine := m.machines.byID[id]
 	if machine == nil {
 		return false
 	}
@@ -67,10 +67,10 @@
 func (m *Manager) applyHeartbeat(
 	now micros.Timestamp, heartbeat *wire.Heartbeat, source messageSource,
 ) *machineState {
-	if m.deletedMachines[heartbeat.Machine] {
+	if m.machines.deleted[heartbeat.Machine] {
 		return nil
 	}
-	machine := m.ensureMachine(now, heartbeat.Machine)
+	machine := m.machines.ensure(now, heartbeat.Machine)
 	agent := &machine.agent
 	if agent.late(heartbeat) {
 		return nil
@@ -85,7 +85,7 @@
 	agent.observe(now, heartbeat, source, m.cfg.FencingToken)
 	machine.address, machine.typeName = heartbeat.Addr, heartbeat.Type
 	machine.zone, machine.spot = heartbeat.Zone, heartbeat.Spot
-	machine.machineType = m.machineTypes[machine.typeName]
+	machine.machineType = m.machines.types[machine.typeName]
 	if heartbeat.ReclaimInS != nil {
 		m.applyReclaimNotice(now, machine, *heartbeat.ReclaimInS)
 	}
--- a/internal/manager/heartbeat_test.go
+++ b/internal/manager/heartbeat_test.go
@@ -71,7 +71,7 @@
 	// As far as the heartbeat shows, the answer has not arrived; but the agent has stayed with the controller that sent
 	// it.
 	h.want(passed(), command("launch", "run-1/0", first))
-	h.want(h.m.machines["n-1-a"].agent.unreachableSince, micros.Timestamp(0))
+	h.want(h.m.machines.byID["n-1-a"].agent.unreachableSince, micros.Timestamp(0))
 	for range 2 {
 		h.advance(15 * micros.Second / 2)
 		passed()
--- a/internal/manager/jobs.go
+++ b/internal/manager/jobs.go
@@ -132,10 +132,36 @@
 	m.writes.markDirty(now, job, task, false)
 }
 
-// jobsByArrival returns the jobs that match, the oldest first.
-func (m *Manager) jobsByArrival(match func(*jobState) bool) []*jobState {
+// jobTable holds the jobs whose open records exist.
+type jobTable struct {
+	byID     map[string]*jobState
+	arrivals uint64 // jobs added in this term
+	// removed are the jobs whose records this leader has deleted, with the revision of the deletion: the watch may still
+	// deliver older versions of them.
+	removed map[string]uint64
+}
+
+func newJobTable() jobTable {
+	return jobTable{byID: map[string]*jobState{}, removed: map[string]uint64{}}
+}
+
+// add adds a job, as the newest.
+func (table *jobTable) add(job *jobState) {
+	table.arrivals++
+	job.arrival = table.arrivals
+	table.byID[job.id()] = job
+}
+
+// remove removes a job whose records were deleted at a revision.
+func (table *jobTable) remove(id string, revision uint64) {
+	table.removed[id] = revision
+	delete(table.byID, id)
+}
+
+// byArrival returns the jobs that match, the oldest first.
+func (table *jobTable) byArrival(match func(*jobState) bool) []*jobState {
 	var jobs []*jobState
-	for _, job := range m.jobs {
+	for _, job := range table.byID {
 		if match(job) {
 			jobs = append(jobs, job)
 		}
@@ -145,12 +171,10 @@
 }
 
 func (m *Manager) addJob(now micros.Timestamp, wall int64, record state.OpenJobRecord, version uint64) *jobState {
-	m.arrivals++
 	age := max(0, micros.Duration(wall-record.AcceptedAt))
 	job := &jobState{
 		record:            record,
 		version:           version,
-		arrival:           m.arrivals,
 		acceptedAt:        now.Add(-age),
 		finalState:        record.FinalState,
 		finalSince:        now,
@@ -167,7 +191,7 @@
 	if deadline := record.Job.DeadlineS; deadline != nil {
 		job.deadline = job.acceptedAt.Add(micros.Seconds(*deadline))
 	}
-	m.jobs[job.id()] = job
+	m.jobs.add(job)
 	m.publisher.markJob(job)
 	return job
 }
@@ -180,10 +204,10 @@
 	now, notBefore micros.Timestamp, wall int64, record state.OpenJobRecord, version uint64,
 ) {
 	id := record.Job.ID
-	if version <= m.removedJobs[id] {
+	if version <= m.jobs.removed[id] {
 		return
 	}
-	job := m.jobs[id]
+	job := m.jobs.byID[id]
 	if job == nil {
 		job = m.addJob(now, wall, record, version)
 		m.writes.queueFinal(job)
@@ -228,9 +252,9 @@
 }
 
 // OpenRecordRemoved forgets the deletion of a job's open record, once the watch has delivered it.
-func (m *Manager) OpenRecordRemoved(id string) { delete(m.removedJobs, id) }
+func (m *Manager) OpenRecordRemoved(id string) { delete(m.jobs.removed, id) }
 
 // ForgetRemovedBefore forgets the deletions up to a revision, when the watch continues from there.
 func (m *Manager) ForgetRemovedBefore(revision uint64) {
-	maps.DeleteFunc(m.removedJobs, func(_ string, removedAt uint64) bool { return removedAt <= revision })
+	maps.DeleteFunc(m.jobs.removed, func(_ string, removedAt uint64) bool { return removedAt <= revision })
 }
--- a/internal/manager/listing.go
+++ b/internal/manager/listing.go
@@ -49,16 +49,16 @@
 
 // MachinesListed applies the cloud's list of machines. That a machine is not in it proves nothing.
 func (m *Manager) MachinesListed(now micros.Timestamp, list []wire.Machine) {
-	m.machinesListed = true
+	m.machines.listed = true
 	seen := map[string]bool{}
 	for i := range list {
-		if m.deletedMachines[list[i].ID] {
+		if m.machines.deleted[list[i].ID] {
 			continue
 		}
 		seen[list[i].ID] = true
 		m.applyListed(now, &list[i])
 	}
-	for _, machine := range m.machines {
+	for _, machine := range m.machines.byID {
 		if !seen[machine.id] && machine.listing.last != 0 {
 			machine.listing.missedLists++
 			m.publisher.markMachine(machine)
@@ -68,13 +68,13 @@
 
 // applyListed applies one entry of the cloud's list.
 func (m *Manager) applyListed(now micros.Timestamp, listed *wire.Machine) {
-	machine := m.ensureMachine(now, listed.ID)
+	machine := m.machines.ensure(now, listed.ID)
 	before := machine.publishedListing()
 	if machine.typeName == "" {
 		machine.typeName, machine.zone, machine.spot = listed.Type, listed.Zone, listed.Spot
 		machine.registeredAt = now.Add(-micros.Seconds(listed.AgeS))
 	}
-	machine.machineType = m.machineTypes[machine.typeName]
+	machine.machineType = m.machines.types[machine.typeName]
 	if listed.Addr != "" {
 		machine.address = listed.Addr
 	}
--- a/internal/manager/machines.go
+++ b/internal/manager/machines.go
@@ -1,8 +1,8 @@
 package manager
 
 import (
-	"maps"
 	"slices"
+	"strings"
 
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
@@ -45,9 +45,26 @@
 	publishedUsable bool // as in the last snapshot
 }
 
-// ensureMachine returns a machine, which it registers if it is new.
-func (m *Manager) ensureMachine(now micros.Timestamp, id string) *machineState {
-	machine := m.machines[id]
+// machineTable holds the machines, and what the cloud offers.
+type machineTable struct {
+	byID map[string]*machineState
+	// deleted are the machines that the cloud has confirmed as deleted: late heartbeats of them count for nothing.
+	deleted map[string]bool
+	types   map[string]*wire.MachineType
+	listed  bool // the cloud has listed its machines in this term
+}
+
+func newMachineTable() machineTable {
+	return machineTable{
+		byID:    map[string]*machineState{},
+		deleted: map[string]bool{},
+		types:   map[string]*wire.MachineType{},
+	}
+}
+
+// ensure returns a machine, which it registers if it is new.
+func (table *machineTable) ensure(now micros.Timestamp, id string) *machineState {
+	machine := table.byID[id]
 	if machine == nil {
 		machine = &machineState{
 			id:           id,
@@ -59,21 +76,31 @@
 			tombstones:   map[attemptKey]tombstone{},
 			idleSince:    now,
 		}
-		m.machines[id] = machine
+		table.byID[id] = machine
 	}
 	return machine
 }
 
+// sorted returns the machines by identifier.
+func (table *machineTable) sorted() []*machineState {
+	machines := make([]*machineState, 0, len(table.byID))
+	for _, machine := range table.byID {
+		machines = append(machines, machine)
+	}
+	slices.SortFunc(machines, func(a, b *machineState) int { return strings.Compare(a.id, b.id) })
+	return machines
+}
+
 // Types returns the machine types by name.
-func (m *Manager) Types() map[string]*wire.MachineType { return m.machineTypes }
+func (m *Manager) Types() map[string]*wire.MachineType { return m.machines.types }
 
 // SetTypes sets the machine types that the cloud rents out.
 func (m *Manager) SetTypes(types []wire.MachineType) {
 	for i := range types {
-		m.machineTypes[types[i].Name] = &types[i]
+		m.machines.types[types[i].Name] = &types[i]
 	}
-	for _, machine := range m.machines {
-		machine.machineType = m.machineTypes[machine.typeName]
+	for _, machine := range m.machines.byID {
+		machine.machineType = m.machines.types[machine.typeName]
 		m.publisher.markMachine(machine)
 	}
 }
@@ -81,13 +108,13 @@
 // MachinesScaledOut registers machines that the cloud has rented out by a request.
 func (m *Manager) MachinesScaledOut(now micros.Timestamp, request wire.ScaleOutRequest, ids []string) {
 	for _, id := range ids {
-		if m.deletedMachines[id] {
+		if m.machines.deleted[id] {
 			continue
 		}
-		machine := m.ensureMachine(now, id)
+		machine := m.machines.ensure(now, id)
 		if machine.typeName == "" {
 			machine.typeName, machine.zone, machine.spot = request.Type, request.Zone, request.Spot
-			machine.machineType = m.machineTypes[request.Type]
+			machine.machineType = m.machines.types[request.Type]
 			machine.listing.state = wire.MachineStarting
 		}
 		m.publisher.markMachine(machine)
@@ -97,7 +124,7 @@
 // DeletionRequested records that the deletion of machines is being requested: they get nothing new.
 func (m *Manager) DeletionRequested(ids []string) {
 	for _, id := range ids {
-		if machine := m.machines[id]; machine != nil {
+		if machine := m.machines.byID[id]; machine != nil {
 			machine.deleting = true
 			m.publisher.markMachine(machine)
 		}
@@ -107,11 +134,11 @@
 // MachinesDeleted records that the cloud has confirmed the deletion of machines: they and all on them are gone.
 func (m *Manager) MachinesDeleted(now micros.Timestamp, ids []string) {
 	for _, id := range ids {
-		if machine := m.machines[id]; machine != nil {
+		if machine := m.machines.byID[id]; machine != nil {
 			m.releaseMachine(now, machine)
-			delete(m.machines, id)
+			delete(m.machines.byID, id)
 		}
-		m.deletedMachines[id] = true
+		m.machines.deleted[id] = true
 	}
 }
 
@@ -121,8 +148,8 @@
 	m.accountCosts(now)
 	m.expireReservations(now)
 	m.restoreInheritedReservations(now)
-	for _, id := range slices.Sorted(maps.Keys(m.machines)) {
-		m.tickMachine(now, m.machines[id])
+	for _, machine := range m.machines.sorted() {
+		m.tickMachine(now, machine)
 	}
 	m.publisher.markStale()
 }
@@ -172,7 +199,7 @@
 	}
 	for _, status := range machine.orphanTasks {
 		id, _, _ := wire.ParseTaskName(status.Task)
-		job := m.jobs[id]
+		job := m.jobs.byID[id]
 		if job == nil {
 			return resources.Vector{}
 		}
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -22,7 +22,6 @@
 	"saffronbend/internal/drain"
 	"saffronbend/internal/micros"
 	"saffronbend/internal/settings"
-	"saffronbend/wire"
 )
 
 // Config holds what a Manager must know beforehand. Durations are in microseconds.
@@ -63,19 +62,10 @@
 	cfg       Config
 	termStart micros.Timestamp
 
-	jobs map[string]*jobState
-	// removedJobs are the jobs whose records this leader has deleted, with the revision of the deletion: the watch may
-	// still deliver older versions of them.
-	removedJobs map[string]uint64
-	arrivals    uint64 // jobs seen in this term
-
-	machines map[string]*machineState
-	// deletedMachines are the machines that the cloud has confirmed as deleted: late heartbeats of them count for nothing.
-	deletedMachines map[string]bool
-	machineTypes    map[string]*wire.MachineType
-	machinesListed  bool            // the cloud has listed its machines in this term
-	cordons         map[string]bool // machines that get nothing new
-	leaseRenewers   leaseRenewers
+	jobs          jobTable
+	machines      machineTable
+	cordons       map[string]bool // machines that get nothing new
+	leaseRenewers leaseRenewers
 
 	quota      quotaUsage
 	attemptIDs attemptIDs
--- a/internal/manager/moves.go
+++ b/internal/manager/moves.go
@@ -1,7 +1,6 @@
 package manager
 
 import (
-	"maps"
 	"slices"
 
 	"saffronbend/internal/disruption"
@@ -16,19 +15,18 @@
 
 // RebalanceSnapshot returns the work on all machines. remaining is how many more tasks of each team may be disrupted.
 func (m *Manager) RebalanceSnapshot(now micros.Timestamp, remaining map[string]int) rebalance.Snapshot {
-	published := rebalance.Snapshot{Now: now, Teams: map[string]rebalance.Team{}, MachinesListed: m.machinesListed}
+	published := rebalance.Snapshot{Now: now, Teams: map[string]rebalance.Team{}, MachinesListed: m.machines.listed}
 	for name := range m.quota {
 		published.Teams[name] = rebalance.Team{RemainingBudget: remaining[name]}
 	}
-	for _, job := range m.jobs {
+	for _, job := range m.jobs.byID {
 		if waiting := m.waitingWithoutReservation(job); waiting > 0 && now >= job.backoffUntil {
 			team := published.Teams[job.spec().Team]
 			team.Waiting += waiting
 			published.Teams[job.spec().Team] = team
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(m.machines)) {
-		machine := m.machines[id]
+	for _, machine := range m.machines.sorted() {
 		if m.mayStillReport(now, machine) {
 			published.UnreportedMachines++
 		}
@@ -70,7 +68,7 @@
 		published.Attempts = append(published.Attempts, m.rebalanceAttempt(now, attempt))
 	}
 	for task, reserved := range machine.reservations {
-		if job := m.jobs[task.Job]; job != nil {
+		if job := m.jobs.byID[task.Job]; job != nil {
 			reservation := rebalance.Reservation{Team: job.spec().Team, Resources: reserved.need}
 			published.Reserved = append(published.Reserved, reservation)
 		}
@@ -106,7 +104,7 @@
 // MoveExecutor returns the executor of a round of moves that is decided now.
 func (m *Manager) MoveExecutor(now micros.Timestamp) rebalance.MoveExecutor {
 	executor := moveExecutor{manager: m, now: now}
-	for _, job := range m.jobs {
+	for _, job := range m.jobs.byID {
 		if m.waitingWithoutReservation(job) > 0 {
 			executor.waiting = append(executor.waiting, job)
 		}
@@ -117,7 +115,7 @@
 // MayHost reports whether a machine may take a task that is moved: it has room that no waiting work could use.
 func (executor moveExecutor) MayHost(task disruption.Task, machineID string) bool {
 	m := executor.manager
-	job, machine := m.jobs[task.Job], m.machines[machineID]
+	job, machine := m.jobs.byID[task.Job], m.machines.byID[machineID]
 	if job == nil || machine == nil || machine.reservedForJob != "" || !m.suitsMove(executor.now, machine, job) {
 		return false
 	}
@@ -156,11 +154,11 @@
 // Move has a task leave its machine for another: room there is reserved, and the attempt is stopped once the move is
 // durable. If that is not possible, nothing changes.
 func (m *Manager) Move(now micros.Timestamp, task disruption.Task, destination string) rebalance.MoveOutcome {
-	job := m.jobs[task.Job]
+	job := m.jobs.byID[task.Job]
 	if job == nil || job.active[task.Index] == nil {
 		return rebalance.AttemptEnded
 	}
-	attempt, machine := job.active[task.Index], m.machines[destination]
+	attempt, machine := job.active[task.Index], m.machines.byID[destination]
 	switch {
 	case !m.evictable(attempt):
 		return rebalance.AlreadyStopping
--- a/internal/manager/moves_test.go
+++ b/internal/manager/moves_test.go
@@ -106,7 +106,7 @@
 			}
 			h.m.Tick(h.now)
 			h.want(len(h.m.reservations.byTask) == 1, there)
-			h.want(h.m.machines["n-2-a"] != nil, there)
+			h.want(h.m.machines.byID["n-2-a"] != nil, there)
 			h.advance(h.m.cfg.ReservationTTL + micros.Second)
 			h.m.Tick(h.now)
 			h.want(len(h.m.reservations.inherited), 0)
--- a/internal/manager/preemption.go
+++ b/internal/manager/preemption.go
@@ -102,7 +102,7 @@
 	if now.Sub(m.termStart) <= min(longer, m.heartbeatDeadline()) {
 		return nil
 	}
-	return m.jobsByArrival(func(job *jobState) bool {
+	return m.jobs.byArrival(func(job *jobState) bool {
 		return !job.final() && job.waiting > 0 && now >= job.backoffUntil && m.quota.headroom(job.spec()) > 0 &&
 			now.Sub(job.waitingSince) > longer
 	})
@@ -111,7 +111,7 @@
 // preemptionTargets returns the usable machines by identifier.
 func (m *Manager) preemptionTargets(now micros.Timestamp) []*preemptionTarget {
 	var targets []*preemptionTarget
-	for _, machine := range m.machines {
+	for _, machine := range m.machines.byID {
 		if !m.usable(now, machine) {
 			continue
 		}
@@ -298,7 +298,7 @@
 	if now >= room.until || room.forJob == job.id() {
 		return false
 	}
-	preemptor := m.jobs[room.forJob]
+	preemptor := m.jobs.byID[room.forJob]
 	return preemptor != nil && !preemptor.final() && preemptor.waiting > 0 &&
 		preemptor.spec().Priority() > job.spec().Priority()
 }
--- a/internal/manager/preemption_test.go
+++ b/internal/manager/preemption_test.go
@@ -48,8 +48,8 @@
 	h.advance(2 * micros.Second)
 	h.start("n-1-a", "n-2-a")
 	h.m.Preempt(h.now, func() bool { return false })
-	h.want(len(h.m.jobs["run-1"].active), 2)
-	h.want(len(h.m.jobs["run-3"].active), 1)
+	h.want(len(h.m.jobs.byID["run-1"].active), 2)
+	h.want(len(h.m.jobs.byID["run-3"].active), 1)
 }
 
 // The room that tasks were preempted from for a more urgent gang is not granted to them again before the gang has had
@@ -63,7 +63,7 @@
 	h.advance(micros.Second / 2)
 	h.m.cfg.Tuning.PreemptAfter = 0
 	h.m.Preempt(h.now, func() bool { return false })
-	h.want(h.m.jobs["run-1"].waiting, 4)
+	h.want(h.m.jobs.byID["run-1"].waiting, 4)
 	h.want(h.grant("run-1", "n-1-a", 1), 0)
 	h.want(h.grantAll(lease.Request{Job: "run-2", Machine: "n-1-a", Count: 2}), 2)
 	h.advance(5 * micros.Second)
--- a/internal/manager/publisher.go
+++ b/internal/manager/publisher.go
@@ -191,7 +191,7 @@
 	}
 	list := slices.Clone(publisher.machines)
 	for _, id := range slices.Sorted(maps.Keys(publisher.dirtyMachines)) {
-		machine := m.machines[id]
+		machine := m.machines.byID[id]
 		i, found := slices.BinarySearchFunc(list, id, func(published *snapshot.Machine, id string) int {
 			return cmp.Compare(published.ID, id)
 		})
@@ -226,12 +226,12 @@
 			list = append(list, published)
 			continue
 		}
-		if job := m.jobs[published.ID]; job == nil || job.final() {
+		if job := m.jobs.byID[published.ID]; job == nil || job.final() {
 			publisher.removals = append(publisher.removals, removal{id: published.ID, version: publisher.version})
 		}
 	}
 	for id := range publisher.dirtyJobs {
-		if job := m.jobs[id]; job != nil && !job.final() {
+		if job := m.jobs.byID[id]; job != nil && !job.final() {
 			published := m.publishedJob(job)
 			published.ChangedIn = publisher.version
 			list = append(list, published)
--- a/internal/manager/pushes.go
+++ b/internal/manager/pushes.go
@@ -45,7 +45,7 @@
 			break
 		}
 		delete(m.pushes.candidates, id)
-		machine := m.machines[id]
+		machine := m.machines.byID[id]
 		if machine == nil || machine.agent.pushInFlight || machine.address == "" || machine.deleting {
 			continue
 		}
@@ -175,7 +175,7 @@
 	now micros.Timestamp, push CommandPush, outcome PushOutcome, status *wire.Heartbeat,
 ) (superseded bool) {
 	m.pushes.inFlight--
-	machine := m.machines[push.Machine]
+	machine := m.machines.byID[push.Machine]
 	if machine == nil {
 		return false
 	}
--- a/internal/manager/reconcile.go
+++ b/internal/manager/reconcile.go
@@ -27,7 +27,7 @@
 // reconcileTask applies the status of one task that an agent lists. What no attempt accounts for is an orphan.
 func (m *Manager) reconcileTask(now micros.Timestamp, machine *machineState, status *wire.TaskStatus) {
 	id, task, ok := wire.ParseTaskName(status.Task)
-	job := m.jobs[id]
+	job := m.jobs.byID[id]
 	exited := status.State == wire.TaskExited
 	if !ok || job == nil || task >= len(job.taskPhases) {
 		if !exited {
--- a/internal/manager/recovery.go
+++ b/internal/manager/recovery.go
@@ -29,7 +29,7 @@
 	if err := m.recoverProgress(now, progress); err != nil {
 		return nil, err
 	}
-	for _, job := range m.jobsByArrival(func(*jobState) bool { return true }) {
+	for _, job := range m.jobs.byArrival(func(*jobState) bool { return true }) {
 		m.resumeJob(now, job)
 	}
 	return m, nil
@@ -39,11 +39,8 @@
 	m := &Manager{
 		cfg:             cfg,
 		termStart:       now,
-		jobs:            map[string]*jobState{},
-		removedJobs:     map[string]uint64{},
-		machines:        map[string]*machineState{},
-		deletedMachines: map[string]bool{},
-		machineTypes:    map[string]*wire.MachineType{},
+		jobs:            newJobTable(),
+		machines:        newMachineTable(),
 		quota:           newQuotaUsage(cfg.Teams),
 		attemptIDs:      attemptIDs{fencingToken: cfg.FencingToken},
 		writes:          writePipeline{limits: newWriteLimits(cfg.StoreLimits)},
@@ -89,7 +86,7 @@
 func (m *Manager) recoverProgress(now micros.Timestamp, progress []wire.KeyValue) error {
 	for _, item := range progress {
 		id, shardIndex, ok := state.ParseProgressKey(item.Key)
-		job := m.jobs[id]
+		job := m.jobs.byID[id]
 		if !ok || job == nil {
 			m.writes.deleteOrphan(item)
 			continue
@@ -118,7 +115,7 @@
 			job:         job,
 			taskIndex:   placement.Task,
 			id:          placement.Attempt,
-			machine:     m.ensureMachine(now, placement.Machine),
+			machine:     m.machines.ensure(now, placement.Machine),
 			incarnation: placement.Incarnation,
 			durable:     true,
 			lease:       taskLease{expiry: now.Add(m.cfg.Tuning.FirstLease)},
--- a/internal/manager/recovery_test.go
+++ b/internal/manager/recovery_test.go
@@ -17,5 +17,5 @@
 	h.want(batch.Changes[0], RecordChange{Key: state.ProgressKey("run-9", 0), Version: 6})
 	h.m.WriteCommitted(h.now, batch.ID, 101)
 	h.want(h.m.NextWrite(h.now) == nil, true)
-	h.want(len(h.m.machines), 0)
+	h.want(len(h.m.machines.byID), 0)
 }
--- a/internal/manager/reservations.go
+++ b/internal/manager/reservations.go
@@ -85,14 +85,14 @@
 
 // reservationUsable reports whether reserved room can still be used: its machine exists and gets new tasks.
 func (m *Manager) reservationUsable(now micros.Timestamp, reserved *reservation) bool {
-	return m.machines[reserved.machine.id] == reserved.machine && m.usable(now, reserved.machine)
+	return m.machines.byID[reserved.machine.id] == reserved.machine && m.usable(now, reserved.machine)
 }
 
 // expireReservations ends the reservations that will not be claimed.
 func (m *Manager) expireReservations(now micros.Timestamp) {
 	for task, reserved := range m.reservations.byTask {
 		_, disrupted := m.ledger.Get(task)
-		if !disrupted || m.jobs[task.Job] == nil || now > reserved.expiresAt || !m.reservationUsable(now, reserved) {
+		if !disrupted || m.jobs.byID[task.Job] == nil || now > reserved.expiresAt || !m.reservationUsable(now, reserved) {
 			m.reservations.release(task)
 		}
 	}
@@ -102,7 +102,7 @@
 // reported and if the room is still free and wanted.
 func (m *Manager) restoreInheritedReservations(now micros.Timestamp) {
 	for task, id := range m.reservations.inherited {
-		job, machine := m.jobs[task.Job], m.machines[id]
+		job, machine := m.jobs.byID[task.Job], m.machines.byID[id]
 		_, disrupted := m.ledger.Get(task)
 		if !disrupted || job == nil || now.Sub(m.termStart) > m.cfg.ReservationTTL {
 			delete(m.reservations.inherited, task)
@@ -118,7 +118,7 @@
 
 // claimable reports whether a reservation's task may be placed: its previous attempt is gone.
 func (m *Manager) claimable(reserved *reservation) bool {
-	job := m.jobs[reserved.task.Job]
+	job := m.jobs.byID[reserved.task.Job]
 	return job != nil && !job.final() && job.taskPhases[reserved.task.Index] == taskWaiting
 }
 
--- a/internal/manager/waiting_reservations.go
+++ b/internal/manager/waiting_reservations.go
@@ -51,7 +51,7 @@
 // releaseObsolete ends the reservations that no longer serve their job, and counts the others.
 func (round *waitingReservations) releaseObsolete() {
 	m := round.m
-	for _, machine := range m.machines {
+	for _, machine := range m.machines.byID {
 		usable := m.usable(round.now, machine)
 		if usable {
 			round.usable++
@@ -59,7 +59,7 @@
 		if machine.reservedForJob == "" {
 			continue
 		}
-		job := m.jobs[machine.reservedForJob]
+		job := m.jobs.byID[machine.reservedForJob]
 		if job == nil || job.final() || job.waiting == 0 || !usable {
 			machine.reservedForJob = ""
 			m.publisher.markMachine(machine)
@@ -120,7 +120,7 @@
 func (round *waitingReservations) zoneForGang(job *jobState) (best string, found bool) {
 	m := round.m
 	capacity, free := map[string]int{}, map[string]int{} // in tasks, by zone
-	for _, machine := range m.machines {
+	for _, machine := range m.machines.byID {
 		if machine.reservedForJob != "" && machine.reservedForJob != job.id() ||
 			!m.mayHostWhenFree(round.now, machine, job) {
 			continue
@@ -157,7 +157,7 @@
 		machine *machineState
 	}
 	var candidates []candidate
-	for _, machine := range m.machines {
+	for _, machine := range m.machines.byID {
 		if machine.reservedForJob != "" || zone != "" && zone != machine.zone ||
 			!m.mayHostWhenFree(now, machine, job) {
 			continue
--- a/internal/manager/waiting_reservations_test.go
+++ b/internal/manager/waiting_reservations_test.go
@@ -46,7 +46,7 @@
 	h.advance(micros.Minute)
 	h.start(ids...)
 	allocs := testing.AllocsPerRun(1, func() {
-		for _, machine := range h.m.machines {
+		for _, machine := range h.m.machines.byID {
 			machine.reservedForJob = ""
 		}
 		h.m.ReserveForWaitingJobs(h.now)
--- a/internal/manager/write_limits.go
+++ b/internal/manager/write_limits.go
@@ -71,7 +71,7 @@
 			"max_changes", m.writes.limits.maxOps, "max_value_bytes", m.writes.limits.maxValueBytes)
 	} else if write := m.writes.inFlight; write != nil {
 		for _, id := range write.jobIDs() {
-			if job := m.jobs[id]; job != nil {
+			if job := m.jobs.byID[id]; job != nil {
 				job.writesHeldUntil = now.Add(writeHoldTime)
 			}
 		}
@@ -85,7 +85,7 @@
 // limits now: nothing of it has been launched.
 func (m *Manager) withdrawUnwritable(now micros.Timestamp) {
 	for _, key := range slices.Clone(m.writes.dirtyShards) {
-		job := m.jobs[key.job]
+		job := m.jobs.byID[key.job]
 		if job == nil {
 			continue
 		}
--- a/internal/manager/write_order.go
+++ b/internal/manager/write_order.go
@@ -32,7 +32,7 @@
 		return
 	}
 	rank := func(key shardKey) micros.Timestamp {
-		job := m.jobs[key.job]
+		job := m.jobs.byID[key.job]
 		if job == nil {
 			return 0
 		}
@@ -65,7 +65,7 @@
 func (m *Manager) pendingLaunchRecords() int {
 	pending := 0
 	for _, key := range m.writes.dirtyShards {
-		if job := m.jobs[key.job]; job != nil && job.shards[key.index].launchPending {
+		if job := m.jobs.byID[key.job]; job != nil && job.shards[key.index].launchPending {
 			pending++
 		}
 	}
--- a/internal/manager/write_outcomes.go
+++ b/internal/manager/write_outcomes.go
@@ -31,12 +31,12 @@
 
 func (m *Manager) commitShards(write *writeInFlight, revision uint64) {
 	for _, key := range write.shards {
-		if job := m.jobs[key.job]; job != nil {
+		if job := m.jobs.byID[key.job]; job != nil {
 			job.shards[key.index].version = revision
 		}
 	}
 	for _, key := range write.disruptions {
-		if job := m.jobs[key.job]; job != nil {
+		if job := m.jobs.byID[key.job]; job != nil {
 			job.shards[key.index].disruptions.committed(revision)
 		}
 	}
@@ -55,7 +55,7 @@
 
 func (m *Manager) commitDeletions(write *writeInFlight) {
 	for id, indices := range write.deletions {
-		if job := m.jobs[id]; job != nil {
+		if job := m.jobs.byID[id]; job != nil {
 			for _, index := range indices {
 				delete(job.shards, index)
 			}
@@ -66,7 +66,7 @@
 // commitCompletions makes jobs final, and forgets those whose records are deleted.
 func (m *Manager) commitCompletions(now micros.Timestamp, write *writeInFlight, revision uint64) {
 	for _, id := range write.completions {
-		job := m.jobs[id]
+		job := m.jobs.byID[id]
 		if job == nil {
 			continue
 		}
@@ -79,9 +79,8 @@
 		}
 	}
 	for _, id := range write.deletedJobs {
-		m.removedJobs[id] = revision
+		m.jobs.remove(id, revision)
 		m.publisher.markRemoved(id)
-		delete(m.jobs, id)
 	}
 }
 
@@ -94,20 +93,20 @@
 		return
 	}
 	for _, key := range write.shards {
-		if job := m.jobs[key.job]; job != nil {
+		if job := m.jobs.byID[key.job]; job != nil {
 			first, _ := job.tasksOf(key.index)
 			m.writes.markDirty(now, job, first, true)
 		}
 	}
 	for id, indices := range write.deletions {
-		if job := m.jobs[id]; job != nil {
+		if job := m.jobs.byID[id]; job != nil {
 			for _, index := range indices {
 				job.shards[index].deletionInFlight = false
 			}
 		}
 	}
 	for _, id := range slices.Concat(write.completions, write.deletedJobs) {
-		if job := m.jobs[id]; job != nil {
+		if job := m.jobs.byID[id]; job != nil {
 			job.completionInFlight = false
 			m.writes.queueFinal(job)
 		}
--- a/internal/manager/writes.go
+++ b/internal/manager/writes.go
@@ -157,7 +157,7 @@
 func (builder *writeBuilder) addCompletions() {
 	m := builder.manager
 	for i := 0; i < len(m.writes.completions) && builder.left() >= completionOps; {
-		job := m.jobs[m.writes.completions[i]]
+		job := m.jobs.byID[m.writes.completions[i]]
 		if job == nil || job.final() || !job.allDone() {
 			m.writes.completions = slices.Delete(m.writes.completions, i, i+1)
 			continue
@@ -216,7 +216,7 @@
 	for _, launches := range []bool{true, false} {
 		rest := m.writes.dirtyShards[:0]
 		for _, key := range m.writes.dirtyShards {
-			job := m.jobs[key.job]
+			job := m.jobs.byID[key.job]
 			if job == nil || job.final() || job.completionInFlight || job.allDone() {
 				if job != nil && job.shards[key.index] != nil {
 					job.shards[key.index].markWritten()
@@ -290,7 +290,7 @@
 func (builder *writeBuilder) addCleanups() {
 	m := builder.manager
 	for i := 0; i < len(m.writes.cleanups) && builder.left() > 0; {
-		job := m.jobs[m.writes.cleanups[i]]
+		job := m.jobs.byID[m.writes.cleanups[i]]
 		if job == nil || len(job.active) > 0 {
 			m.writes.cleanups = slices.Delete(m.writes.cleanups, i, i+1)
 			continue
@@ -339,7 +339,7 @@
 func (builder *writeBuilder) addConditions() {
 	slices.Sort(builder.write.openJobs)
 	for _, id := range slices.Compact(builder.write.openJobs) {
-		condition := RecordChange{Key: state.OpenJobKey(id), Version: builder.manager.jobs[id].version}
+		condition := RecordChange{Key: state.OpenJobKey(id), Version: builder.manager.jobs.byID[id].version}
 		builder.batch.OpenRecordConditions = append(builder.batch.OpenRecordConditions, condition)
 	}
 }
