--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -1,10 +1,8 @@
 package fake
 
 import (
-	"encoding/json"
 	"fmt"
 	"maps"
-	"net/http"
 	"slices"
 	"sync"
 	"time"
@@ -13,122 +11,150 @@
 	"saffronbend/wire"
 )
 
-// Cloud is a cloud. It starts workers for the machines that it rents.
+const (
+	// machineIDFormat is the form of the IDs of machines, of their number.
+	machineIDFormat = "n-%06d"
+	// workerPort is where workers listen on their machines.
+	workerPort = "9000"
+	// listedFromStart is the age of machines that are up from the start, so that they are listed at once.
+	listedFromStart = time.Hour
+	// defaultBootTime is the boot time of machines of a type that the cloud does not know.
+	defaultBootTime = time.Minute
+)
+
+// Cloud is a cloud that rents machines by the protocol (ServeHTTP). It starts a worker on each machine that is up.
+// IDs and addresses of machines are never used again.
 type Cloud struct {
-	mu        sync.Mutex
-	types     []wire.MachineType
-	lag       time.Duration
-	machines  map[string]*rented
-	hires     map[string][]string
-	places    map[string]int // machines left by type, zone and kind
-	next      int
-	outage    bool
-	lose      bool
-	start     func(Machine) *Worker
-	scaledOut int
+	types       []wire.MachineType
+	listLag     time.Duration // how long a new machine is missing from lists
+	startWorker func(Machine) *Worker
+
+	mu               sync.Mutex
+	machines         map[string]*cloudMachine // by ID
+	requests         map[string][]string      // IDs of the machines rented, by request ID
+	capacity         map[machinePool]int      // machines that may still be rented
+	lastNumber       int
+	scaledOut        int
+	outage           bool
+	loseNextResponse bool
 }
 
-type rented struct {
-	m      wire.Machine
-	since  time.Time
-	bootAt time.Time
-	worker *Worker
-	timer  *time.Timer
+// cloudMachine is a machine that is booting, up or failed.
+type cloudMachine struct {
+	listing  wire.Machine
+	rentedAt time.Time
+	worker   *Worker     // nil until the machine is up
+	boot     *time.Timer // nil for machines that are up from the start
 }
 
-// NewCloud makes a cloud; start starts the worker of a machine that is up.
-func NewCloud(types []wire.MachineType, lag time.Duration, start func(Machine) *Worker) *Cloud {
-	return &Cloud{types: types, lag: lag, machines: map[string]*rented{}, hires: map[string][]string{}, places: map[string]int{}, start: start}
+// machinePool is what the cloud has a capacity for.
+type machinePool struct {
+	machineType, zone string
+	spot              bool
 }
 
-func placeKey(typ, zone string, spot bool) string { return fmt.Sprint(typ, "/", zone, "/", spot) }
+// NewCloud returns a cloud without machines and without capacity. New machines are missing from its lists for listLag.
+// startWorker is called with the cloud's lock held; it starts the worker of a machine that is up.
+func NewCloud(types []wire.MachineType, listLag time.Duration, startWorker func(Machine) *Worker) *Cloud {
+	return &Cloud{
+		types:       types,
+		listLag:     listLag,
+		startWorker: startWorker,
+		machines:    map[string]*cloudMachine{},
+		requests:    map[string][]string{},
+		capacity:    map[machinePool]int{},
+	}
+}
 
-// Capacity sets how many machines may be rented.
-func (c *Cloud) SetCapacity(typ, zone string, spot bool, n int) {
-	c.places[placeKey(typ, zone, spot)] = n
+// SetCapacity sets how many machines of a type, in a zone, spot or not, may be rented.
+func (c *Cloud) SetCapacity(machineType, zone string, spot bool, machines int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.capacity[machinePool{machineType, zone, spot}] = machines
 }
 
-// Outage begins or ends an outage.
+// SetOutage begins or ends an outage.
 func (c *Cloud) SetOutage(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.outage = on
 }
 
-// LoseAnswer has the next hire carried out without an answer.
+// LoseNextResponse has the next request to scale out carried out without a response.
 func (c *Cloud) LoseNextResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lose = true
+	c.loseNextResponse = true
 }
 
-// Hired gives how many machines have been rented so far.
+// ScaledOut returns how many machines have been rented so far.
 func (c *Cloud) ScaledOut() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.scaledOut
 }
 
-// Up gives how many machines there are.
+// MachineCount returns how many machines there are, in any state.
 func (c *Cloud) MachineCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.machines)
 }
 
-// InZone gives how many machines there are in a zone.
+// MachinesInZone returns how many machines there are in a zone, in any state.
 func (c *Cloud) MachinesInZone(zone string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := 0
-	for _, m := range c.machines {
-		if m.m.Zone == zone {
-			n++
+	count := 0
+	for _, machine := range c.machines {
+		if machine.listing.Zone == zone {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Worker gives the worker of a machine that is up, or nil.
+// Worker returns the worker of a machine, or nil if there is no such machine or it is not up yet.
 func (c *Cloud) Worker(id string) *Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if m := c.machines[id]; m != nil {
-		return m.worker
+	if machine := c.machines[id]; machine != nil {
+		return machine.worker
 	}
 	return nil
 }
 
-// Workers gives the workers of the machines that are up.
+// RunningMachines returns the machines that are up, by ID.
 func (c *Cloud) RunningMachines() []invariant.Machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var out []invariant.Machine
+	var running []invariant.Machine
 	for _, id := range slices.Sorted(maps.Keys(c.machines)) {
-		if m := c.machines[id]; m.worker != nil && m.m.State == wire.MachineRunning {
-			out = append(out, m.worker.machine.Machine)
+		machine := c.machines[id]
+		if machine.worker != nil && machine.listing.State == wire.MachineRunning {
+			running = append(running, machine.worker.machine.Machine)
 		}
 	}
-	return out
+	return running
 }
 
-// Add enters a machine that is up from the start.
-func (c *Cloud) AddMachine(typ, zone string, spot bool) string {
+// AddMachine adds a machine that is up from the start, outside of the capacity, and returns its ID.
+func (c *Cloud) AddMachine(machineType, zone string, spot bool) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.rent(typ, zone, spot, 0)
+	return c.rent(machinePool{machineType, zone, spot}, 0)
 }
 
-// Die ends a machine by itself; it is listed as failed at once.
+// FailMachine ends a machine by a fault of its own. It is listed as failed at once.
 func (c *Cloud) FailMachine(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	m := c.machines[id]
-	m.worker.Stop()
-	m.m.State = wire.MachineFailed
+	machine := c.machines[id]
+	machine.worker.Stop()
+	machine.listing.State = wire.MachineFailed
 }
 
-// Take takes a machine back: it is gone and no longer listed.
+// ReclaimMachine ends a machine and removes it from the cloud.
 func (c *Cloud) ReclaimMachine(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,132 +162,107 @@
 	delete(c.machines, id)
 }
 
-const machineName = "n-%06d"
-
-func machineIP(n int) string { return fmt.Sprintf("10.1.%d.%d", n/250, n%250+1) }
-
-// MachineIP gives the address of a machine, which nobody else gets when it is gone.
+// MachineIP returns the address of a machine, or false if the ID is not one of a machine.
 func MachineIP(id string) (string, bool) {
-	var n int
-	_, err := fmt.Sscanf(id, machineName, &n)
-	return machineIP(n), err == nil
+	var number int
+	_, err := fmt.Sscanf(id, machineIDFormat, &number)
+	return machineIP(number), err == nil
 }
 
-func (c *Cloud) rent(typ, zone string, spot bool, boot time.Duration) string {
-	c.next++
-	id := fmt.Sprintf(machineName, c.next)
-	ip := machineIP(c.next)
-	m := &rented{since: time.Now(), bootAt: time.Now().Add(boot),
-		m: wire.Machine{ID: id, Addr: ip + ":9000", Type: typ, Zone: zone, Spot: spot, State: wire.MachineStarting}}
-	c.machines[id] = m
-	up := func() {
-		m.worker = c.start(Machine{Machine: invariant.Machine{ID: id, Type: typ, Zone: zone, Spot: spot}, IP: ip})
-		m.m.State = wire.MachineRunning
+func machineIP(number int) string {
+	const hostsPerNetwork = 250
+	return fmt.Sprintf("10.1.%d.%d", number/hostsPerNetwork, number%hostsPerNetwork+1)
+}
+
+// newMachine adds a machine that is booting. The caller holds the lock.
+func (c *Cloud) newMachine(pool machinePool) (id string, machine *cloudMachine) {
+	c.lastNumber++
+	id = fmt.Sprintf(machineIDFormat, c.lastNumber)
+	machine = &cloudMachine{
+		listing: wire.Machine{ID: id, Addr: machineIP(c.lastNumber) + ":" + workerPort, Type: pool.machineType,
+			Zone: pool.zone, Spot: pool.spot, State: wire.MachineStarting},
+		rentedAt: time.Now(),
 	}
-	if boot == 0 {
-		up()
-		m.since = m.since.Add(-time.Hour)
+	c.machines[id] = machine
+	return id, machine
+}
+
+// bootMachine starts the worker of a machine. The caller holds the lock.
+func (c *Cloud) bootMachine(machine *cloudMachine) {
+	listing := &machine.listing
+	ip, _ := MachineIP(listing.ID) // the ID is of the cloud's own making
+	machine.worker = c.startWorker(Machine{
+		Machine: invariant.Machine{ID: listing.ID, Type: listing.Type, Zone: listing.Zone, Spot: listing.Spot},
+		IP:      ip,
+	})
+	listing.State = wire.MachineRunning
+}
+
+// rent adds a machine that is up after its boot time, unless it is returned before, and returns its ID. One without
+// boot time is up, and listed, at once. The caller holds the lock.
+func (c *Cloud) rent(pool machinePool, bootTime time.Duration) string {
+	id, machine := c.newMachine(pool)
+	if bootTime == 0 {
+		c.bootMachine(machine)
+		machine.rentedAt = machine.rentedAt.Add(-listedFromStart)
 		return id
 	}
-	m.timer = time.AfterFunc(boot, func() {
+	machine.boot = time.AfterFunc(bootTime, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.machines[id] == m {
-			up()
+		if c.machines[id] == machine {
+			c.bootMachine(machine)
 		}
 	})
 	return id
 }
 
-// ServeHTTP serves the protocol.
-func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.outage {
-		reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "trouble"})
-		return
+// scaleOut rents the machines that a request asks for, as far as the capacity allows, and returns their IDs: none if
+// there is no capacity. A repeated request returns the machines of the first. The caller holds the lock.
+func (c *Cloud) scaleOut(request wire.ScaleOutRequest) []string {
+	if ids, repeated := c.requests[request.RequestID]; repeated {
+		return ids
 	}
-	switch r.Method + " " + r.URL.Path {
-	case "GET /machine_types":
-		reply(w, http.StatusOK, wire.MachineTypes{Types: c.types})
-	case "GET /machines":
-		const page = 500
-		l := wire.MachinePage{Machines: []wire.Machine{}}
-		for _, id := range slices.Sorted(maps.Keys(c.machines)) {
-			m := c.machines[id]
-			age := time.Since(m.since)
-			if id <= r.URL.Query().Get("from") || age < c.lag {
-				continue
-			}
-			if l.More = len(l.Machines) == page; l.More {
-				break
-			}
-			m.m.AgeS = age.Seconds()
-			l.Machines = append(l.Machines, m.m)
-		}
-		reply(w, http.StatusOK, l)
-	case "POST /machines":
-		c.hire(w, r)
-	case "POST /machines/delete":
-		var n wire.MachineIDs
-		if json.NewDecoder(r.Body).Decode(&n) != nil || len(n.IDs) > 100 {
-			reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
-			return
-		}
-		for _, id := range n.IDs {
-			c.remove(id)
-		}
-		reply(w, http.StatusOK, struct{}{})
-	default:
-		reply(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such path"})
+	pool := machinePool{request.Type, request.Zone, request.Spot}
+	count := min(request.Count, c.capacity[pool])
+	if count == 0 {
+		return nil
+	}
+	var ids []string
+	for range count {
+		ids = append(ids, c.rent(pool, c.bootTime(request.Type)))
 	}
+	c.capacity[pool] -= count
+	c.requests[request.RequestID] = ids
+	c.scaledOut += count
+	return ids
 }
 
-func (c *Cloud) remove(id string) {
-	m := c.machines[id]
-	if m == nil {
-		return
-	}
-	if m.timer != nil {
-		m.timer.Stop()
-	}
-	if m.worker != nil && m.m.State == wire.MachineRunning {
-		m.worker.Stop()
+// bootTime returns how long machines of a type take until they are up.
+func (c *Cloud) bootTime(machineType string) time.Duration {
+	for _, known := range c.types {
+		if known.Name == machineType {
+			return seconds(known.BootS)
+		}
 	}
-	c.places[placeKey(m.m.Type, m.m.Zone, m.m.Spot)]++
-	delete(c.machines, id)
+	return defaultBootTime
 }
 
-func (c *Cloud) hire(w http.ResponseWriter, r *http.Request) {
-	var h wire.ScaleOutRequest
-	if json.NewDecoder(r.Body).Decode(&h) != nil || h.RequestID == "" || h.Count < 1 || h.Count > 50 {
-		reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
+// returnMachine ends a machine, which may be booting, and returns it to the capacity. The caller holds the lock.
+func (c *Cloud) returnMachine(id string) {
+	machine := c.machines[id]
+	if machine == nil {
 		return
 	}
-	names, known := c.hires[h.RequestID]
-	if !known {
-		left := c.places[placeKey(h.Type, h.Zone, h.Spot)]
-		n := min(h.Count, left)
-		if n == 0 {
-			reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no capacity"})
-			return
-		}
-		boot := time.Minute
-		for _, t := range c.types {
-			if t.Name == h.Type {
-				boot = time.Duration(t.BootS * float64(time.Second))
-			}
-		}
-		for range n {
-			names = append(names, c.rent(h.Type, h.Zone, h.Spot, boot))
-		}
-		c.places[placeKey(h.Type, h.Zone, h.Spot)] -= n
-		c.hires[h.RequestID] = names
-		c.scaledOut += n
+	if machine.boot != nil {
+		machine.boot.Stop()
 	}
-	if c.lose {
-		c.lose = false
-		panic(http.ErrAbortHandler)
+	if machine.worker != nil && machine.listing.State == wire.MachineRunning {
+		machine.worker.Stop()
 	}
-	reply(w, http.StatusOK, wire.MachineIDs{IDs: names})
+	c.capacity[machinePool{machine.listing.Type, machine.listing.Zone, machine.listing.Spot}]++
+	delete(c.machines, id)
 }
+
+// seconds converts a number of seconds.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/fake/duplicator.go
+++ b/internal/fake/duplicator.go
@@ -10,49 +10,51 @@
 	"time"
 )
 
-// Repeater serves what another handler serves, and has requests that were carried out
-// come again late, as copies on the network do. Nobody gets the copies' answers.
+// Duplicator serves what another handler serves, and repeats requests that were carried out later, as a network does
+// that delivers duplicates. Nobody gets the responses to the duplicates.
 type Duplicator struct {
-	h    http.Handler
-	mu   sync.Mutex
-	late time.Duration
+	handler http.Handler
+	mu      sync.Mutex
+	delay   time.Duration // 0: no duplicates
 }
 
-// NewRepeater makes a repeater that repeats nothing yet.
-func NewDuplicator(h http.Handler) *Duplicator { return &Duplicator{h: h} }
+// NewDuplicator returns a duplicator that does not duplicate yet.
+func NewDuplicator(handler http.Handler) *Duplicator { return &Duplicator{handler: handler} }
 
-// Repeat sets how late copies come; 0: none do.
-func (r *Duplicator) SetDelay(late time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.late = late
+// SetDelay sets how late duplicates come; 0: none do.
+func (d *Duplicator) SetDelay(delay time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.delay = delay
 }
 
-func (r *Duplicator) after() time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.late
+func (d *Duplicator) currentDelay() time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.delay
 }
 
-// ServeHTTP serves a request, and its copy later.
-func (r *Duplicator) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	late := r.after()
-	if late == 0 || req.Method == http.MethodGet {
-		r.h.ServeHTTP(w, req)
+// ServeHTTP serves a request, and its duplicate later. Requests that change nothing, and those that were not carried
+// out, are not duplicated.
+func (d *Duplicator) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	delay := d.currentDelay()
+	if delay == 0 || r.Method == http.MethodGet {
+		d.handler.ServeHTTP(w, r)
 		return
 	}
-	body, err := io.ReadAll(req.Body)
+	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return
+		return // the client has gone
 	}
-	again := req.Clone(context.Background())
-	again.Body = io.NopCloser(bytes.NewReader(body))
-	req.Body = io.NopCloser(bytes.NewReader(body))
-	answer := httptest.NewRecorder()
-	r.h.ServeHTTP(answer, req)
-	if answer.Code == http.StatusOK {
-		time.AfterFunc(late, func() { r.h.ServeHTTP(httptest.NewRecorder(), again) })
+	// The duplicate comes after the request has ended, and must not end with it.
+	duplicate := r.Clone(context.WithoutCancel(r.Context()))
+	duplicate.Body = io.NopCloser(bytes.NewReader(body))
+	r.Body = io.NopCloser(bytes.NewReader(body))
+	response := httptest.NewRecorder()
+	d.handler.ServeHTTP(response, r)
+	if response.Code == http.StatusOK {
+		time.AfterFunc(delay, func() { d.handler.ServeHTTP(httptest.NewRecorder(), duplicate) })
 	}
-	w.WriteHeader(answer.Code)
-	_, _ = w.Write(answer.Body.Bytes())
+	w.WriteHeader(response.Code)
+	_, _ = w.Write(response.Body.Bytes()) // an error means that the client has gone
 }
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -7,174 +7,203 @@
 	"saffronbend/wire"
 )
 
-// Gangs is what the tasks of gangs know of one another: those of a job that have the same
-// attempt find each other, wherever they are.
+// gangStep is how often a worker looks what the peers of its gang tasks do.
+const gangStep = 100 * time.Millisecond
+
+// peerSilence is how long a task shows no sign of life before its peers notice: tasks on a machine that hangs show
+// none.
+const peerSilence = time.Second + gangStep
+
+// GangRuntime is what the tasks of gangs know of one another: those of a job that have the same attempt find each
+// other, whatever machines they are on. Workers share it.
 type GangRuntime struct {
-	wait, peer time.Duration
-	mu         sync.Mutex
-	attempts   map[gangKey]*gangAttempt
-	saved      map[string]time.Duration // progress of jobs
+	formTimeout, peerTimeout time.Duration
+
+	mu       sync.Mutex
+	attempts map[gangKey]*gangAttempt
+	saved    map[string]time.Duration // progress by job
 }
 
+// gangKey names an attempt of a gang.
 type gangKey struct {
 	job     string
 	attempt uint64
 }
 
+// gangAttempt is one attempt of a gang.
 type gangAttempt struct {
-	members  map[int]*gangMember
-	began    time.Time // when the last had its image; zero: they wait
-	base     time.Duration
-	lost     time.Time       // since when one is missing
-	stopped  time.Time       // when the first was told to stop; progress ends then
-	over     wire.ExitReason // why it has ended: done, or saved
-	finished bool
+	members       map[int]*gangMember // tasks on machines, by index
+	startedAt     time.Time           // when the last task joined; zero: they wait
+	savedAtStart  time.Duration       // progress that it continues from
+	lostAt        time.Time           // since when a task is missing; zero: none is
+	stoppedAt     time.Time           // when the first task was told to stop; progress ends then
+	ended         wire.ExitReason     // completed, or stopped with a checkpoint; empty: neither
+	progressSaved bool                // its progress is settled
 }
 
+// gangMember is a task of a gang that is on a machine.
 type gangMember struct {
-	told bool // to stop, with enough time to save
-	beat time.Time
+	stopCommanded bool // with enough time to save a checkpoint
+	lastSeen      time.Time
 }
 
-// NewGangs makes the book of a world's gangs.
-func NewGangRuntime(wait, peer time.Duration) *GangRuntime {
-	return &GangRuntime{wait: wait, peer: peer, attempts: map[gangKey]*gangAttempt{}, saved: map[string]time.Duration{}}
+// NewGangRuntime returns a runtime without gangs. Tasks wait for their peers for formTimeout; peerTimeout is how long
+// they wait for a peer that is lost or does not stop.
+func NewGangRuntime(formTimeout, peerTimeout time.Duration) *GangRuntime {
+	return &GangRuntime{formTimeout: formTimeout, peerTimeout: peerTimeout,
+		attempts: map[gangKey]*gangAttempt{}, saved: map[string]time.Duration{}}
 }
 
-// gangStep is how often a worker looks what its gang tasks' mates do.
-const gangStep = 100 * time.Millisecond
+// SavedProgress returns the progress that a job has saved.
+func (g *GangRuntime) SavedProgress(job string) time.Duration {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.saved[job]
+}
 
-// enter notes that a task has its image and waits for the others.
-func (g *GangRuntime) enter(t *workerTask) {
+func keyOf(task *workerTask) gangKey { return gangKey{task.id.Job, task.attempt} }
+
+// join notes that a task is on its machine and waits for its peers.
+func (g *GangRuntime) join(task *workerTask) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	k := gangKey{t.job, t.attempt}
-	at := g.attempts[k]
-	if at == nil {
-		at = &gangAttempt{members: map[int]*gangMember{}}
-		g.attempts[k] = at
+	key := keyOf(task)
+	attempt := g.attempts[key]
+	if attempt == nil {
+		attempt = &gangAttempt{members: map[int]*gangMember{}}
+		g.attempts[key] = attempt
 	}
-	at.members[t.index] = &gangMember{beat: time.Now()}
-	if len(at.members) == t.desc.Tasks && at.began.IsZero() {
-		at.began, at.base = time.Now(), g.saved[t.job]
+	attempt.members[task.id.Index] = &gangMember{lastSeen: time.Now()}
+	if len(attempt.members) == task.job.Tasks && attempt.startedAt.IsZero() {
+		attempt.startedAt, attempt.savedAtStart = time.Now(), g.saved[task.id.Job]
 	}
 }
 
-// leave notes that a task is gone. If the others had begun, they are short of it.
-func (g *GangRuntime) leave(t *workerTask) {
+// leave notes that a task is gone from its machine. If its gang has started and not ended, its peers are short of it.
+func (g *GangRuntime) leave(task *workerTask) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	at := g.attempts[gangKey{t.job, t.attempt}]
-	if at == nil || at.members[t.index] == nil {
+	attempt := g.attempts[keyOf(task)]
+	if attempt == nil || attempt.members[task.id.Index] == nil {
 		return
 	}
-	delete(at.members, t.index)
-	if !at.began.IsZero() && at.over == "" && at.lost.IsZero() {
-		g.lose(t, at, time.Now())
+	delete(attempt.members, task.id.Index)
+	if !attempt.startedAt.IsZero() && attempt.ended == "" && attempt.lostAt.IsZero() {
+		g.lose(task.job, attempt, time.Now())
 	}
 }
 
-// lose ends an attempt that is short of a task: its progress since the last checkpoint is lost.
-func (g *GangRuntime) lose(t *workerTask, at *gangAttempt, now time.Time) {
-	at.lost = now
-	if !at.finished {
-		at.finished = true
-		until := now
-		if !at.stopped.IsZero() {
-			until = at.stopped
-		}
-		g.saved[t.job] = t.checkpoint(at.base + until.Sub(at.began))
+// lose notes that an attempt is short of a task: its progress since the last checkpoint is lost. The caller holds the
+// lock.
+func (g *GangRuntime) lose(job wire.Job, attempt *gangAttempt, at time.Time) {
+	attempt.lostAt = at
+	if attempt.progressSaved {
+		return
 	}
+	attempt.progressSaved = true
+	until := at
+	if !attempt.stoppedAt.IsZero() {
+		until = attempt.stoppedAt
+	}
+	g.saved[job.ID] = lastCheckpoint(job, attempt.savedAtStart+until.Sub(attempt.startedAt))
 }
 
-func (t *workerTask) checkpoint(progress time.Duration) time.Duration {
-	every := time.Duration(t.desc.CheckpointIntervalS * float64(time.Second))
-	if every <= 0 {
+// lastCheckpoint returns what of a job's progress is in its last periodic checkpoint.
+func lastCheckpoint(job wire.Job, progress time.Duration) time.Duration {
+	interval := seconds(job.CheckpointIntervalS)
+	if interval <= 0 {
 		return 0
 	}
-	return progress / every * every
+	return progress.Truncate(interval)
 }
 
-// told notes that a running task is told to stop and has the time to save.
-func (g *GangRuntime) told(t *workerTask) {
+// stopCommanded notes that a task that runs is told to stop and has the time to save a checkpoint.
+func (g *GangRuntime) stopCommanded(task *workerTask) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	at := g.attempts[gangKey{t.job, t.attempt}]
-	at.members[t.index].told = true
-	if at.stopped.IsZero() {
-		at.stopped = time.Now()
+	attempt := g.attempts[keyOf(task)]
+	attempt.members[task.id.Index].stopCommanded = true
+	if attempt.stoppedAt.IsZero() {
+		attempt.stoppedAt = time.Now()
 	}
 }
 
-// gangFate is what becomes of a task by what its mates do.
-type gangFate struct {
-	runs  bool
-	exits wire.ExitReason // why, if it exits
-	saved bool
+// gangOutcome is what becomes of a task by what its peers do.
+type gangOutcome struct {
+	runs       bool            // the gang has started
+	exitReason wire.ExitReason // empty: it does not exit
+	saved      bool            // it exits with a saved checkpoint
 }
 
-// look tells a task that is there what becomes of it. since is when it began to wait, run the
-// length of the job.
-func (g *GangRuntime) look(t *workerTask, since time.Time, run time.Duration) gangFate {
+// outcome returns what becomes of a task that has been on its machine since the given time. runTime is the length of
+// the job.
+func (g *GangRuntime) outcome(task *workerTask, since time.Time, runTime time.Duration) gangOutcome {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	at := g.attempts[gangKey{t.job, t.attempt}]
-	me := at.members[t.index]
-	me.beat = now
-	if at.began.IsZero() {
-		if now.Sub(since) >= g.wait {
-			return gangFate{exits: wire.ExitGangTimeout}
-		}
-		return gangFate{}
-	}
-	// A hanging machine's tasks show no sign of life.
-	if at.over == "" && at.lost.IsZero() {
-		for _, m := range at.members {
-			if now.Sub(m.beat) > time.Second+gangStep {
-				g.lose(t, at, now)
-				break
-			}
+	attempt := g.attempts[keyOf(task)]
+	member := attempt.members[task.id.Index]
+	member.lastSeen = now
+	if attempt.startedAt.IsZero() {
+		if now.Sub(since) >= g.formTimeout {
+			return gangOutcome{exitReason: wire.ExitGangTimeout}
 		}
+		return gangOutcome{}
+	}
+	if attempt.ended == "" && attempt.lostAt.IsZero() && attempt.hasSilentMember(now) {
+		g.lose(task.job, attempt, now)
 	}
 	switch {
-	case at.over == wire.ExitCompleted:
-		return gangFate{runs: true, exits: wire.ExitCompleted}
-	case at.over == wire.ExitStopped && me.told:
-		return gangFate{runs: true, exits: wire.ExitStopped, saved: true}
-	case !at.lost.IsZero() && now.Sub(at.lost) >= g.peer/2:
-		return gangFate{runs: true, exits: wire.ExitGangPeerGone}
-	case !at.stopped.IsZero():
-		return g.saving(t, at, now)
-	case at.lost.IsZero() && now.Sub(at.began) >= run-at.base:
-		at.over = wire.ExitCompleted
-		return gangFate{runs: true, exits: wire.ExitCompleted}
+	case attempt.ended == wire.ExitCompleted:
+		return gangOutcome{runs: true, exitReason: wire.ExitCompleted}
+	case attempt.ended == wire.ExitStopped && member.stopCommanded:
+		return gangOutcome{runs: true, exitReason: wire.ExitStopped, saved: true}
+	case !attempt.lostAt.IsZero() && now.Sub(attempt.lostAt) >= g.peerTimeout/2:
+		return gangOutcome{runs: true, exitReason: wire.ExitGangPeerGone}
+	case !attempt.stoppedAt.IsZero():
+		return g.stoppingOutcome(task.job, attempt, now)
+	case attempt.lostAt.IsZero() && now.Sub(attempt.startedAt) >= runTime-attempt.savedAtStart:
+		attempt.ended = wire.ExitCompleted
+		return gangOutcome{runs: true, exitReason: wire.ExitCompleted}
 	}
-	return gangFate{runs: true}
+	return gangOutcome{runs: true}
 }
 
-// saving is the fate of a task while its gang is told to stop.
-func (g *GangRuntime) saving(t *workerTask, at *gangAttempt, now time.Time) gangFate {
-	all := len(at.members) == t.desc.Tasks
-	for _, m := range at.members {
-		all = all && m.told
+// hasSilentMember reports whether a task shows no sign of life.
+func (a *gangAttempt) hasSilentMember(now time.Time) bool {
+	for _, member := range a.members {
+		if now.Sub(member.lastSeen) > peerSilence {
+			return true
+		}
 	}
-	save := time.Duration(t.desc.CheckpointSaveS * float64(time.Second))
-	if all && at.lost.IsZero() && now.Sub(at.stopped) >= save {
-		at.over, at.finished = wire.ExitStopped, true
-		g.saved[t.job] = at.base + at.stopped.Sub(at.began)
-		return gangFate{runs: true, exits: wire.ExitStopped, saved: true}
+	return false
+}
+
+// allToldToStop reports whether all tasks of a job are on machines and have been told to stop.
+func (a *gangAttempt) allToldToStop(tasks int) bool {
+	if len(a.members) != tasks {
+		return false
 	}
-	if now.Sub(at.stopped) >= g.peer {
-		g.lose(t, at, now.Add(-g.peer))
-		return gangFate{runs: true, exits: wire.ExitGangPeerGone}
+	for _, member := range a.members {
+		if !member.stopCommanded {
+			return false
+		}
 	}
-	return gangFate{runs: true}
+	return true
 }
 
-// Saved gives the progress that a job has saved.
-func (g *GangRuntime) SavedProgress(job string) time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.saved[job]
+// stoppingOutcome returns what becomes of a task while its gang is told to stop: the gang saves a checkpoint once all
+// of its tasks are told. The caller holds the lock.
+func (g *GangRuntime) stoppingOutcome(job wire.Job, attempt *gangAttempt, now time.Time) gangOutcome {
+	stopping := now.Sub(attempt.stoppedAt)
+	if attempt.allToldToStop(job.Tasks) && attempt.lostAt.IsZero() && stopping >= seconds(job.CheckpointSaveS) {
+		attempt.ended, attempt.progressSaved = wire.ExitStopped, true
+		g.saved[job.ID] = attempt.savedAtStart + attempt.stoppedAt.Sub(attempt.startedAt)
+		return gangOutcome{runs: true, exitReason: wire.ExitStopped, saved: true}
+	}
+	if stopping >= g.peerTimeout {
+		g.lose(job, attempt, now.Add(-g.peerTimeout))
+		return gangOutcome{runs: true, exitReason: wire.ExitGangPeerGone}
+	}
+	return gangOutcome{runs: true}
 }
--- /dev/null
+++ b/internal/fake/host.go
@@ -0,0 +1,156 @@
+package fake
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+)
+
+const (
+	// dialTimeout bounds how long a connection may take to be made.
+	dialTimeout = 1500 * time.Millisecond
+	// listenBacklog is how many connections wait to be accepted; further ones are refused.
+	listenBacklog = 512
+)
+
+// Host is a machine for as long as it lives. Another may take its address then.
+type Host struct {
+	net *Network
+	ip  string
+	// The network's lock guards what follows.
+	dead      bool
+	listeners map[string]*listener // by address with port
+	conns     map[*conn]bool
+	sockets   *sockets // on a loopback network; nil otherwise
+}
+
+// Kill ends a host at once: its connections are reset, and new ones to it are refused.
+func (h *Host) Kill() {
+	if h.sockets != nil {
+		h.sockets.kill()
+	}
+	h.net.mu.Lock()
+	defer h.net.mu.Unlock()
+	h.dead = true
+	for c := range h.conns {
+		c.fail(syscall.ECONNRESET)
+	}
+	for _, l := range h.listeners {
+		l.shut()
+	}
+}
+
+// Listen opens a listener at an address of the host, with port.
+func (h *Host) Listen(addr string) (net.Listener, error) {
+	if h.sockets != nil {
+		return h.sockets.listen(addr)
+	}
+	h.net.mu.Lock()
+	defer h.net.mu.Unlock()
+	if h.dead {
+		return nil, net.ErrClosed
+	}
+	if _, taken := h.listeners[addr]; taken {
+		return nil, fmt.Errorf("listen %s: %w", addr, syscall.EADDRINUSE)
+	}
+	l := &listener{host: h, addr: addr, backlog: make(chan net.Conn, listenBacklog), closed: make(chan struct{})}
+	h.listeners[addr] = l
+	return l, nil
+}
+
+// Dial opens a connection from the host. It waits while packets to the address are held or lost, for dialTimeout at
+// most; a dial that has failed does not lead to a connection later.
+func (h *Host) Dial(ctx context.Context, _, addr string) (net.Conn, error) {
+	if h.sockets != nil {
+		return h.sockets.dial(ctx, addr)
+	}
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
+	defer cancel()
+	for {
+		c, changed, err := h.tryDial(addr)
+		if c != nil || err != nil {
+			return c, err
+		}
+		select {
+		case <-ctx.Done():
+			return nil, dialError(addr, ctx.Err())
+		case <-changed:
+		}
+	}
+}
+
+// tryDial opens a connection if that is possible now. It returns neither a connection nor an error if the packets
+// would be held or lost; changed is closed then when it should be tried again.
+func (h *Host) tryDial(addr string) (_ net.Conn, changed chan struct{}, _ error) {
+	n := h.net
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	ip, _, err := net.SplitHostPort(addr)
+	if err != nil {
+		return nil, nil, err
+	}
+	if h.dead {
+		return nil, nil, net.ErrClosed
+	}
+	remote := n.hosts[ip]
+	if remote == nil || n.holds(h.ip, ip, h.ip) {
+		return nil, n.changed, nil
+	}
+	l := remote.listeners[addr]
+	if remote.dead || n.links[pairOf(h.ip, ip)].mode == LinkRefused || l == nil {
+		return nil, nil, dialError(addr, syscall.ECONNREFUSED)
+	}
+	near, far := newConnPair(h, remote, addr)
+	select {
+	case l.backlog <- far:
+	default:
+		return nil, nil, dialError(addr, syscall.ECONNREFUSED)
+	}
+	h.conns[near], remote.conns[far] = true, true
+	near.in.setHeld(n.holds(ip, h.ip, h.ip))
+	return near, nil, nil
+}
+
+func dialError(addr string, cause error) error {
+	return &net.OpError{Op: "dial", Net: "tcp", Err: fmt.Errorf("%s: %w", addr, cause)}
+}
+
+// listener is a listener of a host in memory.
+type listener struct {
+	host    *Host
+	addr    string
+	backlog chan net.Conn
+	once    sync.Once
+	closed  chan struct{}
+}
+
+func (l *listener) Accept() (net.Conn, error) {
+	select {
+	case c := <-l.backlog:
+		return c, nil
+	case <-l.closed:
+		return nil, net.ErrClosed
+	}
+}
+
+// shut ends Accept; the listener's address stays taken.
+func (l *listener) shut() { l.once.Do(func() { close(l.closed) }) }
+
+func (l *listener) Close() error {
+	l.shut()
+	l.host.net.mu.Lock()
+	defer l.host.net.mu.Unlock()
+	delete(l.host.listeners, l.addr)
+	return nil
+}
+
+func (l *listener) Addr() net.Addr { return address(l.addr) }
+
+// address is an address with port.
+type address string
+
+func (a address) Network() string { return "tcp" }
+func (a address) String() string  { return string(a) }
--- a/internal/fake/loopback.go
+++ b/internal/fake/loopback.go
@@ -9,7 +9,6 @@
 	"strconv"
 	"strings"
 	"sync"
-	"time"
 )
 
 // Hosts have addresses 10.a.b.c, with a below hostNetworks. Each loopback network has a block of as many networks
@@ -18,20 +17,19 @@
 	hostNetworks  = 4
 	firstBlock    = 4 // what lies below is often in use
 	loopbackSpace = 256
-	// dialTimeout bounds how long a connection may take to be made.
-	dialTimeout = 1500 * time.Millisecond
 )
 
 // sockets are the real connections of a host on the loopback interface.
 type sockets struct {
-	block     int // the second byte of the addresses that stand for 10.0.b.c
+	block int // the second byte of the addresses that stand for 10.0.b.c
+
 	mu        sync.Mutex
 	dead      bool
 	listeners map[net.Listener]bool
 	conns     map[net.Conn]bool
 }
 
-// NewLoopback makes a network whose hosts use real connections on this machine's loopback addresses. Hosts can be
+// NewLoopback returns a network whose hosts use real connections on this machine's loopback addresses. Hosts can be
 // killed; links can't be cut. Its addresses are its own until the process ends.
 func NewLoopback() (*Network, error) {
 	block, reservation, err := reserveBlock()
@@ -60,7 +58,7 @@
 	return 0, nil, fmt.Errorf("%w: %w", errNoBlock, err)
 }
 
-// Real reports whether the network's connections, and so its time, are real.
+// IsLoopback reports whether the network's connections, and so its time, are real.
 func (n *Network) IsLoopback() bool { return n.loopback }
 
 func newSockets(block int) *sockets {
@@ -89,18 +87,18 @@
 	if err != nil {
 		return nil, err
 	}
-	l, err := net.Listen("tcp", address)
+	inner, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.dead {
-		_ = l.Close()
+		_ = inner.Close() // the host is dead, whether closing fails or not
 		return nil, net.ErrClosed
 	}
-	s.listeners[l] = true
-	return &loopbackListener{l, s}, nil
+	s.listeners[inner] = true
+	return &loopbackListener{inner, s}, nil
 }
 
 func (s *sockets) dial(ctx context.Context, addr string) (net.Conn, error) {
@@ -108,52 +106,54 @@
 	if err != nil {
 		return nil, err
 	}
-	d := net.Dialer{Timeout: dialTimeout}
-	c, err := d.DialContext(ctx, "tcp", address)
+	dialer := net.Dialer{Timeout: dialTimeout}
+	inner, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return s.keep(c)
+	return s.track(inner)
 }
 
-// keep remembers a connection, so that it ends with the host.
-func (s *sockets) keep(c net.Conn) (net.Conn, error) {
+// track records a connection, so that it ends with the host.
+func (s *sockets) track(inner net.Conn) (net.Conn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.dead {
-		_ = c.Close()
+		_ = inner.Close() // the host is dead, whether closing fails or not
 		return nil, net.ErrClosed
 	}
-	s.conns[c] = true
-	return &loopbackConn{c, s}, nil
+	s.conns[inner] = true
+	return &loopbackConn{inner, s}, nil
 }
 
-// kill ends all connections and listeners.
+// kill ends all connections and listeners. Errors of closing them are ignored: they are of no use any more.
 func (s *sockets) kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dead = true
-	for l := range s.listeners {
-		_ = l.Close()
+	for inner := range s.listeners {
+		_ = inner.Close()
 	}
-	for c := range s.conns {
-		_ = c.Close()
+	for inner := range s.conns {
+		_ = inner.Close()
 	}
 }
 
+// loopbackListener tracks the connections that it accepts.
 type loopbackListener struct {
 	net.Listener
 	host *sockets
 }
 
 func (l *loopbackListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	inner, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return l.host.keep(c)
+	return l.host.track(inner)
 }
 
+// loopbackConn is no longer tracked once it is closed.
 type loopbackConn struct {
 	net.Conn
 	host *sockets
--- /dev/null
+++ b/internal/fake/store_http.go
@@ -0,0 +1,183 @@
+package fake
+
+import (
+	"encoding/json"
+	"net"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"saffronbend/wire"
+)
+
+const (
+	// maxStorePage is the greatest number of entries in a page, and the number if none is asked for.
+	maxStorePage = 1000
+	// minLeaseTTLMillis is the shortest time to live of a lease.
+	minLeaseTTLMillis = 100
+)
+
+// Texts of errors that more than one request is answered with.
+const (
+	errMalformed = "malformed"
+	errNoLease   = "no such lease"
+	errNoPath    = "no such path"
+)
+
+// ServeHTTP serves the store's part of the protocol.
+func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	// In memory as on loopback, a remote address has a port; without one, no host is refused by itself.
+	ip, _, _ := net.SplitHostPort(r.RemoteAddr)
+	if s.unavailable(ip) {
+		writeJSON(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "outage"})
+		return
+	}
+	switch {
+	case r.URL.Path == "/txn":
+		s.serveTransaction(w, r)
+	case r.URL.Path == "/watch":
+		s.serveWatch(w, r, ip)
+	case r.URL.Path == "/kv":
+		s.serveList(w, r)
+	case strings.HasPrefix(r.URL.Path, "/kv/"):
+		s.serveKey(w, strings.TrimPrefix(r.URL.Path, "/kv/"))
+	case strings.HasPrefix(r.URL.Path, "/grants"):
+		s.serveLeases(w, r)
+	default:
+		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: errNoPath})
+	}
+}
+
+func (s *Store) serveKey(w http.ResponseWriter, key string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if entry, ok := s.entries[key]; ok {
+		writeJSON(w, http.StatusOK, entry)
+		return
+	}
+	writeJSON(w, http.StatusNotFound, wire.TransactionResult{Revision: s.revision})
+}
+
+func (s *Store) serveList(w http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	query := r.URL.Query()
+	size, err := strconv.Atoi(query.Get("page"))
+	if err != nil || size <= 0 || size > maxStorePage {
+		size = maxStorePage
+	}
+	var keys []string
+	for key := range s.entries {
+		if strings.HasPrefix(key, query.Get("prefix")) && key > query.Get("from") {
+			keys = append(keys, key)
+		}
+	}
+	slices.Sort(keys)
+	page := wire.KeyValuePage{Entries: []wire.KeyValue{}, Revision: s.revision, More: len(keys) > size}
+	for _, key := range keys[:min(size, len(keys))] {
+		page.Entries = append(page.Entries, s.entries[key])
+	}
+	writeJSON(w, http.StatusOK, page)
+}
+
+func (s *Store) serveTransaction(w http.ResponseWriter, r *http.Request) {
+	var transaction wire.Transaction
+	if json.NewDecoder(r.Body).Decode(&transaction) != nil {
+		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: errMalformed})
+		return
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.faults.delayed.takes(transaction) {
+		time.AfterFunc(s.faults.delay, func() {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.apply(transaction)
+		})
+		panic(http.ErrAbortHandler) // the response is lost
+	}
+	if status := s.refusal(transaction); status != 0 {
+		writeJSON(w, status, wire.ErrorResponse{Error: "beyond the limits"})
+		return
+	}
+	status, body := s.apply(transaction)
+	if s.faults.unanswered.takes(transaction) {
+		panic(http.ErrAbortHandler) // the response is lost
+	}
+	writeJSON(w, status, body)
+}
+
+// serveLeases grants a lease, or renews the one that the path names.
+func (s *Store) serveLeases(w http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	parts := strings.Split(strings.Trim(r.URL.Path, "/"), "/")
+	if len(parts) == 1 {
+		var request wire.StoreLeaseRequest
+		if json.NewDecoder(r.Body).Decode(&request) != nil || request.TTLMillis < minLeaseTTLMillis {
+			writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: errMalformed})
+			return
+		}
+		id := s.grantLease(time.Duration(request.TTLMillis) * time.Millisecond)
+		writeJSON(w, http.StatusOK, wire.StoreLease{ID: id})
+		return
+	}
+	id, err := strconv.ParseUint(parts[1], 10, 64)
+	lease := s.leases[id]
+	if err != nil || lease == nil {
+		writeJSON(w, http.StatusNotFound, wire.ErrorResponse{Error: errNoLease})
+		return
+	}
+	lease.expiry.Reset(lease.ttl)
+	writeJSON(w, http.StatusOK, wire.StoreLease{ID: id})
+}
+
+// serveWatch waits for events, for as long as the request asks. During an outage an open watch stays open.
+func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request, ip string) {
+	query := r.URL.Query()
+	// What is missing or malformed counts as 0: all events, without waiting.
+	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
+	blockMillis, _ := strconv.Atoi(query.Get("block_ms"))
+	timeout := time.NewTimer(time.Duration(blockMillis) * time.Millisecond)
+	defer timeout.Stop()
+	for timedOut := false; ; {
+		response, changed, delay := s.eventsSince(query.Get("prefix"), from)
+		if (len(response.Events) > 0 || timedOut) && !s.unavailable(ip) {
+			time.Sleep(delay)
+			writeJSON(w, http.StatusOK, response)
+			return
+		}
+		select {
+		case <-changed:
+		case <-timeout.C:
+			timedOut = true
+		case <-r.Context().Done():
+			return
+		}
+	}
+}
+
+// eventsSince returns the events after a revision of keys with a prefix, a channel that is closed when there may be
+// more, and how late the response must be.
+func (s *Store) eventsSince(prefix string, from uint64) (
+	response wire.WatchResponse, changed chan struct{}, delay time.Duration,
+) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	response = wire.WatchResponse{Revision: s.revision, Events: []wire.WatchEvent{}}
+	for _, event := range s.events {
+		if event.Version > from && strings.HasPrefix(event.Put+event.Delete, prefix) {
+			response.Events = append(response.Events, event)
+		}
+	}
+	return response, s.changed, s.faults.watchDelay
+}
+
+// writeJSON writes a response. Errors are ignored: they mean that the client has gone.
+func writeJSON(w http.ResponseWriter, status int, body any) {
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(status)
+	_ = json.NewEncoder(w).Encode(body)
+}
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -1,9 +1,10 @@
-// Package invariant checks the protocol's rules while a scenario is played. It owns what users have submitted and been
-// answered, and on which machine each task is; every violation is recorded with the name of its rule.
+// Package invariant checks the protocol's rules while a scenario is played. It owns what users have submitted and
+// been answered, and on which machine each task is; every violation is recorded with the name of its rule.
 //
-// The scenario runner reports what users do and see, the fake workers report what tasks do; at the end the runner asks for the
-// violations. There is one function for each rule, in rules.go; the disruption budgets are checked afterwards, from the
-// workers' logs (AuditDisruptions). The package never asks a controller, and never reads what controllers store.
+// The scenario runner reports what users do and see, the fake workers report what tasks do; at the end the runner
+// asks for the violations. There is one function for each rule, in rules.go; the disruption budgets are checked
+// afterwards, from the workers' logs (AuditDisruptions). The package never asks a controller, and never reads what
+// controllers store.
 package invariant
 
 import (
@@ -42,8 +43,9 @@
 	Fails bool
 }
 
-// Checker follows jobs and tasks and records each violation of a rule. Its methods may be called from several goroutines,
-// except for those that set it up (SetTeamLimit, SetCancelDeadline, AddMachineType), which are called first.
+// Checker follows jobs and tasks and records each violation of a rule. Its methods may be called from several
+// goroutines, except for those that set it up (SetTeamLimit, SetCancelDeadline, AddMachineType), which are called
+// first.
 type Checker struct {
 	cancelDeadline time.Duration
 	cpuLimits      map[string]float64 // by team; 0: none
@@ -127,8 +129,8 @@
 	c.logJob(job, worklog.CancelRequested)
 }
 
-// AnswerSeen notes the answer that a user has seen to a request about a job, sent at the given time. An answer that was sent
-// for before the user saw a final state may be older than that state, and is not held against it.
+// AnswerSeen notes the answer that a user has seen to a request about a job, sent at the given time. An answer that
+// was sent for before the user saw a final state may be older than that state, and is not held against it.
 func (c *Checker) AnswerSeen(id string, asked time.Time, code int, state wire.JobState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,7 +157,8 @@
 	}
 }
 
-// ReclaimAnnounced notes that the cloud has announced that it reclaims a machine: what stops on it from then on is exempt.
+// ReclaimAnnounced notes that the cloud has announced that it reclaims a machine: what stops on it from then on is
+// exempt.
 func (c *Checker) ReclaimAnnounced(machine Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -243,7 +246,8 @@
 	}
 }
 
-// CheckLeftWaiting is called again and again while nothing fails, with the machines that run. It checks the rule left_waiting.
+// CheckLeftWaiting is called again and again while nothing fails, with the machines that run. It checks the rule
+// left_waiting.
 func (c *Checker) CheckLeftWaiting(machines []Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/invariant/disruption.go
+++ b/internal/invariant/disruption.go
@@ -16,9 +16,10 @@
 	Commanded bool
 }
 
-// AuditDisruptions returns all disruptions that the workers' logs show, and a violation for each command to stop a task by
-// which more of its team's tasks were disrupted at once than its budget allows. A team without an entry in budgets has no
-// bound. A commanded disruption counts at once; a loss counts after the detection time, when the controllers can know of it.
+// AuditDisruptions returns all disruptions that the workers' logs show, and a violation for each command to stop a
+// task by which more of its team's tasks were disrupted at once than its budget allows. A team without an entry in
+// budgets has no bound. A commanded disruption counts at once; a loss counts after the detection time, when the
+// controllers can know of it.
 func AuditDisruptions(
 	events []worklog.Event, budgets map[string]int, detection time.Duration,
 ) (all []Disruption, violations []Violation) {
@@ -64,8 +65,8 @@
 	ended   []Disruption
 }
 
-// begin opens a disruption of a task that runs, and reports whether it did: it does not if one is open, or if the event is
-// exempt.
+// begin opens a disruption of a task that runs, and reports whether it did: it does not if one is open, or if the
+// event is exempt.
 func (a *disruptionAudit) begin(event worklog.Event, commanded bool) bool {
 	if !a.running[event.Task] || a.open[event.Task] != nil || event.Exempt {
 		return false
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// checkWrongPlace: given the job's other tasks at this moment, a task starts on a type, in a zone or on a kind of machine that
-// its job doesn't allow.
+// checkWrongPlace: given the job's other tasks at this moment, a task starts on a type, in a zone or on a kind of
+// machine that its job doesn't allow.
 func (c *Checker) checkWrongPlace(job *jobRecord, machine Machine, task Task) {
 	inZone := 0
 	for _, other := range job.placements {
@@ -51,16 +51,16 @@
 	}
 }
 
-// checkRanCancelled: more than the cancellation deadline after its user was told that the job is cancelled, a task of it is on
-// a machine or starts; what says which.
+// checkRanCancelled: more than the cancellation deadline after its user was told that the job is cancelled, a task of
+// it is on a machine or starts; what says which.
 func (c *Checker) checkRanCancelled(job *jobRecord, what string) {
 	if job.answer == wire.JobCancelled && time.Since(job.answeredAt) > c.cancelDeadline {
 		c.violate(RanCancelled, "a task of %s %s %s after its cancellation", job.Job.ID, what, time.Since(job.answeredAt))
 	}
 }
 
-// checkForgotten: an accepted job gets 404, or a repeated submission of it gets 400 or 422. (That no request about it is
-// answered for too long is checked by the scenario runner, which sends the requests.)
+// checkForgotten: an accepted job gets 404, or a repeated submission of it gets 400 or 422. (That no request about it
+// is answered for too long is checked by the scenario runner, which sends the requests.)
 func (c *Checker) checkForgotten(job *jobRecord, asked time.Time, code int) {
 	unknown := code == http.StatusNotFound
 	refused := code == http.StatusBadRequest || code == http.StatusUnprocessableEntity
@@ -83,8 +83,8 @@
 	}
 }
 
-// checkWentBack: a job called done or cancelled is then called something else, or a job that its user didn't cancel is called
-// cancelled.
+// checkWentBack: a job called done or cancelled is then called something else, or a job that its user didn't cancel
+// is called cancelled.
 func (c *Checker) checkWentBack(job *jobRecord, state wire.JobState) {
 	if contradictsFinal(job, state) {
 		c.violate(WentBack, "%s was %s, now %s", job.Job.ID, job.answer, state)
@@ -114,8 +114,8 @@
 	}
 }
 
-// checkLeftWaiting: none of a job's tasks runs for longer than maxWaitBesideRoom, though a machine that it allows has room for
-// one and its team is under its limit.
+// checkLeftWaiting: none of a job's tasks runs for longer than maxWaitBesideRoom, though a machine that it allows has
+// room for one and its team is under its limit.
 func (c *Checker) checkLeftWaiting(job *jobRecord, machines []Machine, used map[string]resources) {
 	switch {
 	case !job.waits() || !c.underLimit(job) || !c.hasRoom(job, machines, used):
@@ -127,8 +127,8 @@
 	}
 }
 
-// waits reports whether a job is accepted, has tasks left to complete, and has none on a machine. Gangs need room for all of
-// their tasks at once and are left out, as are jobs that fail by themselves.
+// waits reports whether a job is accepted, has tasks left to complete, and has none on a machine. Gangs need room for
+// all of their tasks at once and are left out, as are jobs that fail by themselves.
 func (j *jobRecord) waits() bool {
 	wanted := j.answer != "" && !j.cancelRequested && !j.Fails && j.Job.Kind != wire.KindGang
 	return wanted && len(j.placements) == 0 && len(j.completed) < j.Job.Tasks
--- a/internal/worklog/event.go
+++ b/internal/worklog/event.go
@@ -1,8 +1,8 @@
-// Package worklog holds the workers' logs: what happened to each task on each machine, and what users did to its job. From
-// them alone it computes the load of the machines, the moves of running tasks and the tasks' wait times.
+// Package worklog holds the workers' logs: what happened to each task on each machine, and what users did to its job.
+// From them alone it computes the load of the machines, the moves of running tasks and the tasks' wait times.
 //
-// The invariant checker writes the events while a scenario is played; tests and the scenario runner read them afterwards. The
-// package never asks a controller: its figures are a second source beside the controllers' own.
+// The invariant checker writes the events while a scenario is played; tests and the scenario runner read them
+// afterwards. The package never asks a controller: its figures are a second source beside the controllers' own.
 package worklog
 
 import "time"
--- a/internal/worklog/load.go
+++ b/internal/worklog/load.go
@@ -65,8 +65,8 @@
 	// difference between the greatest load and the mean load.
 	MaxLoad, P99 int64
 	Imbalance    float64
-	// Moves are tasks that were stopped and began on another machine, Bounces those of them that were stopped for a move before
-	// within the given time, Warm those whose destination had run a task before.
+	// Moves are tasks that were stopped and began on another machine, Bounces those of them that were stopped for a move
+	// before within the given time, Warm those whose destination had run a task before.
 	Moves, Bounces, WarmMoves int
 	// Lost is how long the moved tasks did not run.
 	Downtime time.Duration
@@ -135,7 +135,8 @@
 // longestWait bounds the waits that their histogram tells apart.
 const longestWait = time.Hour
 
-// Waits gives for each team how long its tasks waited from the acceptance of their job until they first began, in milliseconds.
+// Waits gives for each team how long its tasks waited from the acceptance of their job until they first began, in
+// milliseconds.
 func WaitTimes(events []Event) map[string]*hdrhistogram.Histogram {
 	waits := map[string]*hdrhistogram.Histogram{}
 	accepted := map[string]time.Time{}
