--- a/internal/fake/conn.go
+++ b/internal/fake/conn.go
@@ -20,8 +20,10 @@
 func newConnPair(dialer, remote *Host, addr string) (near, far *conn) {
 	up, down := newPipe(), newPipe()
 	dialerAddr := dialer.ip + ":1"
-	near = &conn{local: dialer, remote: remote, dialer: dialer.ip, in: down, out: up, localAddr: dialerAddr, remoteAddr: addr}
-	far = &conn{local: remote, remote: dialer, dialer: dialer.ip, in: up, out: down, localAddr: addr, remoteAddr: dialerAddr}
+	near = &conn{local: dialer, remote: remote, dialer: dialer.ip, in: down, out: up,
+		localAddr: dialerAddr, remoteAddr: addr}
+	far = &conn{local: remote, remote: dialer, dialer: dialer.ip, in: up, out: down,
+		localAddr: addr, remoteAddr: dialerAddr}
 	return near, far
 }
 
