--- a/internal/manager/agent_test.go
+++ b/internal/manager/agent_test.go
@@ -63,7 +63,7 @@
 			h.want(agent.unreachableSince, c.unreachable)
 			h.want(agent.leaseRenewedAt, c.renewedAt)
 			h.want(agent.tokenAcknowledged, c.token == token)
-			h.want(agent.newestSeq, uint64(7))
+			h.want(agent.newestSeq, messageSeq(7))
 			h.want(agent.lastHeartbeat, micros.Timestamp(0)) // an answer to a push is none
 		})
 	}
--- a/internal/manager/commands.go
+++ b/internal/manager/commands.go
@@ -31,13 +31,13 @@
 		commands = m.appendTaskCommand(commands, machine, &heartbeat.Tasks[i])
 	}
 	for _, attempt := range attemptsByID(machine.attempts) {
-		if attempt.incarnation != heartbeat.Incarnation || !attempt.durable {
+		if attempt.incarnation != incarnationOf(heartbeat) || !attempt.durable {
 			continue
 		}
 		if len(commands) >= maxAnswerCommands {
 			break
 		}
-		commands = m.appendAttemptCommands(now, commands, attempt, heartbeat.Sequence, mayLaunch)
+		commands = m.appendAttemptCommands(now, commands, attempt, sequenceOf(heartbeat), mayLaunch)
 	}
 	return commands
 }
@@ -49,7 +49,7 @@
 ) []wire.Command {
 	if status.State == wire.TaskExited {
 		if !m.resultUnwritten(status) &&
-			machine.clearTombstone(attemptKey{task: status.Task, attempt: status.Attempt}) {
+			machine.clearTombstone(keyOf(status)) {
 			commands = append(commands, wire.Command{Op: wire.OpClear, Task: status.Task, Attempt: status.Attempt})
 		}
 		return commands
@@ -71,18 +71,18 @@
 // appendAttemptCommands appends the commands that an attempt needs in the answer to the heartbeat with a sequence
 // number.
 func (m *Manager) appendAttemptCommands(
-	now micros.Timestamp, commands []wire.Command, attempt *taskAttempt, sequence uint64, mayLaunch bool,
+	now micros.Timestamp, commands []wire.Command, attempt *taskAttempt, sequence messageSeq, mayLaunch bool,
 ) []wire.Command {
 	switch {
 	case attempt.listed && attempt.stop.requested:
 		attempt.stop.sentAt = now
-		return append(commands, wire.StopCommand(attempt.taskName, attempt.id, attempt.stop.graceS))
+		return append(commands, stopCommand(attempt, attempt.stop.graceS))
 	case attempt.listed:
 	case attempt.stop.requested:
 		if attempt.launch.push == pushOutcomeUnknown && m.mayStopLateLaunch(now, attempt.job) {
 			attempt.machine.tombstones[attempt.key()] = tombstone{job: attempt.job}
 			attempt.launch.answerSeq = sequence
-			return append(commands, launchCommand(attempt), wire.StopCommand(attempt.taskName, attempt.id, 0))
+			return append(commands, launchCommand(attempt), stopCommand(attempt, 0))
 		}
 	case mayLaunch && attempt.launch.push != pushInFlight && attempt.machine.agent.tokenAcknowledged &&
 		attempt.grantedThisTerm && attempt.mayLaunch():
@@ -101,5 +101,9 @@
 }
 
 func launchCommand(attempt *taskAttempt) wire.Command {
-	return wire.Command{Op: wire.OpStart, Task: attempt.taskName, Attempt: attempt.id}
+	return wire.Command{Op: wire.OpStart, Task: attempt.taskName, Attempt: uint64(attempt.id)}
+}
+
+func stopCommand(attempt *taskAttempt, graceS float64) wire.Command {
+	return wire.StopCommand(attempt.taskName, uint64(attempt.id), graceS)
 }
--- a/internal/manager/exits.go
+++ b/internal/manager/exits.go
@@ -18,7 +18,7 @@
 
 // of reports whether the exit is that of an attempt; nil: of none.
 func (exit *taskExit) of(attempt *taskAttempt) bool {
-	return attempt != nil && attempt.id == exit.status.Attempt && attempt.machine == exit.machine
+	return attempt != nil && attempt.id == attemptID(exit.status.Attempt) && attempt.machine == exit.machine
 }
 
 // completedTask is a task whose result was reported.
@@ -29,8 +29,7 @@
 
 // applyExit applies that a task has exited; attempt is the task's active one, or nil.
 func (m *Manager) applyExit(now micros.Timestamp, exit taskExit, attempt *taskAttempt) {
-	key := attemptKey{task: exit.status.Task, attempt: exit.status.Attempt}
-	if _, ok := exit.machine.tombstones[key]; ok && attempt == nil {
+	if _, ok := exit.machine.tombstones[keyOf(exit.status)]; ok && attempt == nil {
 		return // applied before, and still listed because it is not cleared
 	}
 	switch {
@@ -55,7 +54,7 @@
 		m.stopAttempt(now, attempt, 0, disruption.Lost)
 	}
 	if job.gang != nil {
-		m.stopOtherAttempts(now, job, exit.status.Attempt)
+		m.stopOtherAttempts(now, job, attemptID(exit.status.Attempt))
 	}
 	if job.allDone() {
 		m.estimates.learn(job)
--- a/internal/manager/harness_test.go
+++ b/internal/manager/harness_test.go
@@ -203,19 +203,19 @@
 }
 
 // taskStatus returns a task's status in the words of heartbeat.
-func taskStatus(task string, attempt uint64, status string) string {
+func taskStatus(task string, attempt attemptID, status string) string {
 	return fmt.Sprintf("%s %d %s", task, attempt, status)
 }
 
 // command returns a command in the words of heartbeat's result.
-func command(op, task string, attempt uint64) string {
+func command(op, task string, attempt attemptID) string {
 	return fmt.Sprintf("%s %s %d", op, task, attempt)
 }
 
 func commandsText(commands []wire.Command) string {
 	texts := make([]string, len(commands))
 	for i, c := range commands {
-		texts[i] = command(string(c.Op), c.Task, c.Attempt)
+		texts[i] = command(string(c.Op), c.Task, attemptID(c.Attempt))
 	}
 	return strings.Join(texts, "; ")
 }
@@ -228,8 +228,8 @@
 	}
 }
 
-func runningTask(task string, attempt uint64) wire.TaskStatus {
-	return wire.TaskStatus{Task: task, Attempt: attempt, State: wire.TaskRunning}
+func runningTask(task string, attempt attemptID) wire.TaskStatus {
+	return wire.TaskStatus{Task: task, Attempt: uint64(attempt), State: wire.TaskRunning}
 }
 
 // pushExecuted reports that a push was executed.
--- a/internal/manager/heartbeat.go
+++ b/internal/manager/heartbeat.go
@@ -29,7 +29,7 @@
 	switch {
 	case overtaken:
 		machine = known
-		machine.agent.heartbeatSeq, machine.agent.lastHeartbeat = heartbeat.Sequence, now
+		machine.agent.acceptOvertaken(now, heartbeat)
 	case machine == nil:
 		return nil, false
 	}
@@ -75,8 +75,8 @@
 	if agent.late(heartbeat) {
 		return nil
 	}
-	if heartbeat.Incarnation > agent.incarnation {
-		m.beginIncarnation(now, machine, heartbeat.Incarnation)
+	if incarnationOf(heartbeat) > agent.incarnation {
+		m.beginIncarnation(now, machine, incarnationOf(heartbeat))
 	}
 	if !agent.reporting {
 		agent.reporting = true
@@ -98,7 +98,7 @@
 }
 
 // beginIncarnation applies that a machine's agent has begun a new incarnation: every attempt of an earlier one is gone.
-func (m *Manager) beginIncarnation(now micros.Timestamp, machine *machineState, incarnation uint64) {
+func (m *Manager) beginIncarnation(now micros.Timestamp, machine *machineState, incarnation agentIncarnation) {
 	machine.agent.beginIncarnation(now)
 	for _, attempt := range attemptsByID(machine.attempts) {
 		if incarnationEnded(attempt, incarnation) {
--- a/internal/manager/launch.go
+++ b/internal/manager/launch.go
@@ -5,7 +5,7 @@
 type launchState struct {
 	// answerSeq is the sequence number of the heartbeat whose answer carried the launch last; 0: none has. A push that was
 	// executed counts as an answer to the first heartbeat.
-	answerSeq uint64
+	answerSeq messageSeq
 	push      pushState
 }
 
--- a/internal/manager/launch_test.go
+++ b/internal/manager/launch_test.go
@@ -32,12 +32,12 @@
 // The outcomes of a push and what may follow from them.
 func TestPushedLaunchStates(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		outcomes   []PushOutcome // of pushes, one after the other
-		state      pushState
-		sent       bool // the agent may have received a launch
-		mayArrive  bool // a push that was not answered may yet arrive
-		answerSeqs uint64
+		name      string
+		outcomes  []PushOutcome // of pushes, one after the other
+		state     pushState
+		sent      bool // the agent may have received a launch
+		mayArrive bool // a push that was not answered may yet arrive
+		answerSeq messageSeq
 	}{
 		{"never pushed", nil, pushNone, false, false, 0},
 		{"executed", []PushOutcome{PushExecuted}, pushAnswered, true, false, 1},
@@ -55,7 +55,7 @@
 				}
 				launch.resolvePush(outcome)
 			}
-			if launch.push != c.state || launch.answerSeq != c.answerSeqs {
+			if launch.push != c.state || launch.answerSeq != c.answerSeq {
 				t.Errorf("state %d, answer %d", launch.push, launch.answerSeq)
 			}
 			if launch.sent() != c.sent || launch.mayArriveByPush() != c.mayArrive {
--- a/internal/manager/machines.go
+++ b/internal/manager/machines.go
@@ -158,7 +158,7 @@
 	agent := &machine.agent
 	if agent.reporting && agent.tokenAcknowledged && now > m.leaseExpiry(machine) && m.leaseExpiryProven(machine) {
 		m.event("machine lost: worker lease expired", "machine", machine.id, "tasks", len(machine.attempts))
-		agent.expiredIncarnation = max(agent.expiredIncarnation, agent.incarnation)
+		agent.leaseExpired()
 		m.releaseMachine(now, machine)
 	}
 	if machine.reclaimAt != 0 {
--- a/internal/manager/pushes_test.go
+++ b/internal/manager/pushes_test.go
@@ -147,7 +147,8 @@
 	h := newHarness(t, nil, nil)
 	h.placeTask()
 	for i := range maxTombstones {
-		h.m.machines.byID["n-1-a"].tombstones[attemptKey{"run-1/9", uint64(i)}] = tombstone{job: h.m.jobs.byID["run-1"]}
+		key := attemptKey{task: "run-1/9", attempt: attemptID(i)}
+		h.m.machines.byID["n-1-a"].tombstones[key] = tombstone{job: h.m.jobs.byID["run-1"]}
 	}
 	h.want(len(h.m.CommandPushes(h.now, true)), 0)
 	h.want(h.heartbeat("n-1-a", token, 1), command("launch", "run-1/0", first))
