--- a/internal/manager/agent.go
+++ b/internal/manager/agent.go
@@ -93,7 +93,9 @@
 }
 
 // leaseExpired records that the lease of the present incarnation has provably expired: later messages of it are late.
-func (agent *agentState) leaseExpired() { agent.expiredIncarnation = max(agent.expiredIncarnation, agent.incarnation) }
+func (agent *agentState) leaseExpired() {
+	agent.expiredIncarnation = max(agent.expiredIncarnation, agent.incarnation)
+}
 
 // acceptOvertaken applies a heartbeat that was overtaken by the answer to a push.
 func (agent *agentState) acceptOvertaken(now micros.Timestamp, heartbeat *wire.Heartbeat) {
