--- a/cmd/saffronbend/drain.go
+++ b/cmd/saffronbend/drain.go
@@ -61,9 +61,9 @@
 // change asks for a change of a drain and prints the status that it is answered with.
 func (d *drainCmd) change(call drainCall) error {
 	return d.ask(func(ctx context.Context, client operatorpbconnect.DrainServiceClient) error {
-		resp, err := call(ctx, client)
+		response, err := call(ctx, client)
 		if err == nil {
-			fmt.Print(drainLine(resp.Msg))
+			fmt.Print(drainLine(response.Msg))
 		}
 		return err
 	})
@@ -81,12 +81,12 @@
 	})
 }
 
-// Run starts a drain.
+// Run starts a drain and prints its status.
 func (s drainStartCmd) Run(c *cli) error {
 	if s.Deadline < 0 || s.OlderThan < 0 {
 		return drain.ErrNegativeDuration
 	}
-	req := &operatorpb.StartDrainRequest{
+	request := &operatorpb.StartDrainRequest{
 		Name: s.Name, Machines: s.Machine, Zone: s.Zone, Type: s.Type,
 		OlderThanS: s.OlderThan.Seconds(), Step: s.Step, DeadlineS: s.Deadline.Seconds(),
 		EvictAtDeadline: s.OnDeadline == "evict", Budgets: s.Budget,
@@ -94,35 +94,35 @@
 	return c.Drain.change(func(
 		ctx context.Context, client operatorpbconnect.DrainServiceClient,
 	) (*connect.Response[operatorpb.DrainStatus], error) {
-		return client.StartDrain(ctx, connect.NewRequest(req))
+		return client.StartDrain(ctx, connect.NewRequest(request))
 	})
 }
 
-// Run shows drains.
+// Run prints the status of a drain, or of all, and what they wait for.
 func (s drainStatusCmd) Run(c *cli) error {
 	return c.Drain.ask(func(ctx context.Context, client operatorpbconnect.DrainServiceClient) error {
-		resp, err := client.GetDrains(ctx, connect.NewRequest(&operatorpb.GetDrainsRequest{Name: s.Name}))
+		response, err := client.GetDrains(ctx, connect.NewRequest(&operatorpb.GetDrainsRequest{Name: s.Name}))
 		if err != nil {
 			return err
 		}
-		for _, st := range resp.Msg.Drains {
-			fmt.Print(drainLine(st), drainDetails(st))
+		for _, status := range response.Msg.Drains {
+			fmt.Print(drainLine(status), drainDetails(status))
 		}
 		return nil
 	})
 }
 
-// Run pauses a drain.
+// Run pauses a drain and prints its status.
 func (s drainPauseCmd) Run(c *cli) error {
 	return c.Drain.changeNamed(s.Name, operatorpbconnect.DrainServiceClient.PauseDrain)
 }
 
-// Run resumes a drain.
+// Run resumes a drain and prints its status.
 func (s drainResumeCmd) Run(c *cli) error {
 	return c.Drain.changeNamed(s.Name, operatorpbconnect.DrainServiceClient.ResumeDrain)
 }
 
-// Run cancels a drain.
+// Run cancels a drain and prints its status.
 func (s drainCancelCmd) Run(c *cli) error {
 	return c.Drain.changeNamed(s.Name, operatorpbconnect.DrainServiceClient.CancelDrain)
 }
--- a/cmd/saffronbend/job.go
+++ b/cmd/saffronbend/job.go
@@ -14,7 +14,7 @@
 	"saffronbend/wire"
 )
 
-// jobCmd is the users' side: a thin client.
+// jobCmd is the users' side of jobs.
 type jobCmd struct {
 	Server   []string      `help:"Addresses of the service, with ports." default:"127.0.0.1:8080" env:"SAFFRONBEND_SERVER" placeholder:"ADDR,..."` //nolint:lll // a struct tag cannot be broken
 	Patience time.Duration `help:"How long a request that can't be served is repeated." default:"60s"`
@@ -36,54 +36,68 @@
 	}
 )
 
+// client returns a client that repeats requests, and says so on standard error.
 func (j *jobCmd) client() *client.Client {
 	return &client.Client{Servers: j.Server, RetryTimeout: j.Patience, OnRetry: func(why string, after time.Duration) {
 		fmt.Fprintf(os.Stderr, "saffronbend: %s; again in %v\n", why, after)
 	}}
 }
 
-// Run submits a job.
+// errJobTooLong is the error of a job that no controller accepts for its length.
+var errJobTooLong = fmt.Errorf("the job is longer than %d bytes", wire.MaxBodyBytes)
+
+// Run submits a job and prints its state.
 func (s submitCmd) Run(c *cli) error {
-	in := io.Reader(os.Stdin)
+	job, err := s.read()
+	if err != nil {
+		return err
+	}
+	return printStatus(func(ctx context.Context) (*wire.JobStatus, error) { return c.Job.client().Submit(ctx, job) })
+}
+
+// read reads the job from its file or from standard input.
+func (s submitCmd) read() ([]byte, error) {
+	input := io.Reader(os.Stdin)
 	if s.File != "-" {
-		f, err := os.Open(s.File)
+		file, err := os.Open(s.File)
 		if err != nil {
-			return fmt.Errorf("the job can't be read: %w", err)
+			return nil, fmt.Errorf("the job can't be read: %w", err)
 		}
-		defer func() { _ = f.Close() }() // it is only read
-		in = f
+		defer func() { _ = file.Close() }() // it is only read
+		input = file
 	}
-	job, err := io.ReadAll(io.LimitReader(in, wire.MaxBodyBytes+1))
+	// One byte more than is allowed tells a job that is too long.
+	job, err := io.ReadAll(io.LimitReader(input, wire.MaxBodyBytes+1))
 	if err != nil {
-		return fmt.Errorf("the job can't be read: %w", err)
+		return nil, fmt.Errorf("the job can't be read: %w", err)
 	}
 	if len(job) > wire.MaxBodyBytes {
-		return fmt.Errorf("the job is longer than %d bytes", wire.MaxBodyBytes)
+		return nil, errJobTooLong
 	}
-	return printStatus(func(ctx context.Context) (*wire.JobStatus, error) { return c.Job.client().Submit(ctx, job) })
+	return job, nil
 }
 
-// Run asks for a job.
+// Run asks for a job and prints its state.
 func (s statusCmd) Run(c *cli) error {
 	return printStatus(func(ctx context.Context) (*wire.JobStatus, error) { return c.Job.client().Status(ctx, s.ID) })
 }
 
-// Run cancels a job.
+// Run cancels a job and prints its state.
 func (w withdrawCmd) Run(c *cli) error {
 	return printStatus(func(ctx context.Context) (*wire.JobStatus, error) { return c.Job.client().Cancel(ctx, w.ID) })
 }
 
-// printStatus prints a job's state in one line.
+// printStatus asks for a job's state and prints it in one line.
 func printStatus(ask func(context.Context) (*wire.JobStatus, error)) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	st, err := ask(ctx)
+	status, err := ask(ctx)
 	if err != nil {
 		return err
 	}
-	line := []string{st.ID, string(st.State)}
-	if st.DoneTasks != nil && st.RunningTasks != nil {
-		line = append(line, fmt.Sprintf("%d done", *st.DoneTasks), fmt.Sprintf("%d running", *st.RunningTasks))
+	line := []string{status.ID, string(status.State)}
+	if status.DoneTasks != nil && status.RunningTasks != nil {
+		line = append(line, fmt.Sprintf("%d done", *status.DoneTasks), fmt.Sprintf("%d running", *status.RunningTasks))
 	}
 	fmt.Println(strings.Join(line, " "))
 	return nil
--- a/cmd/saffronbend/operators.go
+++ b/cmd/saffronbend/operators.go
@@ -20,7 +20,11 @@
 	Cluster []string `help:"Cluster addresses of the controllers, with ports." default:"127.0.0.1:8081" env:"SAFFRONBEND_CLUSTER" placeholder:"ADDR,..."` //nolint:lll // a struct tag cannot be broken
 }
 
-// askControllers asks one controller after another, until one can be reached. Its client is of the type C.
+// errNoController is the error when no controller is named.
+var errNoController = errors.New("no controller is named")
+
+// askControllers asks one controller after another, until one can be reached. It returns what that one answers: an
+// error of a controller is reduced to its message, with when to try again. The client is of the type C.
 func askControllers[C any](
 	cluster []string,
 	newClient func(dial call.Dialer, addr string) (client C, closeIdle func()),
@@ -28,7 +32,7 @@
 ) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	err := errors.New("no controller is named")
+	err := errNoController
 	for _, addr := range cluster {
 		client, closeIdle := newClient(saffronbend.NewTCP().Dial, addr)
 		err = ask(ctx, client)
--- a/cmd/saffronbend/spread.go
+++ b/cmd/saffronbend/rebalancing.go
@@ -12,21 +12,21 @@
 	"saffronbend/internal/operator/operatorpb/operatorpbconnect"
 )
 
-// spreadCmd is the operators' side of moves of running work.
-type spreadCmd struct {
+// rebalanceCmd is the operators' side of moves of running work between machines. On the command line it is spread.
+type rebalanceCmd struct {
 	clusterFlag
 
-	Status spreadStatusCmd `cmd:"" help:"Show the load of machines and teams, the last moves, and what is held back."`
-	Pause  spreadPauseCmd  `cmd:"" help:"Move nothing more until moves are resumed."`
-	Resume spreadResumeCmd `cmd:"" help:"Go on with moves that were paused."`
+	Status rebalanceStatusCmd `cmd:"" help:"Show the load of machines and teams, the last moves, and what is held back."`
+	Pause  rebalancePauseCmd  `cmd:"" help:"Move nothing more until moves are resumed."`
+	Resume rebalanceResumeCmd `cmd:"" help:"Go on with moves that were paused."`
 }
 
 type (
-	spreadStatusCmd struct {
+	rebalanceStatusCmd struct {
 		Machines uint32 `help:"How many machines, those with the most load, are shown." default:"20"`
 	}
-	spreadPauseCmd  struct{}
-	spreadResumeCmd struct{}
+	rebalancePauseCmd  struct{}
+	rebalanceResumeCmd struct{}
 )
 
 // rebalancingCall is a call that is answered with the status of rebalancing.
@@ -35,39 +35,39 @@
 ) (*connect.Response[operatorpb.SpreadStatus], error)
 
 // ask asks one controller after another, until one can be reached, and prints the status that it answers with.
-func (s *spreadCmd) ask(call rebalancingCall) error {
+func (s *rebalanceCmd) ask(call rebalancingCall) error {
 	ask := func(ctx context.Context, client operatorpbconnect.SpreadServiceClient) error {
-		resp, err := call(ctx, client)
+		response, err := call(ctx, client)
 		if err == nil {
-			fmt.Print(rebalancingText(resp.Msg))
+			fmt.Print(rebalancingText(response.Msg))
 		}
 		return err
 	}
 	return askControllers(s.Cluster, operator.NewRebalancingClient, ask)
 }
 
-// Run shows load and moves.
-func (s spreadStatusCmd) Run(c *cli) error {
+// Run prints the load of the machines and the last moves.
+func (s rebalanceStatusCmd) Run(c *cli) error {
 	request := connect.NewRequest(&operatorpb.GetSpreadRequest{Machines: s.Machines})
-	return c.Spread.ask(func(
+	return c.Rebalance.ask(func(
 		ctx context.Context, client operatorpbconnect.SpreadServiceClient,
 	) (*connect.Response[operatorpb.SpreadStatus], error) {
 		return client.GetSpread(ctx, request)
 	})
 }
 
-// Run pauses moves.
-func (spreadPauseCmd) Run(c *cli) error {
-	return c.Spread.ask(func(
+// Run pauses moves and prints the status.
+func (rebalancePauseCmd) Run(c *cli) error {
+	return c.Rebalance.ask(func(
 		ctx context.Context, client operatorpbconnect.SpreadServiceClient,
 	) (*connect.Response[operatorpb.SpreadStatus], error) {
 		return client.PauseSpread(ctx, connect.NewRequest(&operatorpb.ChangeSpreadRequest{}))
 	})
 }
 
-// Run resumes moves.
-func (spreadResumeCmd) Run(c *cli) error {
-	return c.Spread.ask(func(
+// Run resumes moves and prints the status.
+func (rebalanceResumeCmd) Run(c *cli) error {
+	return c.Rebalance.ask(func(
 		ctx context.Context, client operatorpbconnect.SpreadServiceClient,
 	) (*connect.Response[operatorpb.SpreadStatus], error) {
 		return client.ResumeSpread(ctx, connect.NewRequest(&operatorpb.ChangeSpreadRequest{}))
