--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -142,7 +142,7 @@
 func (c *Cloud) AddMachine(machineType, zone string, spot bool) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.rent(machinePool{machineType, zone, spot}, 0)
+	return c.provision(machinePool{machineType, zone, spot}, 0)
 }
 
 // FailMachine ends a machine by a fault of its own. It is listed as failed at once.
@@ -198,9 +198,9 @@
 	listing.State = wire.MachineRunning
 }
 
-// rent adds a machine that is up after its boot time, unless it is returned before, and returns its ID. One without
-// boot time is up, and listed, at once. The caller holds the lock.
-func (c *Cloud) rent(pool machinePool, bootTime time.Duration) string {
+// provision adds a machine that is up after its boot time, unless it is returned before, and returns its ID. One
+// without boot time is up, and listed, at once. The caller holds the lock.
+func (c *Cloud) provision(pool machinePool, bootTime time.Duration) string {
 	id, machine := c.newMachine(pool)
 	if bootTime == 0 {
 		c.bootMachine(machine)
@@ -230,7 +230,7 @@
 	}
 	var ids []string
 	for range count {
-		ids = append(ids, c.rent(pool, c.bootTime(request.Type)))
+		ids = append(ids, c.provision(pool, c.bootTime(request.Type)))
 	}
 	c.capacity[pool] -= count
 	c.requests[request.RequestID] = ids
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -179,8 +179,8 @@
 	return false
 }
 
-// allToldToStop reports whether all tasks of a job are on machines and have been told to stop.
-func (a *gangAttempt) allToldToStop(tasks int) bool {
+// allStopCommanded reports whether all tasks of a job are on machines and have been told to stop.
+func (a *gangAttempt) allStopCommanded(tasks int) bool {
 	if len(a.members) != tasks {
 		return false
 	}
@@ -196,7 +196,7 @@
 // of its tasks are told. The caller holds the lock.
 func (g *GangRuntime) stoppingOutcome(job wire.Job, attempt *gangAttempt, now time.Time) gangOutcome {
 	stopping := now.Sub(attempt.stoppedAt)
-	if attempt.allToldToStop(job.Tasks) && attempt.lostAt.IsZero() && stopping >= seconds(job.CheckpointSaveS) {
+	if attempt.allStopCommanded(job.Tasks) && attempt.lostAt.IsZero() && stopping >= seconds(job.CheckpointSaveS) {
 		attempt.ended, attempt.progressSaved = wire.ExitStopped, true
 		g.saved[job.ID] = attempt.savedAtStart + attempt.stoppedAt.Sub(attempt.startedAt)
 		return gangOutcome{runs: true, exitReason: wire.ExitStopped, saved: true}
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -177,8 +177,8 @@
 	for _, task := range w.tasks {
 		w.advance(now, task)
 	}
-	due := !now.Before(w.nextHeartbeat) || w.changed && now.Sub(w.lastHeartbeat) >= minHeartbeatSpacing
-	if !w.inFlight && due {
+	heartbeatDue := !now.Before(w.nextHeartbeat) || w.changed && now.Sub(w.lastHeartbeat) >= minHeartbeatSpacing
+	if !w.inFlight && heartbeatDue {
 		w.sendHeartbeat(ctx, now)
 	}
 }
