--- a/internal/knownred/main_test.go
+++ b/internal/knownred/main_test.go
@@ -57,117 +57,125 @@
 	otherBadLine = "example/one TestTable/other_bad_case | not mended yet | issue 3\n"
 )
 
+// runCase is a list, and what comes of running tests with it.
+type runCase struct {
+	name     string
+	list     string
+	packages []string
+	err      string // part of the error; empty: none
+	output   []string
+	absent   []string // parts that the output must not have
+}
+
+var runCases = []runCase{
+	{
+		name:     "no list, tests pass",
+		packages: []string{"./two"},
+		output:   []string{"ok  \texample/two"},
+	},
+	{
+		name:     "no list, a test fails",
+		packages: []string{"./..."},
+		err:      "go test",
+		output:   []string{"--- FAIL: TestBad", "--- FAIL: TestTable/bad_case", "ok  \texample/two"},
+	},
+	{
+		name:     "all failures listed",
+		list:     badLine + badCaseLine + otherBadLine,
+		packages: []string{"./one", "./two"},
+		output: []string{"known failure, skipped: example/one TestTable/bad_case: not mended yet (issue 2)",
+			"known failure, skipped: example/one TestBad", "--- PASS: TestTable/good_case", "--- PASS: TestGood",
+			"ok  \texample/one", "ok  \texample/two"},
+		absent: []string{"=== RUN   TestTable/bad_case", "=== RUN   TestTable/other_bad_case"},
+	},
+	{
+		name:     "a subtest beside those listed fails",
+		list:     badLine + badCaseLine,
+		packages: []string{"./one", "./two"},
+		err:      "go test",
+		output:   []string{"--- FAIL: TestTable/other_bad_case", "ok  \texample/two"},
+		absent:   []string{"=== RUN   TestTable/bad_case"},
+	},
+	{
+		name:     "a test of the same name in another package fails",
+		list:     badLine + badCaseLine + otherBadLine,
+		packages: []string{"./..."},
+		err:      "go test",
+		output:   []string{"--- FAIL: TestBad", "FAIL\texample/three", "ok  \texample/one"},
+	},
+	{
+		name:     "a test of the same name in another package runs",
+		list:     "example/three TestBad | not mended yet | issue 1\n",
+		packages: []string{"./two", "./three"},
+		output:   []string{"--- PASS: TestBad", "ok  \texample/two", "ok  \texample/three"},
+		absent:   []string{"--- FAIL"},
+	},
+	{
+		name:     "four lines",
+		list:     badLine + badCaseLine + otherBadLine + "example/three TestBad | not mended yet | issue 4\n",
+		packages: []string{"./..."},
+		err:      errTooMany.Error(),
+		absent:   []string{"example/two"},
+	},
+	{
+		name:     "a test that does not exist",
+		list:     "example/one TestBa | not mended yet | issue 1\n",
+		packages: []string{"./two"},
+		err:      "there is no test TestBa in example/one",
+		absent:   []string{"example/two"},
+	},
+	{
+		name:     "a subtest that does not exist",
+		list:     "example/one TestTable/case | not mended yet | issue 1\n",
+		packages: []string{"./two"},
+		err:      "there is no test TestTable/case in example/one",
+	},
+	{
+		name:     "a package that does not exist",
+		list:     "example/four TestBad | not mended yet | issue 1\n",
+		packages: []string{"./two"},
+		err:      "there is no package example/four",
+	},
+	{
+		name:     "a package by its directory",
+		list:     "./one TestBad | not mended yet | issue 1\n",
+		packages: []string{"./two"},
+		err:      "there is no package ./one",
+	},
+	{
+		name:     "a line of another form",
+		list:     "example/one TestBad | not mended yet\n",
+		packages: []string{"./two"},
+		err:      errForm.Error(),
+	},
+}
+
 func TestRun(t *testing.T) {
 	t.Setenv("GOFLAGS", "")
-	for _, c := range []struct {
-		name     string
-		list     string
-		packages []string
-		err      string // part of the error; empty: none
-		output   []string
-		absent   []string // parts that the output must not have
-	}{
-		{
-			name:     "no list, tests pass",
-			packages: []string{"./two"},
-			output:   []string{"ok  \texample/two"},
-		},
-		{
-			name:     "no list, a test fails",
-			packages: []string{"./..."},
-			err:      "go test",
-			output:   []string{"--- FAIL: TestBad", "--- FAIL: TestTable/bad_case", "ok  \texample/two"},
-		},
-		{
-			name:     "all failures listed",
-			list:     badLine + badCaseLine + otherBadLine,
-			packages: []string{"./one", "./two"},
-			output: []string{"known failure, skipped: example/one TestTable/bad_case: not mended yet (issue 2)",
-				"known failure, skipped: example/one TestBad", "--- PASS: TestTable/good_case", "--- PASS: TestGood",
-				"ok  \texample/one", "ok  \texample/two"},
-			absent: []string{"=== RUN   TestTable/bad_case", "=== RUN   TestTable/other_bad_case"},
-		},
-		{
-			name:     "a subtest beside those listed fails",
-			list:     badLine + badCaseLine,
-			packages: []string{"./one", "./two"},
-			err:      "go test",
-			output:   []string{"--- FAIL: TestTable/other_bad_case", "ok  \texample/two"},
-			absent:   []string{"=== RUN   TestTable/bad_case"},
-		},
-		{
-			name:     "a test of the same name in another package fails",
-			list:     badLine + badCaseLine + otherBadLine,
-			packages: []string{"./..."},
-			err:      "go test",
-			output:   []string{"--- FAIL: TestBad", "FAIL\texample/three", "ok  \texample/one"},
-		},
-		{
-			name:     "a test of the same name in another package runs",
-			list:     "example/three TestBad | not mended yet | issue 1\n",
-			packages: []string{"./two", "./three"},
-			output:   []string{"--- PASS: TestBad", "ok  \texample/two", "ok  \texample/three"},
-			absent:   []string{"--- FAIL"},
-		},
-		{
-			name:     "four lines",
-			list:     badLine + badCaseLine + otherBadLine + "example/three TestBad | not mended yet | issue 4\n",
-			packages: []string{"./..."},
-			err:      errTooMany.Error(),
-			absent:   []string{"example/two"},
-		},
-		{
-			name:     "a test that does not exist",
-			list:     "example/one TestBa | not mended yet | issue 1\n",
-			packages: []string{"./two"},
-			err:      "there is no test TestBa in example/one",
-			absent:   []string{"example/two"},
-		},
-		{
-			name:     "a subtest that does not exist",
-			list:     "example/one TestTable/case | not mended yet | issue 1\n",
-			packages: []string{"./two"},
-			err:      "there is no test TestTable/case in example/one",
-		},
-		{
-			name:     "a package that does not exist",
-			list:     "example/four TestBad | not mended yet | issue 1\n",
-			packages: []string{"./two"},
-			err:      "there is no package example/four",
-		},
-		{
-			name:     "a package by its directory",
-			list:     "./one TestBad | not mended yet | issue 1\n",
-			packages: []string{"./two"},
-			err:      "there is no package ./one",
-		},
-		{
-			name:     "a line of another form",
-			list:     "example/one TestBad | not mended yet\n",
-			packages: []string{"./two"},
-			err:      errForm.Error(),
-		},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			var out bytes.Buffer
-			err := run(t.Context(), writeModule(t, c.list), append([]string{"-v", "--"}, c.packages...), &out)
-			if err == nil && c.err != "" || err != nil && (c.err == "" || !strings.Contains(err.Error(), c.err)) {
-				t.Errorf("error %v, want %q", err, c.err)
-			}
-			for _, part := range c.output {
-				if !strings.Contains(out.String(), part) {
-					t.Errorf("output lacks %q", part)
-				}
-			}
-			for _, part := range c.absent {
-				if strings.Contains(out.String(), part) {
-					t.Errorf("output has %q", part)
-				}
-			}
-			if t.Failed() {
-				t.Log(out.String())
-			}
-		})
+	for _, c := range runCases {
+		t.Run(c.name, func(t *testing.T) { testRun(t, c) })
+	}
+}
+
+func testRun(t *testing.T, c runCase) {
+	t.Helper()
+	var out bytes.Buffer
+	err := run(t.Context(), writeModule(t, c.list), append([]string{"-v", "--"}, c.packages...), &out)
+	if err == nil && c.err != "" || err != nil && (c.err == "" || !strings.Contains(err.Error(), c.err)) {
+		t.Errorf("error %v, want %q", err, c.err)
+	}
+	for _, part := range c.output {
+		if !strings.Contains(out.String(), part) {
+			t.Errorf("output lacks %q", part)
+		}
+	}
+	for _, part := range c.absent {
+		if strings.Contains(out.String(), part) {
+			t.Errorf("output has %q", part)
+		}
+	}
+	if t.Failed() {
+		t.Log(out.String())
 	}
 }
 
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -265,9 +265,9 @@
 
 func (c *cluster) report(w *worker) {
 	w.nextReport = c.now.Add(reportEvery)
-	answer, deposed := c.manager.Heartbeat(c.now, c.describe(w), "", true)
-	if deposed {
-		c.tb.Fatal("deposed")
+	answer, stepsDown := c.manager.Heartbeat(c.now, c.describe(w), "", true)
+	if stepsDown {
+		c.tb.Fatal("the leader steps down")
 	}
 	if answer == nil || answer.FencingToken < w.token {
 		return
--- a/internal/scenario/commands.go
+++ b/internal/scenario/commands.go
@@ -69,7 +69,7 @@
 	"take":     {"MACHINE", "the cloud takes the machine back", 1, machineCommand(takeMachine)},
 	"notice":   {"MACHINE S", "the cloud announces that it takes the machine back", 2, machineCommand(noticeMachine)},
 	"launched": {"MACHINE TASK ATTEMPT TOKEN", "the machine holds such a task", 4, machineCommand(holdTask)},
-	"keep":     {"MACHINE [N]", "a copy of its next heartbeat (N of them) is kept", 1, machineCommand(keepHeartbeats)},
+	"keep":     {"MACHINE [N]", "a copy of its next heartbeat (N of them) is kept", 1, machineCommand(recordHeartbeats)},
 	"deliver":  {"MACHINE", "the copies arrive at every controller", 1, machineCommand(deliverHeartbeats)},
 	"copies":   {"MACHINE S", "a copy of each of its heartbeats arrives later as well", 2, machineCommand(copyHeartbeats)},
 	"repeats":  {"MACHINE S", "each command pushed to it is carried out again later", 2, machineCommand(repeatCommands)},
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -243,7 +243,7 @@
 	worker.ReceiveLaunch(words[0], uint64(number(words[1])), uint64(number(words[2])))
 }
 
-func keepHeartbeats(_ *world, _ string, worker *fake.Worker, words []string) {
+func recordHeartbeats(_ *world, _ string, worker *fake.Worker, words []string) {
 	worker.RecordHeartbeats(times(words))
 }
 
--- a/internal/scenario/jobs.go
+++ b/internal/scenario/jobs.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	code, status, err := w.ask(ctx, http.MethodPost, member, wire.PathJobs, job.ID, job)
+	code, status, err := w.askToSubmit(ctx, member, job)
 	if err != nil {
 		return err
 	}
@@ -187,7 +187,7 @@
 			continue
 		}
 		if i == submitAt && slices.Contains(w.checker.AcceptedJobs(), id) {
-			_, _, _ = w.ask(ctx, http.MethodPost, member, wire.PathJobs, id, job)
+			_, _, _ = w.askToSubmit(ctx, member, job)
 		} else {
 			_, _, _ = w.poll(ctx, member, id)
 		}
@@ -209,7 +209,7 @@
 		if err != nil {
 			return err
 		}
-		code, _, err := w.ask(ctx, http.MethodPost, w.members[i%len(w.members)], wire.PathJobs, id, job)
+		code, _, err := w.askToSubmit(ctx, w.members[i%len(w.members)], job)
 		if err != nil {
 			return err
 		}
@@ -235,24 +235,36 @@
 	}
 }
 
+// userRequest is a user's request about a job.
+type userRequest struct {
+	method string
+	path   string
+	job    string // its id
+	body   any    // nil: none
+}
+
 // poll asks for a job at a controller.
 func (w *world) poll(ctx context.Context, member, id string) (code int, status string, err error) {
-	return w.ask(ctx, http.MethodGet, member, wire.PathJobs+"/"+id, id, nil)
+	return w.ask(ctx, member, userRequest{method: http.MethodGet, path: wire.PathJobs + "/" + id, job: id})
+}
+
+// askToSubmit submits a job at a controller.
+func (w *world) askToSubmit(ctx context.Context, member string, job wire.Job) (code int, status string, err error) {
+	return w.ask(ctx, member, userRequest{method: http.MethodPost, path: wire.PathJobs, job: job.ID, body: job})
 }
 
 // askToCancel asks a controller to cancel a job.
 func (w *world) askToCancel(ctx context.Context, member, id string) (code int, status string, err error) {
-	return w.ask(ctx, http.MethodPost, member, wire.PathJobs+"/"+id+"/"+wire.ActionCancel, id, nil)
+	path := wire.PathJobs + "/" + id + "/" + wire.ActionCancel
+	return w.ask(ctx, member, userRequest{method: http.MethodPost, path: path, job: id})
 }
 
 // ask sends a user's request and reports the response to the checker.
-func (w *world) ask(
-	ctx context.Context, method, member, path, id string, body any,
-) (code int, status string, err error) {
+func (w *world) ask(ctx context.Context, member string, request userRequest) (code int, status string, err error) {
 	asked := time.Now()
-	code, response, err := w.request(ctx, method, member, path, body)
+	code, response, err := w.request(ctx, request.method, member, request.path, request.body)
 	if err == nil {
-		w.checker.AnswerSeen(id, asked, code, response.State)
+		w.checker.AnswerSeen(request.job, asked, code, response.State)
 	}
 	return code, string(response.State), err
 }
--- a/internal/scenario/loopback/drain_test.go
+++ b/internal/scenario/loopback/drain_test.go
@@ -32,20 +32,20 @@
 // one not recorded counts it itself; but once the disturbance has ended, its loss is not counted again by anybody.
 func readCounts(logs string) counts {
 	c := counts{attempts: map[string]bool{}, causes: map[string]string{}}
-	inTerm, over, last := map[string]bool{}, map[string]bool{}, map[string]string{}
+	inTerm, finished, last := map[string]bool{}, map[string]bool{}, map[string]string{}
 	for line := range strings.Lines(logs) {
 		if leads.MatchString(line) {
 			clear(inTerm)
 		}
 		if m := ended.FindStringSubmatch(line); m != nil {
-			over[last[m[2]]] = true
+			finished[last[m[2]]] = true
 		}
 		m := begun.FindStringSubmatch(line)
 		if m == nil {
 			continue
 		}
 		attempt := m[2] + " " + m[3]
-		if inTerm[m[1]+" "+attempt] || over[attempt] && m[4] == "lost" {
+		if inTerm[m[1]+" "+attempt] || finished[attempt] && m[4] == "lost" {
 			c.twice = append(c.twice, attempt)
 		}
 		inTerm[m[1]+" "+attempt] = true
