--- a/internal/fake/cloud_http.go
+++ b/internal/fake/cloud_http.go
@@ -36,7 +36,7 @@
 	case "POST /machines/delete":
 		c.serveReturn(w, r)
 	default:
-		writeJSON(w, http.StatusNotFound, wire.ErrorResponse{Error: errNoPath})
+		writeJSON(w, http.StatusNotFound, wire.ErrorResponse{Error: messageNoPath})
 	}
 }
 
@@ -64,7 +64,7 @@
 	var request wire.ScaleOutRequest
 	if json.NewDecoder(r.Body).Decode(&request) != nil ||
 		request.RequestID == "" || request.Count < 1 || request.Count > maxScaledOut {
-		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: errMalformed})
+		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: messageMalformed})
 		return
 	}
 	ids := c.scaleOut(request)
@@ -82,7 +82,7 @@
 func (c *Cloud) serveReturn(w http.ResponseWriter, r *http.Request) {
 	var request wire.MachineIDs
 	if json.NewDecoder(r.Body).Decode(&request) != nil || len(request.IDs) > maxReturned {
-		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: errMalformed})
+		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: messageMalformed})
 		return
 	}
 	for _, id := range request.IDs {
--- a/internal/fake/conn.go
+++ b/internal/fake/conn.go
@@ -33,9 +33,13 @@
 	c.out.fail(err)
 }
 
-func (c *conn) Read(b []byte) (int, error)  { return c.in.read(b) }
+// Read waits until there is something to read.
+func (c *conn) Read(b []byte) (int, error) { return c.in.read(b) }
+
+// Write never waits: what is held is buffered without bound.
 func (c *conn) Write(b []byte) (int, error) { return c.out.write(b) }
 
+// Close ends the connection for both ends. The other end can still read what was written before.
 func (c *conn) Close() error {
 	c.out.close()
 	c.in.fail(net.ErrClosed)
@@ -45,11 +49,20 @@
 	return nil
 }
 
-func (c *conn) LocalAddr() net.Addr               { return address(c.localAddr) }
-func (c *conn) RemoteAddr() net.Addr              { return address(c.remoteAddr) }
+// LocalAddr returns the address of this end.
+func (c *conn) LocalAddr() net.Addr { return address(c.localAddr) }
+
+// RemoteAddr returns the address of the other end.
+func (c *conn) RemoteAddr() net.Addr { return address(c.remoteAddr) }
+
+// SetReadDeadline bounds how long reads wait.
 func (c *conn) SetReadDeadline(t time.Time) error { c.in.setDeadline(t); return nil }
-func (c *conn) SetWriteDeadline(time.Time) error  { return nil } // writes never wait
-func (c *conn) SetDeadline(t time.Time) error     { return c.SetReadDeadline(t) }
+
+// SetWriteDeadline does nothing, since writes never wait.
+func (c *conn) SetWriteDeadline(time.Time) error { return nil }
+
+// SetDeadline bounds how long reads wait.
+func (c *conn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
 // pipe is one direction of a connection.
 type pipe struct {
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -36,7 +36,7 @@
 	startedAt     time.Time           // when the last task joined; zero: they wait
 	savedAtStart  time.Duration       // progress that it continues from
 	lostAt        time.Time           // since when a task is missing; zero: none is
-	stoppedAt     time.Time           // when the first task was told to stop; progress ends then
+	stoppedAt     time.Time           // when the first task was commanded to stop; progress ends then
 	ended         wire.ExitReason     // completed, or stopped with a checkpoint; empty: neither
 	progressSaved bool                // its progress is settled
 }
@@ -117,7 +117,7 @@
 	return progress.Truncate(interval)
 }
 
-// stopCommanded notes that a task that runs is told to stop and has the time to save a checkpoint.
+// stopCommanded notes that a task that runs is commanded to stop and has the time to save a checkpoint.
 func (g *GangRuntime) stopCommanded(task *workerTask) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -179,7 +179,7 @@
 	return false
 }
 
-// allStopCommanded reports whether all tasks of a job are on machines and have been told to stop.
+// allStopCommanded reports whether all tasks of a job are on machines and have been commanded to stop.
 func (a *gangAttempt) allStopCommanded(tasks int) bool {
 	if len(a.members) != tasks {
 		return false
@@ -192,8 +192,8 @@
 	return true
 }
 
-// stoppingOutcome returns what becomes of a task while its gang is told to stop: the gang saves a checkpoint once all
-// of its tasks are told. The caller holds the lock.
+// stoppingOutcome returns what becomes of a task while its gang is commanded to stop: the gang saves a checkpoint
+// once all of its tasks are. The caller holds the lock.
 func (g *GangRuntime) stoppingOutcome(job wire.Job, attempt *gangAttempt, now time.Time) gangOutcome {
 	stopping := now.Sub(attempt.stoppedAt)
 	if attempt.allStopCommanded(job.Tasks) && attempt.lostAt.IsZero() && stopping >= seconds(job.CheckpointSaveS) {
--- a/internal/fake/host.go
+++ b/internal/fake/host.go
@@ -127,6 +127,7 @@
 	closed  chan struct{}
 }
 
+// Accept waits for a connection, or until the listener is closed or its host has ended.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.backlog:
@@ -139,6 +140,7 @@
 // shut ends Accept; the listener's address stays taken.
 func (l *listener) shut() { l.once.Do(func() { close(l.closed) }) }
 
+// Close ends Accept and frees the address.
 func (l *listener) Close() error {
 	l.shut()
 	l.host.net.mu.Lock()
@@ -147,10 +149,13 @@
 	return nil
 }
 
+// Addr returns the address that the listener was opened at.
 func (l *listener) Addr() net.Addr { return address(l.addr) }
 
 // address is an address with port.
 type address string
 
+// Network returns the name of the network, as that of a real connection.
 func (a address) Network() string { return "tcp" }
-func (a address) String() string  { return string(a) }
+
+func (a address) String() string { return string(a) }
--- a/internal/fake/loopback.go
+++ b/internal/fake/loopback.go
@@ -145,6 +145,7 @@
 	host *sockets
 }
 
+// Accept waits for a connection.
 func (l *loopbackListener) Accept() (net.Conn, error) {
 	inner, err := l.Listener.Accept()
 	if err != nil {
@@ -159,6 +160,7 @@
 	host *sockets
 }
 
+// Close closes the connection.
 func (c *loopbackConn) Close() error {
 	c.host.mu.Lock()
 	delete(c.host.conns, c.Conn)
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -103,7 +103,7 @@
 func (s *Store) apply(transaction wire.Transaction) (status int, body any) {
 	for _, change := range transaction.Then {
 		if change.Lease != 0 && s.leases[change.Lease] == nil {
-			return http.StatusBadRequest, wire.ErrorResponse{Error: errNoLease}
+			return http.StatusBadRequest, wire.ErrorResponse{Error: messageNoLease}
 		}
 	}
 	var result wire.TransactionResult
--- a/internal/fake/store_http.go
+++ b/internal/fake/store_http.go
@@ -21,9 +21,9 @@
 
 // Texts of errors that more than one request is answered with.
 const (
-	errMalformed = "malformed"
-	errNoLease   = "no such lease"
-	errNoPath    = "no such path"
+	messageMalformed = "malformed"
+	messageNoLease   = "no such lease"
+	messageNoPath    = "no such path"
 )
 
 // ServeHTTP serves the store's part of the protocol.
@@ -46,7 +46,7 @@
 	case strings.HasPrefix(r.URL.Path, "/grants"):
 		s.serveLeases(w, r)
 	default:
-		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: errNoPath})
+		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: messageNoPath})
 	}
 }
 
@@ -85,7 +85,7 @@
 func (s *Store) serveTransaction(w http.ResponseWriter, r *http.Request) {
 	var transaction wire.Transaction
 	if json.NewDecoder(r.Body).Decode(&transaction) != nil {
-		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: errMalformed})
+		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: messageMalformed})
 		return
 	}
 	s.mu.Lock()
@@ -117,7 +117,7 @@
 	if len(parts) == 1 {
 		var request wire.StoreLeaseRequest
 		if json.NewDecoder(r.Body).Decode(&request) != nil || request.TTLMillis < minLeaseTTLMillis {
-			writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: errMalformed})
+			writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: messageMalformed})
 			return
 		}
 		id := s.grantLease(time.Duration(request.TTLMillis) * time.Millisecond)
@@ -127,7 +127,7 @@
 	id, err := strconv.ParseUint(parts[1], 10, 64)
 	lease := s.leases[id]
 	if err != nil || lease == nil {
-		writeJSON(w, http.StatusNotFound, wire.ErrorResponse{Error: errNoLease})
+		writeJSON(w, http.StatusNotFound, wire.ErrorResponse{Error: messageNoLease})
 		return
 	}
 	lease.expiry.Reset(lease.ttl)
--- a/internal/fake/worker_commands.go
+++ b/internal/fake/worker_commands.go
@@ -16,12 +16,12 @@
 // servePush serves the push of commands by a controller.
 func (w *Worker) servePush(rw http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != wire.PathCommands {
-		writeJSON(rw, http.StatusNotFound, wire.ErrorResponse{Error: errNoPath})
+		writeJSON(rw, http.StatusNotFound, wire.ErrorResponse{Error: messageNoPath})
 		return
 	}
 	var push wire.CommandPush
 	if json.NewDecoder(r.Body).Decode(&push) != nil || push.FencingToken == 0 || push.Incarnation == 0 {
-		writeJSON(rw, http.StatusBadRequest, wire.ErrorResponse{Error: errMalformed})
+		writeJSON(rw, http.StatusBadRequest, wire.ErrorResponse{Error: messageMalformed})
 		return
 	}
 	w.commandPushes.Add(1)
--- a/internal/fake/worker_task.go
+++ b/internal/fake/worker_task.go
@@ -7,7 +7,7 @@
 	"saffronbend/wire"
 )
 
-// workerTask is an attempt of a task that a worker was told to start, until a command clears it.
+// workerTask is an attempt of a task that a worker was commanded to start, until a command clears it.
 type workerTask struct {
 	name       string
 	id         invariant.Task
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -60,7 +60,7 @@
 	reclaimed  map[string]bool    // machines whose reclaim is announced
 	violations []Violation
 	events     []worklog.Event
-	// startsAfterCancel counts the starts of tasks after their user was told that the job is cancelled.
+	// startsAfterCancel counts the starts of tasks after their user has seen that the job is cancelled.
 	startsAfterCancel int
 }
 
@@ -281,7 +281,7 @@
 	return workload.Job, known
 }
 
-// AcceptedJobs returns the IDs, in order, of the jobs whose users were told that they are known.
+// AcceptedJobs returns the IDs, in order, of the jobs that were answered to their users as known.
 func (c *Checker) AcceptedJobs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -321,7 +321,7 @@
 	return placements
 }
 
-// StartsAfterCancel returns how many tasks have started after their user was told that the job is cancelled.
+// StartsAfterCancel returns how many tasks have started after their user has seen that the job is cancelled.
 func (c *Checker) StartsAfterCancel() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// checkRanCancelled: more than the cancellation deadline after its user was told that the job is cancelled, a task of
+// checkRanCancelled: more than the cancellation deadline after its user has seen that the job is cancelled, a task of
 // it is on a machine or starts; what says which.
 func (c *Checker) checkRanCancelled(job *jobRecord, what string) {
 	if job.answer == wire.JobCancelled && time.Since(job.answeredAt) > c.cancelDeadline {
--- a/internal/invariant/violation.go
+++ b/internal/invariant/violation.go
@@ -13,7 +13,7 @@
 	Quota Rule = "quota"
 	// WrongPlace: a task starts on a type, in a zone or on a kind of machine that its job doesn't allow.
 	WrongPlace Rule = "wrong_place"
-	// RanCancelled: a task is on a machine, or starts, too long after its user was told that its job is cancelled.
+	// RanCancelled: a task is on a machine, or starts, too long after its user has seen that the job is cancelled.
 	RanCancelled Rule = "ran_cancelled"
 	// Forgotten: an accepted job is answered as unknown or as refused.
 	Forgotten Rule = "forgotten"
--- a/internal/worklog/event.go
+++ b/internal/worklog/event.go
@@ -16,7 +16,7 @@
 	StopCommanded                    // the machine carried out a command to stop the task
 	TaskVanished                     // the task is no longer on the machine and has no result
 	TaskCompleted                    // the task is no longer on the machine and has its result
-	JobAccepted                      // a user was told for the first time that the task's job is accepted
+	JobAccepted                      // a user has seen for the first time that the task's job is accepted
 	CancelRequested                  // a user asked to cancel the task's job, so that its absence disrupts nobody any more
 )
 
--- a/internal/worklog/wait.go
+++ b/internal/worklog/wait.go
@@ -9,7 +9,7 @@
 // maxWaitTime bounds the wait times that the histograms distinguish; longer ones count as this.
 const maxWaitTime = time.Hour
 
-// WaitTimes returns for each team how long its tasks waited, in milliseconds, from when a user was told that the job is
+// WaitTimes returns for each team how long its tasks waited, in milliseconds, from when a user has seen that the job is
 // accepted until the task first started. Tasks that have not started are left out.
 func WaitTimes(events []Event) map[string]*hdrhistogram.Histogram {
 	waits := map[string]*hdrhistogram.Histogram{}
