--- /dev/null
+++ b/internal/manager/assignments_test.go
@@ -0,0 +1,34 @@
+package manager
+
+import (
+	"maps"
+	"testing"
+)
+
+func TestAssignTeams(t *testing.T) {
+	type assignments = map[string]string
+	for _, c := range []struct {
+		name        string
+		before      assignments
+		teams       []string
+		controllers []string
+		want        assignments
+	}{
+		{"no controllers", nil, []string{"red"}, nil, nil},
+		{"teams are spread", nil, []string{"red", "blue", "green"}, []string{"c0", "c1"},
+			assignments{"red": "c0", "blue": "c1", "green": "c0"}},
+		{"teams stay where they are", assignments{"red": "c1", "blue": "c0"}, []string{"red", "blue"},
+			[]string{"c0", "c1"}, assignments{"red": "c1", "blue": "c0"}},
+		{"a controller has ended", assignments{"red": "c1", "blue": "c0"}, []string{"red", "blue"},
+			[]string{"c0", "c2"}, assignments{"red": "c2", "blue": "c0"}},
+		{"a controller is new", assignments{"red": "c0", "blue": "c0", "green": "c0"},
+			[]string{"red", "blue", "green"}, []string{"c0", "c1"},
+			assignments{"red": "c1", "blue": "c0", "green": "c0"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := AssignTeams(c.before, c.teams, c.controllers); !maps.Equal(got, c.want) {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/manager/costs_test.go
@@ -0,0 +1,46 @@
+package manager
+
+import (
+	"testing"
+
+	"saffronbend/wire"
+)
+
+// An hour of a machine is split by what its processors are used for.
+func TestMachineCosts(t *testing.T) {
+	attempt := func(cpus float64, taskState wire.TaskState) *taskAttempt {
+		record := record("run-1", 1, func(job *wire.Job) { job.CPUs = cpus })
+		return &taskAttempt{job: &jobState{record: record}, reportedState: taskState}
+	}
+	half := attempt(4, wire.TaskRunning)
+	for _, c := range []struct {
+		name    string
+		machine machineState
+		want    costAccount
+	}{
+		{"it starts", machineState{listing: cloudListing{state: wire.MachineStarting}}, costAccount{booting: 2}},
+		{"it does not report", machineState{listing: cloudListing{state: wire.MachineRunning}}, costAccount{silent: 2}},
+		{"it has failed", machineState{listing: cloudListing{state: wire.MachineFailed}}, costAccount{}},
+		{"it has another leader's token", machineState{agent: agentState{reporting: true}}, costAccount{silent: 2}},
+		{"it is idle", machineState{agent: agentState{reporting: true, tokenAcknowledged: true}}, costAccount{idle: 2}},
+		{"it is a spot machine",
+			machineState{spot: true, agent: agentState{reporting: true, tokenAcknowledged: true}}, costAccount{idle: 1}},
+		{"half of it runs a task", machineState{
+			agent:    agentState{reporting: true, tokenAcknowledged: true},
+			attempts: map[string]*taskAttempt{"run-1/0": half},
+		}, costAccount{running: 1, idle: 1}},
+		{"a quarter of it fetches", machineState{
+			agent:    agentState{reporting: true, tokenAcknowledged: true},
+			attempts: map[string]*taskAttempt{"run-1/0": half, "run-1/1": attempt(2, wire.TaskFetching)},
+		}, costAccount{running: 1, fetching: 0.5, idle: 0.5}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			c.machine.machineType = &wire.MachineType{CPUs: 8, Price: 2, SpotPrice: 1}
+			var costs costAccount
+			costs.addMachine(&c.machine, 1)
+			if costs != c.want {
+				t.Errorf("got %+v, want %+v", costs, c.want)
+			}
+		})
+	}
+}
--- a/internal/manager/gone_test.go
+++ b/internal/manager/gone_test.go
@@ -12,7 +12,7 @@
 // launch may still arrive.
 func TestAttemptOfEarlierLeaderIsGoneOnlyOnceTokenIsAcknowledged(t *testing.T) {
 	open := openItem(record("run-1", 1, nil))
-	progress := placementItem(99, 1)
+	progress := placementItem(1)
 	h := newHarness(t, open, progress)
 	h.start("n-2-a")
 	h.want(h.grant("run-1", "n-2-a", 1), 0)
@@ -97,7 +97,7 @@
 // The silence of a machine that never acknowledged our token proves nothing, however long. Its deletion does.
 func TestSilenceWithoutOurTokenProvesNothing(t *testing.T) {
 	open := openItem(record("run-1", 1, nil))
-	progress := placementItem(99, 1)
+	progress := placementItem(1)
 	h := newHarness(t, open, progress)
 	h.heartbeat("n-1-a", token-1, 1, "run-1/0 99 running")
 	h.advance(100 * workerLease)
--- a/internal/manager/harness_test.go
+++ b/internal/manager/harness_test.go
@@ -20,6 +20,8 @@
 	workerLease = 10 * micros.Second
 	// first is the identifier of the first attempt of the term.
 	first = token<<attemptBits | 1
+	// recovered is the identifier of the attempt that placementItem records: an earlier leader has granted it.
+	recovered = 99
 )
 
 // harness drives a Manager step by step, so that commands, heartbeats and writes can cross in any way.
@@ -135,9 +137,10 @@
 	return []wire.KeyValue{item(state.OpenJobKey("run-1"), 5, rec)}
 }
 
-// placementItem returns the progress record of job run-1 with one placement on n-1-a, as the store lists it.
-func placementItem(attempt, incarnation uint64) []wire.KeyValue {
-	placement := state.Placement{Task: 0, Machine: "n-1-a", Attempt: attempt, Incarnation: incarnation}
+// placementItem returns the progress record of job run-1 with the attempt recovered on n-1-a, as the store
+// lists it.
+func placementItem(incarnation uint64) []wire.KeyValue {
+	placement := state.Placement{Task: 0, Machine: "n-1-a", Attempt: recovered, Incarnation: incarnation}
 	return []wire.KeyValue{
 		item(state.ProgressKey("run-1", 0), 6, state.ProgressRecord{Active: []state.Placement{placement}}),
 	}
--- a/internal/manager/pushes_test.go
+++ b/internal/manager/pushes_test.go
@@ -159,7 +159,7 @@
 // expiry counts from when it had our token, not from before.
 func TestMachineThatDoesNotReportIsProbed(t *testing.T) {
 	open := openItem(record("run-1", 1, nil))
-	progress := placementItem(99, 3)
+	progress := placementItem(3)
 	h := newHarness(t, open, progress)
 	h.list("n-1-a")
 	h.tick()
--- a/internal/manager/reconcile_test.go
+++ b/internal/manager/reconcile_test.go
@@ -31,3 +31,30 @@
 	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "ended eclipse"))
 	h.want(h.grant("run-1", "n-1-a", 1), 1)
 }
+
+// A task that runs though no record names it is adopted, not started elsewhere.
+func TestUnrecordedTaskIsAdopted(t *testing.T) {
+	h := newHarness(t, openItem(record("run-1", 1, nil)), nil)
+	h.start("n-2-a")
+	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", 99, "running"))
+	h.want(h.grant("run-1", "n-2-a", 1), 0)
+	batch, keys := h.nextWrite()
+	if batch == nil {
+		h.advance(minProgressDelay)
+		_, keys = h.nextWrite()
+	}
+	h.want(keys, "tasks/run-1/0")
+}
+
+// A task of another attempt than the one that may exist is an orphan: it is stopped, and uses the machine until then.
+func TestOrphanTaskIsStopped(t *testing.T) {
+	h := newHarness(t, nil, nil)
+	h.placeTask()
+	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "running"))
+	h.start("n-2-a")
+	h.want(h.heartbeat("n-2-a", token, 1, taskStatus("run-1/0", 99, "running")), command("stop", "run-1/0", 99))
+	h.submit("run-2", 2, nil)
+	h.want(h.grant("run-2", "n-2-a", 2), 1)
+	h.heartbeat("n-2-a", token, 1, taskStatus("run-9/0", 99, "running")) // its demand is not known
+	h.want(h.grant("run-2", "n-2-a", 1), 0)
+}
