--- a/internal/manager/commands.go
+++ b/internal/manager/commands.go
@@ -48,8 +48,7 @@
 	commands []wire.Command, machine *machineState, status *wire.TaskStatus,
 ) []wire.Command {
 	if status.State == wire.TaskExited {
-		if !m.resultUnwritten(status) &&
-			machine.clearTombstone(keyOf(status)) {
+		if !m.resultUnwritten(status) && machine.clearTombstone(keyOf(status)) {
 			commands = append(commands, wire.Command{Op: wire.OpClear, Task: status.Task, Attempt: status.Attempt})
 		}
 		return commands
@@ -60,7 +59,8 @@
 	return commands
 }
 
-// resultUnwritten reports whether an exited task has a result that is not durable: it is cleared only then.
+// resultUnwritten reports whether an exited task has a result that is not durable yet: the task must not be cleared
+// before.
 func (m *Manager) resultUnwritten(status *wire.TaskStatus) bool {
 	id, task, ok := wire.ParseTaskName(status.Task)
 	job := m.jobs.byID[id]
--- a/internal/manager/jobs.go
+++ b/internal/manager/jobs.go
@@ -229,7 +229,7 @@
 // A cancellation that has not arrived here yet is safe all the same: the write that makes a placement durable is
 // conditional on the version of the job's open record, so no attempt of a job that was cancelled before is launched;
 // and no worker lease is renewed on knowledge of cancellations that is older than the cancel timeout allows, so what
-// runs ends by itself. A launch whose push has an unknown outcome is handled by stopLateLaunch.
+// runs ends by itself. A launch whose push has an unknown outcome is handled by mayStopLateLaunch.
 func (m *Manager) cancelJob(now, notBefore micros.Timestamp, job *jobState, finalState wire.JobState) {
 	job.finalState = finalState
 	job.finalSince = min(now, notBefore)
--- a/internal/manager/reservations.go
+++ b/internal/manager/reservations.go
@@ -19,7 +19,7 @@
 //     a job that has waited long. Nothing is subtracted: the machine takes no other work while it empties by itself.
 //     It is neither durable nor bounded in time, and ends when the machine has its fill of the job.
 //
-// Both end in placementRefusal or in claim, where a job's request for the machine is decided.
+// Both take effect in refusePlacement or in claim, where a job's request for the machine is decided.
 
 // reservation is room on a machine for the successor of an attempt that is evicted. It is made before the eviction.
 // It ends when the successor is placed, when that cannot happen any more, or when it has taken too long.
