--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -61,7 +61,7 @@
 		Type:          machineType,
 		Zone:          "a",
 		Usable:        true,
-		Up:            true,
+		Reporting:     true,
 		State:         wire.MachineRunning,
 		Vector:        capacity,
 		LastHeartbeat: start,
@@ -240,10 +240,10 @@
 		{name: "failed", want: "failed", change: func(m *snapshot.Machine) { m.Failed = true }},
 		{name: "being deleted already", change: func(m *snapshot.Machine) { m.Failed, m.Deleting = true, true }},
 		{name: "boots for less than three times its boot time", change: func(m *snapshot.Machine) {
-			m.Up, m.State, m.RegisteredAt = false, wire.MachineStarting, start.Add(-120*micros.Second)
+			m.Reporting, m.State, m.RegisteredAt = false, wire.MachineStarting, start.Add(-120*micros.Second)
 		}},
 		{name: "boots for longer", want: "does not come up", change: func(m *snapshot.Machine) {
-			m.Up, m.State, m.RegisteredAt = false, wire.MachineStarting, start.Add(-121*micros.Second)
+			m.Reporting, m.State, m.RegisteredAt = false, wire.MachineStarting, start.Add(-121*micros.Second)
 		}},
 		{name: "unlisted and silent for two heartbeats", want: "taken", change: func(m *snapshot.Machine) {
 			m.Unlisted, m.LastHeartbeat = true, start.Add(-6*micros.Second)
--- a/internal/fleet/unhealthy.go
+++ b/internal/fleet/unhealthy.go
@@ -36,7 +36,7 @@
 	case machine.Failed:
 		return reasonFailed
 	case machine.State == wire.MachineStarting:
-		if !machine.Up && now.Sub(machine.RegisteredAt) > f.bootTimeout(machine) {
+		if !machine.Reporting && now.Sub(machine.RegisteredAt) > f.bootTimeout(machine) {
 			return reasonNotUp
 		}
 	default:
@@ -47,7 +47,7 @@
 	switch {
 	case machine.UnreachableSince != 0 && now.Sub(machine.UnreachableSince) > f.shortSilenceTimeout():
 		return reasonUnreachable
-	case machine.Up && machine.ProvenIdle():
+	case machine.Reporting && machine.ProvenIdle():
 		return machine.QuarantineReason
 	}
 	return ""
--- a/internal/manager/published.go
+++ b/internal/manager/published.go
@@ -25,7 +25,7 @@
 		Reserved:         m.publishedReservations(machine),
 		ReservedForJob:   machine.reservedForJob,
 		Leases:           m.publishedLeases(now, machine),
-		Up:               agent.reporting,
+		Reporting:        agent.reporting,
 		State:            listing.state,
 		Failed:           listing.state == wire.MachineFailed,
 		Deleting:         machine.deleting,
--- a/internal/snapshot/machine.go
+++ b/internal/snapshot/machine.go
@@ -32,7 +32,7 @@
 
 	// The following is for the fleet and not streamed.
 
-	Up               bool              `json:"-"` // has reported to this leader
+	Reporting        bool              `json:"-"` // has reported to this leader
 	State            wire.MachineState `json:"-"` // in the cloud's list
 	Failed           bool              `json:"-"`
 	Deleting         bool              `json:"-"` // its deletion has been requested
--- a/internal/snapshot/update_test.go
+++ b/internal/snapshot/update_test.go
@@ -107,7 +107,7 @@
 		same   bool
 	}{
 		{"nothing", func(*Machine) {}, true},
-		{"what only the fleet sees", func(m *Machine) { m.LastHeartbeat, m.Up, m.ChangedIn = 9, true, 4 }, true},
+		{"what only the fleet sees", func(m *Machine) { m.LastHeartbeat, m.Reporting, m.ChangedIn = 9, true, 4 }, true},
 		{"the expected end of a run", func(m *Machine) { m.Leases[0].Leases[0].ExpectedEnd = 50 }, true},
 		{"usable", func(m *Machine) { m.Usable = false }, false},
 		{"free resources", func(m *Machine) { m.CPUs = 1 }, false},
