--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -33,6 +33,7 @@
 import (
 	"saffronbend/internal/micros"
 	"saffronbend/internal/state"
+	"saffronbend/wire"
 )
 
 const (
@@ -103,7 +104,7 @@
 type RenewLease struct{ Lease uint64 }
 
 // StartTerm reports that this controller has become the leader.
-type StartTerm struct{ FencingToken uint64 }
+type StartTerm struct{ FencingToken wire.FencingToken }
 
 // StepDown reports that this controller has ceased to be the leader.
 type StepDown struct{ Reason string }
@@ -156,7 +157,7 @@
 	leaseSentAt micros.Timestamp
 
 	// For the leader.
-	fencingToken    uint64
+	fencingToken    wire.FencingToken
 	renewalInFlight bool
 	renewAt         micros.Timestamp
 }
@@ -166,7 +167,7 @@
 func New(config Config) *Election { return &Election{config: config} }
 
 // Leader returns the member that leads as far as is known, and its fencing token; "" and 0 if nobody does.
-func (e *Election) Leader() (member string, fencingToken uint64) {
+func (e *Election) Leader() (member string, fencingToken wire.FencingToken) {
 	if e.phase == leading {
 		return e.config.Member, e.fencingToken
 	}
@@ -174,7 +175,7 @@
 	if e.record == nil || e.record.Member == e.config.Member {
 		return "", 0
 	}
-	return e.record.Member, e.version
+	return e.record.Member, wire.FencingToken(e.version)
 }
 
 // Leading reports whether this controller is the leader, and until when, by its own clock, the leader may act.
@@ -258,7 +259,7 @@
 	e.record, e.version = record, version
 	switch {
 	case e.phase == leading:
-		if record == nil || version != e.fencingToken {
+		if record == nil || wire.FencingToken(version) != e.fencingToken {
 			return e.stepDown("the leader's key has changed")
 		}
 	case record == nil:
@@ -283,11 +284,11 @@
 // LeaderAnnounced applies another controller's announcement that it leads under a fencing token. Fencing tokens only
 // grow, so a leader with a lower one has been replaced. An old leader that the store does not serve learns it from
 // here, and its workers need not wait until its lease expires by its own clock.
-func (e *Election) LeaderAnnounced(_ micros.Timestamp, member string, fencingToken uint64) []Effect {
-	if fencingToken <= e.version || member == e.config.Member {
+func (e *Election) LeaderAnnounced(_ micros.Timestamp, member string, fencingToken wire.FencingToken) []Effect {
+	if fencingToken <= wire.FencingToken(e.version) || member == e.config.Member {
 		return nil
 	}
-	e.record, e.version = &state.LeaderRecord{Member: member}, fencingToken
+	e.record, e.version = &state.LeaderRecord{Member: member}, uint64(fencingToken)
 	if e.phase == leading {
 		return e.stepDown("another controller leads")
 	}
@@ -297,8 +298,8 @@
 
 // LeaderUnreachable reports that the host of the leader with a fencing token refuses connections though the leader has
 // served this controller. Most likely the leader's process has ended. That is no proof, and none is needed for safety.
-func (e *Election) LeaderUnreachable(now micros.Timestamp, fencingToken uint64) []Effect {
-	isCurrent := e.keyKnown && e.record != nil && e.version == fencingToken
+func (e *Election) LeaderUnreachable(now micros.Timestamp, fencingToken wire.FencingToken) []Effect {
+	isCurrent := e.keyKnown && e.record != nil && wire.FencingToken(e.version) == fencingToken
 	tooSoon := e.unreachableClaimAt != 0 && now.Sub(e.unreachableClaimAt) < unreachableInterval
 	if e.phase == leading || e.candidate || !isCurrent || tooSoon {
 		return nil
@@ -342,9 +343,9 @@
 func (e *Election) startTerm(now micros.Timestamp, version uint64) []Effect {
 	e.phase, e.candidate = leading, false
 	record := e.ownRecord()
-	e.record, e.version, e.fencingToken = &record, version, version
+	e.record, e.version, e.fencingToken = &record, version, wire.FencingToken(version)
 	e.renewAt, e.renewalInFlight = now, false
-	return []Effect{StartTerm{FencingToken: version}}
+	return []Effect{StartTerm{FencingToken: e.fencingToken}}
 }
 
 // LeaseRenewed applies the outcome of RenewLease, which was sent at sentAt.
@@ -367,7 +368,7 @@
 
 // StepDown reports that something else has shown the term with a fencing token to be over, such as a write of the
 // leader that was refused. A token of an earlier term is ignored.
-func (e *Election) StepDown(_ micros.Timestamp, fencingToken uint64, reason string) []Effect {
+func (e *Election) StepDown(_ micros.Timestamp, fencingToken wire.FencingToken, reason string) []Effect {
 	if e.phase != leading || e.fencingToken != fencingToken {
 		return nil
 	}
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -6,6 +6,7 @@
 
 	"saffronbend/internal/micros"
 	"saffronbend/internal/state"
+	"saffronbend/wire"
 )
 
 const (
@@ -46,15 +47,15 @@
 	return func(e *Election, now micros.Timestamp) []Effect { return e.LeaderObserved(now, &record, version) }
 }
 
-func announced(member string, fencingToken uint64) event {
+func announced(member string, fencingToken wire.FencingToken) event {
 	return func(e *Election, now micros.Timestamp) []Effect { return e.LeaderAnnounced(now, member, fencingToken) }
 }
 
-func unreachable(fencingToken uint64) event {
+func unreachable(fencingToken wire.FencingToken) event {
 	return func(e *Election, now micros.Timestamp) []Effect { return e.LeaderUnreachable(now, fencingToken) }
 }
 
-func termEnded(fencingToken uint64) event {
+func termEnded(fencingToken wire.FencingToken) event {
 	return func(e *Election, now micros.Timestamp) []Effect { return e.StepDown(now, fencingToken, "ended") }
 }
 
@@ -106,8 +107,10 @@
 	return []Effect{ClaimLeadership{Record: ownRecord, ReplacedVersion: replacedVersion, Lease: lease}}
 }
 
-func startTerm(fencingToken uint64) []Effect { return []Effect{StartTerm{FencingToken: fencingToken}} }
-func renewLease(lease uint64) []Effect       { return []Effect{RenewLease{Lease: lease}} }
+func startTerm(fencingToken wire.FencingToken) []Effect {
+	return []Effect{StartTerm{FencingToken: fencingToken}}
+}
+func renewLease(lease uint64) []Effect { return []Effect{RenewLease{Lease: lease}} }
 
 func stepDown(reason string) []Effect { return []Effect{StepDown{Reason: reason}, ReadLeader{}} }
 
@@ -156,7 +159,7 @@
 	steps []step
 
 	wantLeader string // "": nobody
-	wantToken  uint64
+	wantToken  wire.FencingToken
 }
 
 func testElection(t *testing.T, tests []electionCase) {
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -63,7 +63,8 @@
 
 	// The goroutine owns what follows.
 
-	incarnation, sequence, fencingToken uint64
+	incarnation, sequence uint64
+	fencingToken          wire.FencingToken
 	// leaseRenewedAt is when the last answered heartbeat was sent.
 	leaseRenewedAt time.Time
 	// tokenChangedAt is when a higher fencing token last counted as a change.
--- a/internal/fake/worker_commands.go
+++ b/internal/fake/worker_commands.go
@@ -71,7 +71,7 @@
 }
 
 // adoptToken adopts a fencing token that is higher. That counts as a change at most once in half of the lease.
-func (w *Worker) adoptToken(now time.Time, token uint64) {
+func (w *Worker) adoptToken(now time.Time, token wire.FencingToken) {
 	if token <= w.fencingToken {
 		return
 	}
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -62,7 +62,7 @@
 }
 
 // accepting answers as the leader with a fencing token and commands.
-func accepting(token uint64, commands ...wire.Command) func(http.ResponseWriter) {
+func accepting(token wire.FencingToken, commands ...wire.Command) func(http.ResponseWriter) {
 	return func(rw http.ResponseWriter) {
 		writeJSON(rw, http.StatusOK, wire.HeartbeatResponse{FencingToken: token, Commands: commands})
 	}
--- a/internal/fenced/writer.go
+++ b/internal/fenced/writer.go
@@ -22,20 +22,20 @@
 // Writer carries out transactions under a fencing token. It may be used by several goroutines.
 type Writer struct {
 	store Store
-	token uint64
+	token wire.FencingToken
 	// maxChanges is how many changes a transaction may have.
 	maxChanges int
 }
 
 // NewWriter returns a writer for a term. A value may have valueKB kilobytes, a transaction txnOps changes.
-func NewWriter(store Store, token uint64, valueKB float64, txnOps int) *Writer {
+func NewWriter(store Store, token wire.FencingToken, valueKB float64, txnOps int) *Writer {
 	const maxBytes, bytesPerKB = 48 << 10, 1024
 	return &Writer{store: store, token: token, maxChanges: max(1, min(txnOps, int(maxBytes/(valueKB*bytesPerKB))))}
 }
 
 // Condition returns the condition that the controller still leads.
 func (w *Writer) Condition() wire.Condition {
-	return wire.Condition{Key: state.LeaderKey, Version: w.token}
+	return wire.Condition{Key: state.LeaderKey, Version: uint64(w.token)}
 }
 
 // Commit carries out a transaction and returns its revision. Errors are those of state.Client.CompareAndSwap.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -24,7 +24,7 @@
 
 // Config holds what a fleet must know of the deployment and of the term.
 type Config struct {
-	FencingToken      uint64
+	FencingToken      wire.FencingToken
 	LeaseDuration     micros.Duration
 	HeartbeatInterval micros.Duration
 	// ListLag is how old the cloud's list of machines may be. The caller reads the list no more often than that.
--- a/internal/fleet/pools.go
+++ b/internal/fleet/pools.go
@@ -27,14 +27,14 @@
 
 // scaleOutRequests holds the requests whose outcome isn't known, and the backoff of each pool that has refused.
 type scaleOutRequests struct {
-	fencingToken uint64
+	fencingToken wire.FencingToken
 	serial       int                             // of the last request in this term
 	pending      map[string]wire.ScaleOutRequest // by request identifier
 	backoff      map[pool]micros.Duration        // the last one, until a request succeeds
 	blockedUntil map[pool]micros.Timestamp
 }
 
-func newScaleOutRequests(fencingToken uint64) scaleOutRequests {
+func newScaleOutRequests(fencingToken wire.FencingToken) scaleOutRequests {
 	return scaleOutRequests{
 		fencingToken: fencingToken,
 		pending:      map[string]wire.ScaleOutRequest{},
@@ -47,7 +47,7 @@
 func (r *scaleOutRequests) create(from pool, count int) wire.ScaleOutRequest {
 	r.serial++
 	request := wire.ScaleOutRequest{
-		RequestID: "r-" + strconv.FormatUint(r.fencingToken, 10) + "-" + strconv.Itoa(r.serial),
+		RequestID: "r-" + strconv.FormatUint(uint64(r.fencingToken), 10) + "-" + strconv.Itoa(r.serial),
 		Type:      from.machineType,
 		Zone:      from.zone,
 		Spot:      from.spot,
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -62,7 +62,7 @@
 type Follower struct {
 	cfg     Config
 	leader  string
-	token   uint64
+	token   wire.FencingToken
 	client  *peer.Client
 	renewer *leaseRenewer
 	// lastContact is when the leader sent a snapshot, or its host refused a connection: that shows that the network to it
@@ -72,7 +72,7 @@
 
 // New returns a follower of a leader under a fencing token; Run runs it. It returns ErrUnknownLeader, wrapped, if
 // there is no address for the leader.
-func New(cfg Config, leader string, token uint64) (*Follower, error) {
+func New(cfg Config, leader string, token wire.FencingToken) (*Follower, error) {
 	addr, ok := PeerAddr(cfg.Settings, leader)
 	if !ok {
 		return nil, fmt.Errorf("%w: %s", ErrUnknownLeader, leader)
--- a/internal/follower/lease_renewer.go
+++ b/internal/follower/lease_renewer.go
@@ -43,7 +43,7 @@
 // looks there before it considers any lease expired.
 type leaseRenewer struct {
 	cfg   Config
-	token uint64
+	token wire.FencingToken
 
 	mu         sync.Mutex // guards what follows
 	validUntil micros.Timestamp
@@ -62,7 +62,7 @@
 	until                micros.Timestamp
 }
 
-func newLeaseRenewer(cfg Config, token uint64) *leaseRenewer {
+func newLeaseRenewer(cfg Config, token wire.FencingToken) *leaseRenewer {
 	return &leaseRenewer{cfg: cfg, token: token}
 }
 
@@ -123,7 +123,7 @@
 		return 0, err
 	}
 	_, err = r.cfg.Store.CompareAndSwap(ctx, wire.Transaction{
-		If: []wire.Condition{{Key: state.LeaderKey, Version: r.token}},
+		If: []wire.Condition{{Key: state.LeaderKey, Version: uint64(r.token)}},
 		Then: []wire.Change{
 			{Put: state.ActiveRenewerKey(controller), Value: value, Lease: lease},
 			{Put: state.LastRenewerKey(controller), Value: value},
--- a/internal/follower/lease_renewer_test.go
+++ b/internal/follower/lease_renewer_test.go
@@ -86,7 +86,7 @@
 	onRestarted := wire.Heartbeat{Machine: "m1", Incarnation: 6}
 	cases := map[string]struct {
 		heartbeat wire.Heartbeat
-		token     uint64 // that the worker has seen
+		token     wire.FencingToken // that the worker has seen
 		tasks     []wire.TaskStatus
 		after     time.Duration
 		refused   bool
--- a/internal/leader/drains/drains.go
+++ b/internal/leader/drains/drains.go
@@ -19,6 +19,7 @@
 	"saffronbend/internal/micros"
 	"saffronbend/internal/routine"
 	"saffronbend/internal/settings"
+	"saffronbend/wire"
 )
 
 // Manager is the part of the term's manager that drains need. It is called on the term's goroutine only.
@@ -37,7 +38,7 @@
 
 // Config is what an Executor needs.
 type Config struct {
-	FencingToken uint64
+	FencingToken wire.FencingToken
 	Teams        []settings.Team
 	Tuning       settings.Tuning
 	// ValueKB is how large a value of the key-value store may be, in kilobytes.
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -15,6 +15,7 @@
 	"saffronbend/internal/micros"
 	"saffronbend/internal/openjobs"
 	"saffronbend/internal/routine"
+	"saffronbend/wire"
 )
 
 const (
@@ -35,7 +36,7 @@
 // Term is the time in which this controller leads under one fencing token.
 type Term struct {
 	cfg      Config
-	token    uint64
+	token    wire.FencingToken
 	stepDown func(reason string)
 	writer   *fenced.Writer
 	loop     *eventloop.Loop
@@ -57,7 +58,7 @@
 
 // NewTerm returns a term under a fencing token; Run runs it. stepDown is called when something shows that the term must
 // end: it must cause the context of Run to end, and may be called several times.
-func NewTerm(cfg Config, token uint64, stepDown func(reason string)) *Term {
+func NewTerm(cfg Config, token wire.FencingToken, stepDown func(reason string)) *Term {
 	limits := cfg.Settings.Deployment.State.Effective()
 	return &Term{
 		cfg:       cfg,
@@ -72,7 +73,7 @@
 }
 
 // FencingToken returns the token of the term.
-func (t *Term) FencingToken() uint64 { return t.token }
+func (t *Term) FencingToken() wire.FencingToken { return t.token }
 
 // ExtendLease sets until when the leader's lease is valid, by this controller's clock.
 func (t *Term) ExtendLease(until micros.Timestamp) { t.leaseValidUntil.Store(int64(until)) }
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -94,7 +94,7 @@
 	// Owned by the goroutine of Run.
 	election *election.Election
 	leader   string // as of the present role
-	token    uint64
+	token    wire.FencingToken
 	endRole  context.CancelFunc // ends the term, or the following
 }
 
@@ -184,7 +184,7 @@
 	}
 }
 
-func (d *Driver) startTerm(ctx context.Context, token uint64, leaseValidUntil micros.Timestamp) {
+func (d *Driver) startTerm(ctx context.Context, token wire.FencingToken, leaseValidUntil micros.Timestamp) {
 	termCtx, cancel := context.WithCancel(ctx)
 	d.endRole = cancel
 	term := leader.NewTerm(d.cfg.Leader, token, func(reason string) {
@@ -199,7 +199,7 @@
 }
 
 // announce announces to another controller that this one leads, until that has received it.
-func (d *Driver) announce(ctx context.Context, addr string, token uint64) {
+func (d *Driver) announce(ctx context.Context, addr string, token wire.FencingToken) {
 	client := peer.NewClient(d.cfg.Dial, addr, d.cfg.Settings.Member, token)
 	defer client.Close()
 	for {
@@ -209,7 +209,7 @@
 	}
 }
 
-func (d *Driver) startFollowing(ctx context.Context, current string, token uint64) {
+func (d *Driver) startFollowing(ctx context.Context, current string, token wire.FencingToken) {
 	d.cfg.Log.Info("following a leader", "leader", current, "fencing_token", token)
 	following, err := follower.New(d.cfg.Follower, current, token)
 	if err != nil {
--- a/internal/manager/agent.go
+++ b/internal/manager/agent.go
@@ -72,7 +72,9 @@
 }
 
 // observe applies a message that is not late.
-func (agent *agentState) observe(now micros.Timestamp, heartbeat *wire.Heartbeat, source messageSource, token uint64) {
+func (agent *agentState) observe(
+	now micros.Timestamp, heartbeat *wire.Heartbeat, source messageSource, token wire.FencingToken,
+) {
 	acknowledged := heartbeat.FencingToken == token
 	switch {
 	case !acknowledged:
--- a/internal/manager/agent_test.go
+++ b/internal/manager/agent_test.go
@@ -45,7 +45,7 @@
 	for _, c := range []struct {
 		name        string
 		before      agentState
-		token       uint64
+		token       wire.FencingToken
 		unreachable micros.Timestamp
 		renewedAt   micros.Timestamp
 	}{
--- a/internal/manager/attempts.go
+++ b/internal/manager/attempts.go
@@ -18,7 +18,7 @@
 
 // attemptIDs issues the identifiers of a term's attempts.
 type attemptIDs struct {
-	fencingToken uint64
+	fencingToken wire.FencingToken
 	last         uint64 // number of the last attempt in this term
 }
 
@@ -27,7 +27,7 @@
 
 // peek returns the next identifier without using it up.
 func (ids *attemptIDs) peek() attemptID {
-	return attemptID(ids.fencingToken<<attemptBits | ids.last + 1)
+	return attemptID(uint64(ids.fencingToken)<<attemptBits | ids.last + 1)
 }
 
 // advance uses up the next identifier.
--- a/internal/manager/harness_test.go
+++ b/internal/manager/harness_test.go
@@ -181,13 +181,15 @@
 
 // heartbeat sends a machine's heartbeat with tasks such as "run-1/0 5 running". It returns the commands of the answer
 // such as "launch run-1/0 5", or "dropped" if there is no answer.
-func (h *harness) heartbeat(machine string, fencingToken, incarnation uint64, tasks ...string) string {
+func (h *harness) heartbeat(
+	machine string, fencingToken wire.FencingToken, incarnation uint64, tasks ...string,
+) string {
 	h.seq++
 	return h.heartbeatWithSeq(h.seq, machine, fencingToken, incarnation, tasks...)
 }
 
 func (h *harness) heartbeatWithSeq(
-	seq uint64, machine string, fencingToken, incarnation uint64, tasks ...string,
+	seq uint64, machine string, fencingToken wire.FencingToken, incarnation uint64, tasks ...string,
 ) string {
 	heartbeat := &wire.Heartbeat{
 		Machine: machine, Addr: "10.1.0.1:9000", Type: "small", Zone: machine[len(machine)-1:],
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -22,12 +22,13 @@
 	"saffronbend/internal/drain"
 	"saffronbend/internal/micros"
 	"saffronbend/internal/settings"
+	"saffronbend/wire"
 )
 
 // Config holds what a Manager must know beforehand. Durations are in microseconds.
 type Config struct {
 	// FencingToken is the token of the leader's term. An agent that reports a higher one proves the term to be over.
-	FencingToken uint64
+	FencingToken wire.FencingToken
 	// Teams are the teams with their guarantees and limits.
 	Teams []settings.Team
 	// WorkerLease is how long an agent goes on without an answer before it stops its tasks.
--- a/internal/manager/writes.go
+++ b/internal/manager/writes.go
@@ -119,7 +119,7 @@
 		manager: m,
 		now:     now,
 		maxOps:  m.writes.limits.maxOps,
-		mark:    strconv.FormatUint(m.cfg.FencingToken, 36) + "." + strconv.FormatUint(id, 36),
+		mark:    strconv.FormatUint(uint64(m.cfg.FencingToken), 36) + "." + strconv.FormatUint(id, 36),
 		batch:   &WriteBatch{ID: id},
 		write:   &writeInFlight{id: id, startedAt: now, deletions: map[string][]int{}},
 	}
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -30,13 +30,13 @@
 // After an error other than ErrNotLeader it is unknown whether the request was served.
 type Client struct {
 	addr, member string
-	fencingToken uint64
+	fencingToken wire.FencingToken
 	http         *http.Client
 	transport    *http.Transport
 }
 
 // NewClient returns a client for the controller at addr; member is the sender's own name. Close ends its connections.
-func NewClient(dial call.Dialer, addr, member string, fencingToken uint64) *Client {
+func NewClient(dial call.Dialer, addr, member string, fencingToken wire.FencingToken) *Client {
 	transport := &http.Transport{DialContext: dial, Protocols: call.UnencryptedHTTP2(), IdleConnTimeout: clientIdleTimeout}
 	return &Client{
 		addr: addr, member: member, fencingToken: fencingToken,
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -29,7 +29,7 @@
 	// this controller does not lead under that token. The function that it returns waits for a snapshot newer than
 	// version since and returns the update from that version, with since 0 the whole snapshot; it returns nil when the
 	// term or ctx has ended.
-	Subscribe(ctx context.Context, member string, fencingToken uint64) func(since uint64) *snapshot.Update
+	Subscribe(ctx context.Context, member string, fencingToken wire.FencingToken) func(since uint64) *snapshot.Update
 	// RequestLeases serves another controller's lease requests; ErrNotLeader if the fencing token is not this
 	// controller's.
 	RequestLeases(ctx context.Context, requests LeaseRequests) (*LeaseResponses, error)
@@ -44,7 +44,7 @@
 // that its scheduler is alive.
 type LeaseRequests struct {
 	Member       string              `json:"member"`
-	FencingToken uint64              `json:"token"`
+	FencingToken wire.FencingToken   `json:"token"`
 	Requests     []lease.Transaction `json:"requests,omitempty"`
 }
 
@@ -58,9 +58,9 @@
 // RelayedHeartbeat carries a worker's heartbeat to the leader from the controller that the worker has turned to, since
 // the leader does not reach it though the worker has the leader's fencing token.
 type RelayedHeartbeat struct {
-	Member       string          `json:"member"`
-	FencingToken uint64          `json:"token"`
-	Heartbeat    *wire.Heartbeat `json:"report"`
+	Member       string            `json:"member"`
+	FencingToken wire.FencingToken `json:"token"`
+	Heartbeat    *wire.Heartbeat   `json:"report"`
 }
 
 // RelayResponse carries the leader's response to a relayed heartbeat. CommandsDelivered means that commands that the
@@ -72,6 +72,6 @@
 
 // Announcement says that a member leads under a fencing token.
 type Announcement struct {
-	Member       string `json:"member"`
-	FencingToken uint64 `json:"token"`
+	Member       string            `json:"member"`
+	FencingToken wire.FencingToken `json:"token"`
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -40,7 +40,9 @@
 	stuck         bool // requests are never answered
 }
 
-func (l *leader) Subscribe(ctx context.Context, member string, token uint64) func(since uint64) *snapshot.Update {
+func (l *leader) Subscribe(
+	ctx context.Context, member string, token wire.FencingToken,
+) func(since uint64) *snapshot.Update {
 	if token != leaderToken {
 		return nil
 	}
@@ -154,7 +156,7 @@
 }
 
 // newTestClient returns a client of testMember under a fencing token.
-func newTestClient(t *testing.T, dial call.Dialer, fencingToken uint64) *Client {
+func newTestClient(t *testing.T, dial call.Dialer, fencingToken wire.FencingToken) *Client {
 	t.Helper()
 	client := NewClient(dial, "leader", testMember, fencingToken)
 	t.Cleanup(client.Close)
@@ -164,7 +166,7 @@
 // followCase is a stream of updates from a leader to a follower.
 type followCase struct {
 	name      string
-	token     uint64
+	token     wire.FencingToken
 	published []*snapshot.Update
 	termEnds  bool   // after the updates
 	rejected  uint64 // version that the follower does not accept
@@ -346,7 +348,7 @@
 	heartbeat := &wire.Heartbeat{Machine: "m", FencingToken: leaderToken}
 	tests := []struct {
 		name  string
-		token uint64
+		token wire.FencingToken
 		stuck bool
 		send  func(context.Context, *Client) (any, error)
 
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,6 +13,7 @@
 	"github.com/julienschmidt/httprouter"
 
 	"saffronbend/internal/call"
+	"saffronbend/wire"
 )
 
 // Paths. Controllers of the previous version use them too.
@@ -79,8 +80,8 @@
 	return func(w http.ResponseWriter, req *http.Request, _ httprouter.Params) {
 		query := req.URL.Query()
 		// A malformed fencing token is 0, and no term has that.
-		fencingToken, _ := strconv.ParseUint(query.Get("token"), 10, 64)
-		next := controller.Subscribe(req.Context(), query.Get("member"), fencingToken)
+		token, _ := strconv.ParseUint(query.Get("token"), 10, 64)
+		next := controller.Subscribe(req.Context(), query.Get("member"), wire.FencingToken(token))
 		if next == nil {
 			w.WriteHeader(http.StatusMisdirectedRequest)
 			return
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -5,10 +5,11 @@
 	"testing"
 
 	"saffronbend/internal/snapshot"
+	"saffronbend/wire"
 )
 
 func TestOfferKeepsCompletedRunsOfReplacedSnapshots(t *testing.T) {
-	offered := func(token, version uint64, jobs ...string) *snapshot.Snapshot {
+	offered := func(token wire.FencingToken, version uint64, jobs ...string) *snapshot.Snapshot {
 		s := &snapshot.Snapshot{FencingToken: token, Version: version}
 		for _, job := range jobs {
 			s.CompletedRuns = append(s.CompletedRuns, snapshot.CompletedRun{Job: job})
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -29,7 +29,7 @@
 type worker struct {
 	id           string
 	session, seq uint64
-	token        uint64
+	token        wire.FencingToken
 	nextReport   micros.Timestamp
 	renewed      micros.Timestamp
 	running      map[taskAttempt]micros.Timestamp // until when
@@ -48,7 +48,7 @@
 	now       micros.Timestamp
 	revision  uint64
 	records   map[string]wire.KeyValue
-	token     uint64
+	token     wire.FencingToken
 	manager   *manager.Manager
 	scheduler *scheduler.Scheduler
 	fleet     *fleet.Fleet
@@ -101,7 +101,7 @@
 // lead begins a term from the records; the workers come back at moments spread over a report's time.
 func (c *cluster) lead() {
 	c.revision++
-	c.token = c.revision
+	c.token = wire.FencingToken(c.revision)
 	var open, chunks []wire.KeyValue
 	for key, item := range c.records {
 		switch {
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -110,9 +110,10 @@
 // Nothing is decided on a snapshot that doesn't show all that was granted, unless it is a new leader's.
 func TestRequireVersion(t *testing.T) {
 	for _, c := range []struct {
-		name           string
-		token, version uint64
-		want           int // requests
+		name    string
+		token   wire.FencingToken
+		version uint64
+		want    int // requests
 	}{
 		{"too old", 1, 4, 0},
 		{"shows the grants", 1, 5, 1},
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -10,13 +10,14 @@
 	"saffronbend/internal/drain"
 	"saffronbend/internal/micros"
 	"saffronbend/internal/resources"
+	"saffronbend/wire"
 )
 
 // Snapshot is the leader's state at one moment: every machine, busy ones with their leases, and the jobs. Times in it
 // are on the leader's clock, of which Now is the reading.
 type Snapshot struct {
-	FencingToken uint64 // of the leader's term
-	Version      uint64 // counts the snapshots of a term
+	FencingToken wire.FencingToken // of the leader's term
+	Version      uint64            // counts the snapshots of a term
 	Now          micros.Timestamp
 	// StoreAvailable says whether the key-value store serves the leader.
 	StoreAvailable bool
--- a/internal/snapshot/update.go
+++ b/internal/snapshot/update.go
@@ -1,11 +1,14 @@
 package snapshot
 
-import "saffronbend/internal/micros"
+import (
+	"saffronbend/internal/micros"
+	"saffronbend/wire"
+)
 
 // Update contains what has changed from the snapshot of version BaseVersion to that of Version. With BaseVersion 0 it
 // is a whole snapshot.
 type Update struct {
-	FencingToken    uint64                   `json:"token"`
+	FencingToken    wire.FencingToken        `json:"token"`
 	BaseVersion     uint64                   `json:"base,omitempty"`
 	Version         uint64                   `json:"version"`
 	Now             micros.Timestamp         `json:"now"`
--- a/services.go
+++ b/services.go
@@ -43,7 +43,7 @@
 type peerService struct{ leadership *leadership.Driver }
 
 // term returns the present term if it has a fencing token, or nil.
-func (s peerService) term(token uint64) *leader.Term {
+func (s peerService) term(token wire.FencingToken) *leader.Term {
 	if term := s.leadership.Role().Term; term != nil && term.FencingToken() == token {
 		return term
 	}
@@ -62,7 +62,7 @@
 
 // Subscribe implements peer.Controller.
 func (s peerService) Subscribe(
-	ctx context.Context, controller string, token uint64,
+	ctx context.Context, controller string, token wire.FencingToken,
 ) func(since uint64) *snapshot.Update {
 	if term := s.term(token); term != nil {
 		return term.Subscribe(ctx, controller)
--- a/wire/commands.go
+++ b/wire/commands.go
@@ -26,8 +26,8 @@
 
 // HeartbeatResponse answers a heartbeat. It renews the worker's lease, unless the worker knows a higher token.
 type HeartbeatResponse struct {
-	FencingToken uint64    `json:"baton"`
-	Commands     []Command `json:"orders"`
+	FencingToken FencingToken `json:"baton"`
+	Commands     []Command    `json:"orders"`
 }
 
 // LeaderRedirect answers a heartbeat with status 421.
@@ -38,7 +38,7 @@
 // CommandPush is a request to a worker's own address. The worker executes it only if the token isn't lower than the
 // highest it has seen and the incarnation is its own. It doesn't renew the worker's lease.
 type CommandPush struct {
-	FencingToken uint64    `json:"baton"`
-	Incarnation  uint64    `json:"shift"`
-	Commands     []Command `json:"orders"`
+	FencingToken FencingToken `json:"baton"`
+	Incarnation  uint64       `json:"shift"`
+	Commands     []Command    `json:"orders"`
 }
--- a/wire/heartbeat.go
+++ b/wire/heartbeat.go
@@ -52,7 +52,7 @@
 	// Sequence grows with each heartbeat. Of two, the one with the larger (Incarnation, Sequence) is newer.
 	Sequence uint64 `json:"tick"`
 	// FencingToken is the highest that the worker has seen.
-	FencingToken uint64 `json:"baton"`
+	FencingToken FencingToken `json:"baton"`
 	// ReclaimInS is the time until the cloud reclaims the spot machine. nil: no notice was given.
 	ReclaimInS *float64 `json:"recall_s"`
 	// Tasks lists all tasks on the machine, exited ones until they are cleared.
