--- a/internal/disruption/ledger.go
+++ b/internal/disruption/ledger.go
@@ -14,6 +14,7 @@
 	"strconv"
 
 	"saffronbend/internal/micros"
+	"saffronbend/wire"
 )
 
 // Task identifies a task by its job's identifier and its index in the job.
@@ -42,7 +43,7 @@
 type Disruption struct {
 	Task    Task
 	Team    string
-	Attempt uint64 // the attempt that was stopped or lost
+	Attempt wire.AttemptID // the attempt that was stopped or lost
 	Cause   Cause
 	Since   micros.Timestamp
 }
--- a/internal/disruption/ledger_test.go
+++ b/internal/disruption/ledger_test.go
@@ -4,11 +4,13 @@
 	"slices"
 	"testing"
 
+	"saffronbend/wire"
+
 	"pgregory.net/rapid"
 )
 
 // ledgerModel is what a ledger should hold: the attempt of each disrupted task.
-type ledgerModel map[Task]uint64
+type ledgerModel map[Task]wire.AttemptID
 
 var teamOfJob = map[string]string{"run-1": "red", "run-2": "red", "run-3": "blue"}
 
@@ -31,7 +33,7 @@
 	attempt, open := m[task]
 	switch rapid.IntRange(0, 4).Draw(t, "what") {
 	case 0, 1, 2:
-		next := rapid.Uint64Range(1, 9).Draw(t, "attempt")
+		next := wire.AttemptID(rapid.Uint64Range(1, 9).Draw(t, "attempt"))
 		begun := ledger.Begin(Disruption{Task: task, Team: teamOfJob[task.Job], Attempt: next, Cause: Lost})
 		if begun == open {
 			t.Fatalf("begin of %v: %v, though open is %v", task, begun, open)
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -27,7 +27,7 @@
 // gangKey names an attempt of a gang.
 type gangKey struct {
 	job     string
-	attempt uint64
+	attempt wire.AttemptID
 }
 
 // gangAttempt is one attempt of a gang.
--- a/internal/fake/gangs_test.go
+++ b/internal/fake/gangs_test.go
@@ -22,7 +22,7 @@
 }
 
 // newGang returns the tasks of an attempt; the first one joins.
-func newGang(runtime *GangRuntime, attempt uint64) *gangTest {
+func newGang(runtime *GangRuntime, attempt wire.AttemptID) *gangTest {
 	job := wire.Job{ID: testJob, Kind: wire.KindGang, Tasks: 2, CheckpointIntervalS: 5, CheckpointSaveS: 2}
 	g := &gangTest{runtime: runtime, joined: time.Now()}
 	for i := range g.tasks {
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -63,8 +63,9 @@
 
 	// The goroutine owns what follows.
 
-	incarnation, sequence uint64
-	fencingToken          wire.FencingToken
+	incarnation  wire.AgentIncarnation
+	sequence     wire.HeartbeatSeq
+	fencingToken wire.FencingToken
 	// leaseRenewedAt is when the last answered heartbeat was sent.
 	leaseRenewedAt time.Time
 	// tokenChangedAt is when a higher fencing token last counted as a change.
--- a/internal/fake/worker_faults.go
+++ b/internal/fake/worker_faults.go
@@ -42,7 +42,7 @@
 }
 
 // ReceiveLaunch has the machine start an attempt of a task that a controller launched under a fencing token.
-func (w *Worker) ReceiveLaunch(task string, attempt uint64, fencingToken wire.FencingToken) {
+func (w *Worker) ReceiveLaunch(task string, attempt wire.AttemptID, fencingToken wire.FencingToken) {
 	w.inbox <- func() {
 		w.acceptPush(wire.CommandPush{FencingToken: fencingToken, Incarnation: w.incarnation,
 			Commands: []wire.Command{{Op: wire.OpStart, Task: task, Attempt: attempt}}})
--- a/internal/fake/worker_heartbeat.go
+++ b/internal/fake/worker_heartbeat.go
@@ -80,7 +80,9 @@
 func heartbeatURL(address string) string { return "http://" + address + wire.PathHeartbeat }
 
 // handleResponse handles the response to a heartbeat, or its failure.
-func (w *Worker) handleResponse(sent time.Time, incarnation uint64, response heartbeatResponse, err error) {
+func (w *Worker) handleResponse(
+	sent time.Time, incarnation wire.AgentIncarnation, response heartbeatResponse, err error,
+) {
 	w.inFlight = false
 	now := time.Now()
 	switch {
@@ -98,7 +100,7 @@
 }
 
 // handleAccepted renews the lease and executes commands, unless the response is too old or from an earlier leader.
-func (w *Worker) handleAccepted(sent, now time.Time, incarnation uint64, body []byte) {
+func (w *Worker) handleAccepted(sent, now time.Time, incarnation wire.AgentIncarnation, body []byte) {
 	var accepted wire.HeartbeatResponse
 	if json.Unmarshal(body, &accepted) != nil {
 		return
--- a/internal/fake/worker_task.go
+++ b/internal/fake/worker_task.go
@@ -11,7 +11,7 @@
 type workerTask struct {
 	name       string
 	id         invariant.Task
-	attempt    uint64
+	attempt    wire.AttemptID
 	job        wire.Job
 	state      wire.TaskState
 	exitReason wire.ExitReason
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -146,7 +146,7 @@
 }
 
 // start returns the command to start an attempt of a task.
-func start(task string, attempt uint64) wire.Command {
+func start(task string, attempt wire.AttemptID) wire.Command {
 	return wire.Command{Op: wire.OpStart, Task: task, Attempt: attempt}
 }
 
@@ -264,7 +264,7 @@
 		fail        func(w *workerTest)
 		repair      func(w *workerTest)
 		lasts       time.Duration
-		incarnation uint64
+		incarnation wire.AgentIncarnation
 	}{
 		{"partition", func(w *workerTest) { w.setLinks(LinkHeld) }, func(w *workerTest) { w.setLinks(LinkUp) },
 			testLease + 2*time.Second, 2},
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -75,7 +75,7 @@
 	machine := newMachine("n-1", "small", resources.Vector{MemoryGB: 14})
 	leases := snapshot.JobLeases{Job: "run-0", Vector: resources.Vector{CPUs: 4, MemoryGB: 1}}
 	for i := range 2 {
-		leases.Leases = append(leases.Leases, snapshot.Lease{Attempt: uint64(i), ExpectedEnd: start.Add(left)})
+		leases.Leases = append(leases.Leases, snapshot.Lease{Attempt: wire.AttemptID(i), ExpectedEnd: start.Add(left)})
 	}
 	machine.Leases = []snapshot.JobLeases{leases}
 	return machine
--- a/internal/follower/lease_renewer.go
+++ b/internal/follower/lease_renewer.go
@@ -57,9 +57,10 @@
 // endedAttempt is an attempt of a job that has ended. Until a time its launch and stop are sent to a worker that
 // doesn't know it.
 type endedAttempt struct {
-	job, task            string
-	attempt, incarnation uint64
-	until                micros.Timestamp
+	job, task   string
+	attempt     wire.AttemptID
+	incarnation wire.AgentIncarnation
+	until       micros.Timestamp
 }
 
 func newLeaseRenewer(cfg Config, token wire.FencingToken) *leaseRenewer {
--- a/internal/follower/lease_renewer_test.go
+++ b/internal/follower/lease_renewer_test.go
@@ -75,7 +75,7 @@
 }
 
 func TestLeaseRenewerRespond(t *testing.T) {
-	running := func(task string, attempt uint64) []wire.TaskStatus {
+	running := func(task string, attempt wire.AttemptID) []wire.TaskStatus {
 		return []wire.TaskStatus{{Task: task, Attempt: attempt, State: wire.TaskRunning}}
 	}
 	taskA, taskB := wire.TaskName("run-1", 0), wire.TaskName("run-2", 0)
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -67,7 +67,7 @@
 // gangAttempt is one attempt of a gang; all of its tasks have the same attempt number.
 type gangAttempt struct {
 	job     string
-	attempt uint64
+	attempt wire.AttemptID
 }
 
 // jobRecord is what is known of one job.
@@ -184,7 +184,7 @@
 }
 
 // GangTaskRunning notes that a task of a gang runs, rather than waits for its peers.
-func (c *Checker) GangTaskRunning(task Task, attempt uint64) {
+func (c *Checker) GangTaskRunning(task Task, attempt wire.AttemptID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	key := gangAttempt{task.Job, attempt}
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -108,7 +108,7 @@
 }
 
 // checkGangTaskOnce: a task of a gang begins to run twice in the same attempt.
-func (c *Checker) checkGangTaskOnce(task Task, attempt uint64) {
+func (c *Checker) checkGangTaskOnce(task Task, attempt wire.AttemptID) {
 	if c.gangTasks[gangAttempt{task.Job, attempt}][task.Index] {
 		c.violate(HalfGang, "%s begins twice in attempt %d", task, attempt)
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -5,7 +5,10 @@
 // controllers.
 package lease
 
-import "saffronbend/internal/micros"
+import (
+	"saffronbend/internal/micros"
+	"saffronbend/wire"
+)
 
 // Request is a scheduler's request for leases of a job's tasks on one machine or, with WaitFor, to be the one waiter
 // of an attempt's lease.
@@ -14,7 +17,7 @@
 	Machine  string          `json:"machine"`
 	Count    int             `json:"count,omitempty"` // tasks
 	Duration micros.Duration `json:"lease,omitempty"` // of each lease, as the scheduler expects the tasks to run
-	WaitFor  uint64          `json:"wait,omitempty"`  // the attempt whose lease the job waits for; 0: none
+	WaitFor  wire.AttemptID  `json:"wait,omitempty"`  // the attempt whose lease the job waits for; 0: none
 }
 
 // Transaction is a lease request that is served atomically. With AllOrNothing either every request is granted in full
--- a/internal/manager/agent.go
+++ b/internal/manager/agent.go
@@ -9,11 +9,11 @@
 // can be reached. An agent begins a new incarnation when it starts, and when it has gone without an answer for a
 // whole worker lease; it has no tasks then.
 type agentState struct {
-	reporting          bool             // it has reported to this leader, and its lease has not expired
-	incarnation        agentIncarnation // the newest; 0: none is known
-	newestSeq          messageSeq       // of the newest message of the incarnation, heartbeat or answer to a push
-	heartbeatSeq       messageSeq       // of the newest heartbeat of the incarnation
-	expiredIncarnation agentIncarnation // the newest whose lease has provably expired
+	reporting          bool                  // it has reported to this leader, and its lease has not expired
+	incarnation        wire.AgentIncarnation // the newest; 0: none is known
+	newestSeq          wire.HeartbeatSeq     // of the newest message of the incarnation, heartbeat or answer to a push
+	heartbeatSeq       wire.HeartbeatSeq     // of the newest heartbeat of the incarnation
+	expiredIncarnation wire.AgentIncarnation // the newest whose lease has provably expired
 
 	// tokenAcknowledged: its newest message carries our fencing token, so only our answers renew its lease.
 	tokenAcknowledged bool
@@ -43,23 +43,23 @@
 // late reports whether a message is older than what is known. Delayed heartbeats arrive minutes late: their agent has
 // given up on them, so an answer would renew nothing, and their list of tasks is old.
 func (agent *agentState) late(heartbeat *wire.Heartbeat) bool {
-	return incarnationOf(heartbeat) <= agent.expiredIncarnation || incarnationOf(heartbeat) < agent.incarnation ||
-		incarnationOf(heartbeat) == agent.incarnation && sequenceOf(heartbeat) <= agent.newestSeq
+	return heartbeat.Incarnation <= agent.expiredIncarnation || heartbeat.Incarnation < agent.incarnation ||
+		heartbeat.Incarnation == agent.incarnation && heartbeat.Sequence <= agent.newestSeq
 }
 
 // overtakenByPushAnswer reports whether a heartbeat is older only than the answer to a push that its agent sent after
 // it. The agent still waits for the answer to the heartbeat, and without one would turn to another controller. What
 // the heartbeat says is known better by now, so its answer carries no commands.
 func (agent *agentState) overtakenByPushAnswer(heartbeat *wire.Heartbeat) bool {
-	return incarnationOf(heartbeat) == agent.incarnation && incarnationOf(heartbeat) > agent.expiredIncarnation &&
-		sequenceOf(heartbeat) > agent.heartbeatSeq && sequenceOf(heartbeat) < agent.newestSeq
+	return heartbeat.Incarnation == agent.incarnation && heartbeat.Incarnation > agent.expiredIncarnation &&
+		heartbeat.Sequence > agent.heartbeatSeq && heartbeat.Sequence < agent.newestSeq
 }
 
 // follows reports whether a heartbeat, relayed by a controller, is the next after one that the same controller has
 // relayed. An agent stays with a controller only while that one's answers reach it.
 func (agent *agentState) follows(heartbeat *wire.Heartbeat, relayedBy string) bool {
-	return relayedBy != "" && agent.relayedBy == relayedBy && agent.incarnation == incarnationOf(heartbeat) &&
-		agent.newestSeq+1 == sequenceOf(heartbeat)
+	return relayedBy != "" && agent.relayedBy == relayedBy && agent.incarnation == heartbeat.Incarnation &&
+		agent.newestSeq+1 == heartbeat.Sequence
 }
 
 // beginIncarnation records that a message shows a new incarnation. Its lease begins with it, at the latest now.
@@ -86,10 +86,10 @@
 		agent.answered(now)
 	}
 	agent.tokenAcknowledged = acknowledged
-	agent.incarnation, agent.newestSeq = incarnationOf(heartbeat), sequenceOf(heartbeat)
+	agent.incarnation, agent.newestSeq = heartbeat.Incarnation, heartbeat.Sequence
 	if source == fromHeartbeat {
 		agent.lastHeartbeat = now // one that sends none is of no use, whatever it answers
-		agent.heartbeatSeq = sequenceOf(heartbeat)
+		agent.heartbeatSeq = heartbeat.Sequence
 	}
 	agent.pushWorks = agent.pushWorks || agent.relayedBy == "" || source == fromPushAnswer
 }
@@ -101,7 +101,7 @@
 
 // acceptOvertaken applies a heartbeat that was overtaken by the answer to a push.
 func (agent *agentState) acceptOvertaken(now micros.Timestamp, heartbeat *wire.Heartbeat) {
-	agent.heartbeatSeq, agent.lastHeartbeat = sequenceOf(heartbeat), now
+	agent.heartbeatSeq, agent.lastHeartbeat = heartbeat.Sequence, now
 }
 
 // answered records that a message is answered, which renews the lease if the answer arrives.
--- a/internal/manager/agent_test.go
+++ b/internal/manager/agent_test.go
@@ -15,7 +15,8 @@
 	}
 	for _, c := range []struct {
 		name                  string
-		incarnation, sequence uint64
+		incarnation           wire.AgentIncarnation
+		sequence              wire.HeartbeatSeq
 		relayedBy             string
 		late, overtaken, next bool
 	}{
@@ -63,7 +64,7 @@
 			h.want(agent.unreachableSince, c.unreachable)
 			h.want(agent.leaseRenewedAt, c.renewedAt)
 			h.want(agent.tokenAcknowledged, c.token == token)
-			h.want(agent.newestSeq, messageSeq(7))
+			h.want(agent.newestSeq, wire.HeartbeatSeq(7))
 			h.want(agent.lastHeartbeat, micros.Timestamp(0)) // an answer to a push is none
 		})
 	}
--- a/internal/manager/attempts.go
+++ b/internal/manager/attempts.go
@@ -26,8 +26,8 @@
 func (ids *attemptIDs) exhausted() bool { return ids.last+1 >= 1<<attemptBits }
 
 // peek returns the next identifier without using it up.
-func (ids *attemptIDs) peek() attemptID {
-	return attemptID(uint64(ids.fencingToken)<<attemptBits | ids.last + 1)
+func (ids *attemptIDs) peek() wire.AttemptID {
+	return wire.AttemptID(uint64(ids.fencingToken)<<attemptBits | ids.last + 1)
 }
 
 // advance uses up the next identifier.
@@ -41,11 +41,11 @@
 type taskAttempt struct {
 	job            *jobState
 	taskIndex      int
-	taskName       string    // set by registerAttempt
-	id             attemptID // the tasks of a gang share one
+	taskName       string         // set by registerAttempt
+	id             wire.AttemptID // the tasks of a gang share one
 	machine        *machineState
-	incarnation    agentIncarnation // of the machine's agent that it was granted to or reported by
-	placementBytes int              // of its placement in the progress record
+	incarnation    wire.AgentIncarnation // of the machine's agent that it was granted to or reported by
+	placementBytes int                   // of its placement in the progress record
 
 	durable         bool // its placement is
 	grantedThisTerm bool // else an earlier leader has granted it, and only that leader's commands may launch it
@@ -133,8 +133,8 @@
 	return state.Placement{
 		Task:        attempt.taskIndex,
 		Machine:     attempt.machine.id,
-		Attempt:     uint64(attempt.id),
-		Incarnation: uint64(attempt.incarnation),
+		Attempt:     attempt.id,
+		Incarnation: attempt.incarnation,
 	}
 }
 
--- a/internal/manager/commands.go
+++ b/internal/manager/commands.go
@@ -31,13 +31,13 @@
 		commands = m.appendTaskCommand(commands, machine, &heartbeat.Tasks[i])
 	}
 	for _, attempt := range attemptsByID(machine.attempts) {
-		if attempt.incarnation != incarnationOf(heartbeat) || !attempt.durable {
+		if attempt.incarnation != heartbeat.Incarnation || !attempt.durable {
 			continue
 		}
 		if len(commands) >= maxAnswerCommands {
 			break
 		}
-		commands = m.appendAttemptCommands(now, commands, attempt, sequenceOf(heartbeat), mayLaunch)
+		commands = m.appendAttemptCommands(now, commands, attempt, heartbeat.Sequence, mayLaunch)
 	}
 	return commands
 }
@@ -71,7 +71,7 @@
 // appendAttemptCommands appends the commands that an attempt needs in the answer to the heartbeat with a sequence
 // number.
 func (m *Manager) appendAttemptCommands(
-	now micros.Timestamp, commands []wire.Command, attempt *taskAttempt, sequence messageSeq, mayLaunch bool,
+	now micros.Timestamp, commands []wire.Command, attempt *taskAttempt, sequence wire.HeartbeatSeq, mayLaunch bool,
 ) []wire.Command {
 	switch {
 	case attempt.listed && attempt.stop.requested:
@@ -101,9 +101,9 @@
 }
 
 func launchCommand(attempt *taskAttempt) wire.Command {
-	return wire.Command{Op: wire.OpStart, Task: attempt.taskName, Attempt: uint64(attempt.id)}
+	return wire.Command{Op: wire.OpStart, Task: attempt.taskName, Attempt: attempt.id}
 }
 
 func stopCommand(attempt *taskAttempt, graceS float64) wire.Command {
-	return wire.StopCommand(attempt.taskName, uint64(attempt.id), graceS)
+	return wire.StopCommand(attempt.taskName, attempt.id, graceS)
 }
--- a/internal/manager/disruptions.go
+++ b/internal/manager/disruptions.go
@@ -33,7 +33,7 @@
 		return
 	}
 	begun := m.ledger.Begin(disruption.Disruption{
-		Task: attempt.task(), Team: job.spec().Team, Attempt: uint64(attempt.id), Cause: cause, Since: now,
+		Task: attempt.task(), Team: job.spec().Team, Attempt: attempt.id, Cause: cause, Since: now,
 	})
 	if begun {
 		m.writes.markDirty(now, job, attempt.taskIndex, false)
@@ -47,7 +47,7 @@
 // any more: the agent has our token.
 func (m *Manager) endDisruptionIfRunning(now micros.Timestamp, attempt *taskAttempt) {
 	disrupted, ok := m.ledger.Get(attempt.task())
-	if !ok || disrupted.Attempt == uint64(attempt.id) && attempt.ending() {
+	if !ok || disrupted.Attempt == attempt.id && attempt.ending() {
 		return
 	}
 	m.endDisruption(now, attempt.job, attempt.taskIndex)
--- a/internal/manager/exits.go
+++ b/internal/manager/exits.go
@@ -18,7 +18,7 @@
 
 // of reports whether the exit is that of an attempt; nil: of none.
 func (exit *taskExit) of(attempt *taskAttempt) bool {
-	return attempt != nil && attempt.id == attemptID(exit.status.Attempt) && attempt.machine == exit.machine
+	return attempt != nil && attempt.id == exit.status.Attempt && attempt.machine == exit.machine
 }
 
 // completedTask is a task whose result was reported.
@@ -54,7 +54,7 @@
 		m.stopAttempt(now, attempt, 0, disruption.Lost)
 	}
 	if job.gang != nil {
-		m.stopOtherAttempts(now, job, attemptID(exit.status.Attempt))
+		m.stopOtherAttempts(now, job, exit.status.Attempt)
 	}
 	if job.allDone() {
 		m.estimates.learn(job)
--- a/internal/manager/gangs.go
+++ b/internal/manager/gangs.go
@@ -115,7 +115,7 @@
 }
 
 // stopOtherAttempts stops what there may be of another attempt of a gang than the one that is done.
-func (m *Manager) stopOtherAttempts(now micros.Timestamp, job *jobState, done attemptID) {
+func (m *Manager) stopOtherAttempts(now micros.Timestamp, job *jobState, done wire.AttemptID) {
 	for _, attempt := range attemptsByID(job.active) {
 		if attempt.id != done {
 			m.stopAttempt(now, attempt, 0, disruption.Gang)
--- a/internal/manager/gangs_test.go
+++ b/internal/manager/gangs_test.go
@@ -19,13 +19,13 @@
 }
 
 // placeGang places the gang run-1 of two tasks on n-1-a and n-2-a, durably, and returns its attempt.
-func (h *harness) placeGang() attemptID {
+func (h *harness) placeGang() wire.AttemptID {
 	h.start("n-1-a", "n-2-a")
 	h.submit("run-1", 2, twoTaskGang)
 	return h.grantGang("n-1-a", "n-2-a")
 }
 
-func (h *harness) grantGang(machines ...string) attemptID {
+func (h *harness) grantGang(machines ...string) wire.AttemptID {
 	h.Helper()
 	var requests []lease.Request
 	for _, machine := range machines {
@@ -37,7 +37,7 @@
 }
 
 // runGang runs the gang run-1 on n-1-a and n-2-a and returns its attempt.
-func (h *harness) runGang() attemptID {
+func (h *harness) runGang() wire.AttemptID {
 	h.Helper()
 	id := h.placeGang()
 	h.want(h.heartbeat("n-1-a", token, 1), command("launch", "run-1/0", id))
@@ -47,7 +47,7 @@
 }
 
 // gangStatus has both machines report the tasks of the gang in a status.
-func (h *harness) gangStatus(id attemptID, status string) {
+func (h *harness) gangStatus(id wire.AttemptID, status string) {
 	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", id, status))
 	h.heartbeat("n-2-a", token, 1, taskStatus("run-1/1", id, status))
 }
--- a/internal/manager/gone.go
+++ b/internal/manager/gone.go
@@ -34,7 +34,7 @@
 func neverLaunched(attempt *taskAttempt) bool { return !attempt.launched() }
 
 // incarnationEnded reports whether the attempt belongs to an incarnation of its agent before the given one.
-func incarnationEnded(attempt *taskAttempt, incarnation agentIncarnation) bool {
+func incarnationEnded(attempt *taskAttempt, incarnation wire.AgentIncarnation) bool {
 	return attempt.incarnation < incarnation
 }
 
--- a/internal/manager/grants.go
+++ b/internal/manager/grants.go
@@ -64,7 +64,7 @@
 	}
 	var waitedFor *taskAttempt
 	for _, attempt := range machine.attempts {
-		if attempt.id == attemptID(request.WaitFor) {
+		if attempt.id == request.WaitFor {
 			waitedFor = attempt
 		}
 	}
--- a/internal/manager/harness_test.go
+++ b/internal/manager/harness_test.go
@@ -29,7 +29,7 @@
 	*testing.T
 	m        *Manager
 	now      micros.Timestamp
-	seq      uint64
+	seq      wire.HeartbeatSeq
 	revision uint64 // of the key-value store
 	// renewers are the records of controllers that renew worker leases in the leader's stead.
 	renewers []wire.KeyValue
@@ -139,7 +139,7 @@
 
 // placementItem returns the progress record of job run-1 with the attempt recovered on n-1-a, as the store
 // lists it.
-func placementItem(incarnation uint64) []wire.KeyValue {
+func placementItem(incarnation wire.AgentIncarnation) []wire.KeyValue {
 	placement := state.Placement{Task: 0, Machine: "n-1-a", Attempt: recovered, Incarnation: incarnation}
 	return []wire.KeyValue{
 		item(state.ProgressKey("run-1", 0), 6, state.ProgressRecord{Active: []state.Placement{placement}}),
@@ -182,14 +182,15 @@
 // heartbeat sends a machine's heartbeat with tasks such as "run-1/0 5 running". It returns the commands of the answer
 // such as "launch run-1/0 5", or "dropped" if there is no answer.
 func (h *harness) heartbeat(
-	machine string, fencingToken wire.FencingToken, incarnation uint64, tasks ...string,
+	machine string, fencingToken wire.FencingToken, incarnation wire.AgentIncarnation, tasks ...string,
 ) string {
 	h.seq++
 	return h.heartbeatWithSeq(h.seq, machine, fencingToken, incarnation, tasks...)
 }
 
 func (h *harness) heartbeatWithSeq(
-	seq uint64, machine string, fencingToken wire.FencingToken, incarnation uint64, tasks ...string,
+	seq wire.HeartbeatSeq, machine string, fencingToken wire.FencingToken, incarnation wire.AgentIncarnation,
+	tasks ...string,
 ) string {
 	heartbeat := &wire.Heartbeat{
 		Machine: machine, Addr: "10.1.0.1:9000", Type: "small", Zone: machine[len(machine)-1:],
@@ -208,33 +209,33 @@
 }
 
 // taskStatus returns a task's status in the words of heartbeat.
-func taskStatus(task string, attempt attemptID, status string) string {
+func taskStatus(task string, attempt wire.AttemptID, status string) string {
 	return fmt.Sprintf("%s %d %s", task, attempt, status)
 }
 
 // command returns a command in the words of heartbeat's result.
-func command(op, task string, attempt attemptID) string {
+func command(op, task string, attempt wire.AttemptID) string {
 	return fmt.Sprintf("%s %s %d", op, task, attempt)
 }
 
 func commandsText(commands []wire.Command) string {
 	texts := make([]string, len(commands))
 	for i, c := range commands {
-		texts[i] = command(string(c.Op), c.Task, attemptID(c.Attempt))
+		texts[i] = command(string(c.Op), c.Task, c.Attempt)
 	}
 	return strings.Join(texts, "; ")
 }
 
 // pushAnswer returns the status with which the agent on n-1-a answers a push.
-func pushAnswer(incarnation, seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+func pushAnswer(incarnation wire.AgentIncarnation, seq wire.HeartbeatSeq, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{
 		Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: incarnation, Sequence: seq, FencingToken: token,
 		Tasks: tasks,
 	}
 }
 
-func runningTask(task string, attempt attemptID) wire.TaskStatus {
-	return wire.TaskStatus{Task: task, Attempt: uint64(attempt), State: wire.TaskRunning}
+func runningTask(task string, attempt wire.AttemptID) wire.TaskStatus {
+	return wire.TaskStatus{Task: task, Attempt: attempt, State: wire.TaskRunning}
 }
 
 // pushExecuted reports that a push was executed.
--- a/internal/manager/health_test.go
+++ b/internal/manager/health_test.go
@@ -63,7 +63,7 @@
 	open := []wire.KeyValue{item(state.OpenJobKey("run-1"), 5, record("run-1", 4, nil))}
 	var active []state.Placement
 	for i := range 2 {
-		active = append(active, state.Placement{Task: i, Machine: "n-1-a", Attempt: uint64(90 + i), Incarnation: 1})
+		active = append(active, state.Placement{Task: i, Machine: "n-1-a", Attempt: wire.AttemptID(90 + i), Incarnation: 1})
 	}
 	h := newHarness(t, open, []wire.KeyValue{item(state.ProgressKey("run-1", 0), 6, state.ProgressRecord{Active: active})})
 	h.heartbeat("n-1-a", token, 1, "run-1/0 90 running", "run-1/1 91 running")
--- a/internal/manager/heartbeat.go
+++ b/internal/manager/heartbeat.go
@@ -75,8 +75,8 @@
 	if agent.late(heartbeat) {
 		return nil
 	}
-	if incarnationOf(heartbeat) > agent.incarnation {
-		m.beginIncarnation(now, machine, incarnationOf(heartbeat))
+	if heartbeat.Incarnation > agent.incarnation {
+		m.beginIncarnation(now, machine, heartbeat.Incarnation)
 	}
 	if !agent.reporting {
 		agent.reporting = true
@@ -98,7 +98,7 @@
 }
 
 // beginIncarnation applies that a machine's agent has begun a new incarnation: every attempt of an earlier one is gone.
-func (m *Manager) beginIncarnation(now micros.Timestamp, machine *machineState, incarnation agentIncarnation) {
+func (m *Manager) beginIncarnation(now micros.Timestamp, machine *machineState, incarnation wire.AgentIncarnation) {
 	machine.agent.beginIncarnation(now)
 	for _, attempt := range attemptsByID(machine.attempts) {
 		if incarnationEnded(attempt, incarnation) {
--- a/internal/manager/launch.go
+++ b/internal/manager/launch.go
@@ -1,11 +1,13 @@
 package manager
 
+import "saffronbend/wire"
+
 // launchState is what is known of the commands that launch an attempt. A launch is sent in the answer to a heartbeat,
 // or pushed; only a push can arrive late, or twice.
 type launchState struct {
 	// answerSeq is the sequence number of the heartbeat whose answer carried the launch last; 0: none has. A push that was
 	// executed counts as an answer to the first heartbeat.
-	answerSeq messageSeq
+	answerSeq wire.HeartbeatSeq
 	push      pushState
 }
 
--- a/internal/manager/launch_test.go
+++ b/internal/manager/launch_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"saffronbend/internal/state"
+	"saffronbend/wire"
 )
 
 // An attempt is launched, by a push or an answer, only once its placement is durable.
@@ -26,7 +27,7 @@
 	h.grant("run-1", "n-1-a", 1)
 	batch := h.m.NextWrite(h.now)
 	rec := batch.Changes[0].Value.(state.ProgressRecord)
-	h.want(rec.Active[0].Attempt>>attemptBits, uint64(token))
+	h.want(rec.Active[0].Attempt>>attemptBits, wire.AttemptID(token))
 }
 
 // The outcomes of a push and what may follow from them.
@@ -37,7 +38,7 @@
 		state     pushState
 		sent      bool // the agent may have received a launch
 		mayArrive bool // a push that was not answered may yet arrive
-		answerSeq messageSeq
+		answerSeq wire.HeartbeatSeq
 	}{
 		{"never pushed", nil, pushNone, false, false, 0},
 		{"executed", []PushOutcome{PushExecuted}, pushAnswered, true, false, 1},
--- a/internal/manager/published.go
+++ b/internal/manager/published.go
@@ -70,7 +70,7 @@
 			leases = append(leases, snapshot.JobLeases{Job: spec.ID, Vector: resources.ForTask(spec)})
 		}
 		leases[i].Leases = append(leases[i].Leases, snapshot.Lease{
-			Attempt:     uint64(attempt.id),
+			Attempt:     attempt.id,
 			Expiry:      attempt.lease.expiry,
 			Waiter:      attempt.lease.waiter,
 			WaiterUntil: attempt.lease.waiterUntil,
--- a/internal/manager/pushes.go
+++ b/internal/manager/pushes.go
@@ -76,11 +76,13 @@
 	return m.newPush(machine, agent.incarnation, commands), len(commands) > 0
 }
 
-func (m *Manager) newPush(machine *machineState, incarnation agentIncarnation, commands []wire.Command) CommandPush {
+func (m *Manager) newPush(
+	machine *machineState, incarnation wire.AgentIncarnation, commands []wire.Command,
+) CommandPush {
 	return CommandPush{
 		Machine: machine.id,
 		Addr:    machine.address,
-		Body:    wire.CommandPush{FencingToken: m.cfg.FencingToken, Incarnation: uint64(incarnation), Commands: commands},
+		Body:    wire.CommandPush{FencingToken: m.cfg.FencingToken, Incarnation: incarnation, Commands: commands},
 	}
 }
 
@@ -122,7 +124,7 @@
 
 // latestKnownIncarnation returns the incarnation that a machine's agent is in as far as is known. If it is in
 // another, its answer shows that.
-func (machine *machineState) latestKnownIncarnation() agentIncarnation {
+func (machine *machineState) latestKnownIncarnation() wire.AgentIncarnation {
 	latest := max(1, machine.agent.incarnation)
 	for _, attempt := range machine.attempts {
 		latest = max(latest, attempt.incarnation)
@@ -194,7 +196,7 @@
 		return true
 	}
 	if status.Machine == push.Machine {
-		m.applyPushAnswer(now, machine, agentIncarnation(push.Body.Incarnation), outcome, status)
+		m.applyPushAnswer(now, machine, push.Body.Incarnation, outcome, status)
 	}
 	return false
 }
@@ -202,17 +204,18 @@
 // resolvePushedLaunch applies the outcome of a push to the attempt that it was to launch, unless that is gone.
 func (machine *machineState) resolvePushedLaunch(command wire.Command, outcome PushOutcome) {
 	attempt := machine.attempts[command.Task]
-	if attempt != nil && attempt.id == attemptID(command.Attempt) {
+	if attempt != nil && attempt.id == command.Attempt {
 		attempt.launch.resolvePush(outcome)
 	}
 }
 
 // applyPushAnswer applies the status with which an agent has answered a push that was meant for an incarnation.
 func (m *Manager) applyPushAnswer(
-	now micros.Timestamp, machine *machineState, incarnation agentIncarnation, outcome PushOutcome, status *wire.Heartbeat,
+	now micros.Timestamp, machine *machineState, incarnation wire.AgentIncarnation,
+	outcome PushOutcome, status *wire.Heartbeat,
 ) {
 	applied := m.applyHeartbeat(now, status, fromPushAnswer) != nil
-	if applied && outcome == PushRefused && incarnationOf(status) != incarnation {
+	if applied && outcome == PushRefused && status.Incarnation != incarnation {
 		machine.agent.probedAt = 0 // that was another incarnation; the right one is known now
 	}
 	if outcome == PushExecuted && machine.agent.incarnation == incarnation {
--- a/internal/manager/pushes_test.go
+++ b/internal/manager/pushes_test.go
@@ -147,7 +147,7 @@
 	h := newHarness(t, nil, nil)
 	h.placeTask()
 	for i := range maxTombstones {
-		key := attemptKey{task: "run-1/9", attempt: attemptID(i)}
+		key := attemptKey{task: "run-1/9", attempt: wire.AttemptID(i)}
 		h.m.machines.byID["n-1-a"].tombstones[key] = tombstone{job: h.m.jobs.byID["run-1"]}
 	}
 	h.want(len(h.m.CommandPushes(h.now, true)), 0)
@@ -168,7 +168,7 @@
 	h.tick()
 	d := h.m.CommandPushes(h.now, true)
 	h.want(len(d), 1)
-	h.want(d[0].Body.Incarnation, uint64(3))
+	h.want(d[0].Body.Incarnation, wire.AgentIncarnation(3))
 	h.want(len(d[0].Body.Commands), 0)
 	// An earlier leader may have renewed its lease until now.
 	h.advance(9 * micros.Second)
--- a/internal/manager/reconcile.go
+++ b/internal/manager/reconcile.go
@@ -41,9 +41,9 @@
 		return
 	}
 	if attempt == nil && !job.final() && job.taskPhases[task] == taskWaiting && machine.agent.tokenAcknowledged {
-		attempt = m.adoptTask(now, machine, job, task, attemptID(status.Attempt))
+		attempt = m.adoptTask(now, machine, job, task, status.Attempt)
 	}
-	if attempt == nil || attempt.id != attemptID(status.Attempt) || attempt.machine != machine {
+	if attempt == nil || attempt.id != status.Attempt || attempt.machine != machine {
 		machine.orphanTasks[status.Task] = *status
 		return
 	}
@@ -54,7 +54,7 @@
 // adoptTask registers a task that runs though no attempt of it is known. To start it elsewhere would be to run it
 // twice. Only a heartbeat with this term's token shows that it runs: an older one may be a late copy.
 func (m *Manager) adoptTask(
-	now micros.Timestamp, machine *machineState, job *jobState, task int, id attemptID,
+	now micros.Timestamp, machine *machineState, job *jobState, task int, id wire.AttemptID,
 ) *taskAttempt {
 	attempt := &taskAttempt{
 		job:         job,
--- a/internal/manager/recovery.go
+++ b/internal/manager/recovery.go
@@ -114,9 +114,9 @@
 		m.registerAttempt(&taskAttempt{
 			job:         job,
 			taskIndex:   placement.Task,
-			id:          attemptID(placement.Attempt),
+			id:          placement.Attempt,
 			machine:     m.machines.ensure(now, placement.Machine),
-			incarnation: agentIncarnation(placement.Incarnation),
+			incarnation: placement.Incarnation,
 			durable:     true,
 			lease:       taskLease{expiry: now.Add(m.cfg.Tuning.FirstLease)},
 		})
--- a/internal/manager/tombstones.go
+++ b/internal/manager/tombstones.go
@@ -9,12 +9,12 @@
 // attemptKey identifies an attempt on a machine: the tasks of a gang share its identifier.
 type attemptKey struct {
 	task    string
-	attempt attemptID
+	attempt wire.AttemptID
 }
 
 // keyOf returns the key of the attempt that an agent lists.
 func keyOf(status *wire.TaskStatus) attemptKey {
-	return attemptKey{task: status.Task, attempt: attemptID(status.Attempt)}
+	return attemptKey{task: status.Task, attempt: status.Attempt}
 }
 
 // tombstone is an exited attempt that its agent must go on knowing: once cleared, a late copy of the push that launched
--- a/internal/manager/write_limits_test.go
+++ b/internal/manager/write_limits_test.go
@@ -40,7 +40,7 @@
 	open := []wire.KeyValue{item(state.OpenJobKey("run-1"), 5, record("run-1", 48, smallTasks))}
 	var rec state.ProgressRecord
 	for i := range 30 {
-		placement := state.Placement{Task: i, Machine: "n-000001-a", Attempt: 99<<20 + uint64(i), Incarnation: 1}
+		placement := state.Placement{Task: i, Machine: "n-000001-a", Attempt: 99<<20 + wire.AttemptID(i), Incarnation: 1}
 		rec.Active = append(rec.Active, placement)
 	}
 	h := newHarness(t, open, []wire.KeyValue{item(state.ProgressKey("run-1", 0), 6, rec)})
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -27,19 +27,20 @@
 
 // worker is a machine's worker as the protocol describes it, without I/O.
 type worker struct {
-	id           string
-	session, seq uint64
-	token        wire.FencingToken
-	nextReport   micros.Timestamp
-	renewed      micros.Timestamp
-	running      map[taskAttempt]micros.Timestamp // until when
-	ended        map[taskAttempt]wire.ExitReason  // why
-	gone         bool
+	id         string
+	session    wire.AgentIncarnation
+	seq        wire.HeartbeatSeq
+	token      wire.FencingToken
+	nextReport micros.Timestamp
+	renewed    micros.Timestamp
+	running    map[taskAttempt]micros.Timestamp // until when
+	ended      map[taskAttempt]wire.ExitReason  // why
+	gone       bool
 }
 
 type taskAttempt struct {
 	task    string
-	attempt uint64
+	attempt wire.AttemptID
 }
 
 // cluster is one leader with its fleet, and the records that survive it.
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -241,7 +241,7 @@
 }
 
 func holdTask(_ *world, _ string, worker *fake.Worker, words []string) {
-	worker.ReceiveLaunch(words[0], uint64(number(words[1])), wire.FencingToken(number(words[2])))
+	worker.ReceiveLaunch(words[0], wire.AttemptID(number(words[1])), wire.FencingToken(number(words[2])))
 }
 
 func recordHeartbeats(_ *world, _ string, worker *fake.Worker, words []string) {
--- a/internal/scheduler/decide.go
+++ b/internal/scheduler/decide.go
@@ -3,6 +3,7 @@
 import (
 	"saffronbend/internal/lease"
 	"saffronbend/internal/micros"
+	"saffronbend/wire"
 )
 
 // maxTasksPerRound bounds the tasks of one job that are placed in one round; a gang is placed as a whole.
@@ -14,7 +15,7 @@
 	tasks   int  // that are placed; 0: one waits
 	fetches bool // the machine must fetch the image for them
 	// waitFor is the attempt whose lease's end a task waits for; 0: none.
-	waitFor uint64
+	waitFor wire.AttemptID
 	// isWaiter says that the job has the place of that lease's waiter already.
 	isWaiter bool
 }
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -11,11 +11,11 @@
 // machineState is the scheduler's own copy of a machine. The snapshot's is shared and never changed.
 type machineState struct {
 	*snapshot.Machine
-	machineType *wire.MachineType // nil: the cloud no longer offers it
-	free        resources.Vector  // without what has been decided on this snapshot
-	fetching    map[string]bool   // images that our requests make it fetch
-	waitedFor   map[uint64]bool   // attempts whose lease's end we wait for since this snapshot
-	changed     bool              // differs from the snapshot
+	machineType *wire.MachineType       // nil: the cloud no longer offers it
+	free        resources.Vector        // without what has been decided on this snapshot
+	fetching    map[string]bool         // images that our requests make it fetch
+	waitedFor   map[wire.AttemptID]bool // attempts whose lease's end we wait for since this snapshot
+	changed     bool                    // differs from the snapshot
 }
 
 // refreshMachines renews the copies of the machines that are not the same in this snapshot as in the last, and of those
@@ -59,9 +59,9 @@
 }
 
 // waitFor notes that the place of a lease's waiter is taken.
-func (m *machineState) waitFor(attempt uint64) {
+func (m *machineState) waitFor(attempt wire.AttemptID) {
 	if m.waitedFor == nil {
-		m.waitedFor = map[uint64]bool{}
+		m.waitedFor = map[wire.AttemptID]bool{}
 	}
 	m.waitedFor[attempt] = true
 	m.changed = true
--- a/internal/snapshot/machine.go
+++ b/internal/snapshot/machine.go
@@ -67,7 +67,7 @@
 
 // Lease is the lease of one attempt.
 type Lease struct {
-	Attempt uint64 `json:"a"`
+	Attempt wire.AttemptID `json:"a"`
 	// Expiry is when the scheduler expects the attempt to have ended. Nothing is stopped then.
 	Expiry micros.Timestamp `json:"e"`
 	// Waiter is the job that waits for the lease's end, until WaiterUntil at the latest; empty: none.
--- a/internal/state/progress.go
+++ b/internal/state/progress.go
@@ -19,10 +19,10 @@
 
 // Placement is an attempt of a task that may exist on a machine.
 type Placement struct {
-	Task        int    `json:"t"` // its index within the job
-	Machine     string `json:"m"`
-	Attempt     uint64 `json:"n"`
-	Incarnation uint64 `json:"s"` // of the machine's agent
+	Task        int                   `json:"t"` // its index within the job
+	Machine     string                `json:"m"`
+	Attempt     wire.AttemptID        `json:"n"`
+	Incarnation wire.AgentIncarnation `json:"s"` // of the machine's agent
 }
 
 // EncodedSize returns how many bytes the placement takes in its record.
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -58,9 +58,9 @@
 
 // OpenDisruption is a task that is disrupted. Its encoding is no longer than that of a Placement.
 type OpenDisruption struct {
-	Task    int    `json:"t"`
-	Attempt uint64 `json:"n"`
-	Cause   string `json:"c"`
+	Task    int            `json:"t"`
+	Attempt wire.AttemptID `json:"n"`
+	Cause   string         `json:"c"`
 	// ReservedMachine is where resources are reserved for the successor, if any are.
 	ReservedMachine string `json:"m,omitempty"`
 }
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -167,7 +167,7 @@
 )
 
 // heartbeat returns a machine's heartbeat.
-func heartbeat(machine, zone string, sequence uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+func heartbeat(machine, zone string, sequence wire.HeartbeatSeq, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{
 		Machine: machine, Addr: "10.1.0.2:9000", Type: "small", Zone: zone,
 		Incarnation: 1, Sequence: sequence, FencingToken: token, Tasks: tasks,
@@ -212,7 +212,7 @@
 	put("open", state.OpenJobKey(gang.ID), rec)
 	put("open", state.OpenJobKey(gang.ID), rec.Finalized(wire.JobCancelled))
 	m.OpenRecordChanged(now, now, acceptedAt, rec, 60)
-	seq := uint64(0)
+	seq := wire.HeartbeatSeq(0)
 	report := func(id string, tasks ...wire.TaskStatus) {
 		seq++
 		r := heartbeat(id, "a", seq, tasks...)
@@ -286,7 +286,7 @@
 // takeover is a leader of this version that has taken over from production.
 type takeover struct {
 	manager  *manager.Manager
-	sequence uint64 // of the last heartbeat
+	sequence wire.HeartbeatSeq // of the last heartbeat
 }
 
 // grant requests leases on a machine and returns how many are granted.
@@ -343,7 +343,7 @@
 	var running []wire.TaskStatus
 	for i := range 4 {
 		running = append(running, wire.TaskStatus{
-			Task: wire.TaskName("run-000001", i+1), Attempt: 41<<20 | uint64(i+2), State: wire.TaskRunning,
+			Task: wire.TaskName("run-000001", i+1), Attempt: 41<<20 | wire.AttemptID(i+2), State: wire.TaskRunning,
 		})
 	}
 	leader.report("n-000001a", running...)
@@ -359,7 +359,7 @@
 	if cmds := leader.report("n-000002b"); len(cmds) != 0 {
 		t.Errorf("commands %v", cmds)
 	}
-	attempt := uint64(41<<20 | 6)
+	attempt := wire.AttemptID(41<<20 | 6)
 	whole := lease.Transaction{AllOrNothing: true, Requests: []lease.Request{
 		{Job: "run-000002", Machine: "n-000002b", Count: 2},
 		{Job: "run-000002", Machine: "n-000003a", Count: 1},
@@ -384,7 +384,7 @@
 func TestServesProductionsAsks(t *testing.T) {
 	m := newManager(t, settings.StoreLimits{TxnOps: 8, ValueKB: 4}, items(t, "open"), nil)
 	for i, id := range []string{"n-000001a", "n-000002b", "n-000003a"} {
-		m.Heartbeat(now, heartbeat(id, id[len(id)-1:], uint64(i+1)), "", true)
+		m.Heartbeat(now, heartbeat(id, id[len(id)-1:], wire.HeartbeatSeq(i+1)), "", true)
 	}
 	for _, e := range production(t) {
 		if e.Kind != "asks" {
--- a/wire/commands.go
+++ b/wire/commands.go
@@ -14,13 +14,13 @@
 type Command struct {
 	Op      CommandOp `json:"verb"`
 	Task    string    `json:"piece"`
-	Attempt uint64    `json:"try"`
+	Attempt AttemptID `json:"try"`
 	// GraceS of a stop: a running task saves a checkpoint if this is enough for it, else it exits at once.
 	GraceS *float64 `json:"wind_down_s,omitempty"`
 }
 
 // StopCommand returns the command that stops a task with a grace period in seconds.
-func StopCommand(task string, attempt uint64, graceS float64) Command {
+func StopCommand(task string, attempt AttemptID, graceS float64) Command {
 	return Command{Op: OpStop, Task: task, Attempt: attempt, GraceS: &graceS}
 }
 
@@ -38,7 +38,7 @@
 // CommandPush is a request to a worker's own address. The worker executes it only if the token isn't lower than the
 // highest it has seen and the incarnation is its own. It doesn't renew the worker's lease.
 type CommandPush struct {
-	FencingToken FencingToken `json:"baton"`
-	Incarnation  uint64       `json:"shift"`
-	Commands     []Command    `json:"orders"`
+	FencingToken FencingToken     `json:"baton"`
+	Incarnation  AgentIncarnation `json:"shift"`
+	Commands     []Command        `json:"orders"`
 }
--- a/wire/heartbeat.go
+++ b/wire/heartbeat.go
@@ -48,9 +48,9 @@
 	Zone    string `json:"yard"`
 	Spot    bool   `json:"loaners"`
 	// Incarnation of the worker's agent: it starts at 1 and grows when the worker's lease has expired.
-	Incarnation uint64 `json:"shift"`
+	Incarnation AgentIncarnation `json:"shift"`
 	// Sequence grows with each heartbeat. Of two, the one with the larger (Incarnation, Sequence) is newer.
-	Sequence uint64 `json:"tick"`
+	Sequence HeartbeatSeq `json:"tick"`
 	// FencingToken is the highest that the worker has seen.
 	FencingToken FencingToken `json:"baton"`
 	// ReclaimInS is the time until the cloud reclaims the spot machine. nil: no notice was given.
@@ -62,7 +62,7 @@
 // TaskStatus is one task in a heartbeat.
 type TaskStatus struct {
 	Task    string    `json:"piece"`
-	Attempt uint64    `json:"try"`
+	Attempt AttemptID `json:"try"`
 	State   TaskState `json:"status"`
 	// Of an exited task: ExitReason, and whether it saved a checkpoint as it was stopped.
 	ExitReason      ExitReason `json:"cause,omitempty"`
--- a/wire/identifiers.go
+++ b/wire/identifiers.go
@@ -8,3 +8,17 @@
 // leader claimed it, so it grows with each term: of two leaders, the one with the higher token is newer, and who has
 // seen a token refuses commands and writes under lower ones. 0: no leader is known.
 type FencingToken uint64
+
+// AttemptID identifies an attempt to run a task; the tasks of a gang share one. The leader issues it with the grant.
+// Its high bits are the fencing token of the term in which that was, so that identifiers are unique across leaders and
+// grow with the grants. 0: none.
+type AttemptID uint64
+
+// AgentIncarnation counts the times that a worker's agent has begun anew, without tasks, as it does when the worker's
+// lease has expired. The agent issues it. It starts at 1 and grows: of two of one machine, the higher is newer. 0: none
+// is known.
+type AgentIncarnation uint64
+
+// HeartbeatSeq counts the messages of an agent's incarnation, heartbeats and answers to pushed commands, in the order
+// in which the agent has sent them. Those of different incarnations don't compare. 0: none.
+type HeartbeatSeq uint64
