--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -109,7 +109,7 @@
 
 // ScaleOut rents machines and returns their IDs, which may be fewer than asked for. After an error other than
 // ErrNoCapacity and ErrUnavailable the machines may exist all the same; repeating the same request is safe.
-func (c *Client) ScaleOut(ctx context.Context, request wire.ScaleOutRequest) (ids []string, err error) {
+func (c *Client) ScaleOut(ctx context.Context, request wire.ScaleOutRequest) (ids []wire.MachineID, err error) {
 	var machines wire.MachineIDs
 	if err := c.do(ctx, http.MethodPost, "/machines", request, &machines); err != nil {
 		return nil, err
@@ -119,7 +119,7 @@
 
 // ScaleIn returns machines to the cloud, 100 at most; unknown ones are ignored. nil means that they are gone and all
 // tasks on them with them.
-func (c *Client) ScaleIn(ctx context.Context, ids []string) error {
+func (c *Client) ScaleIn(ctx context.Context, ids []wire.MachineID) error {
 	return c.do(ctx, http.MethodPost, "/machines/delete", wire.MachineIDs{IDs: ids}, nil)
 }
 
@@ -141,6 +141,6 @@
 		if !page.More || len(page.Machines) == 0 {
 			return machines, nil
 		}
-		after = machines[len(machines)-1].ID
+		after = string(machines[len(machines)-1].ID)
 	}
 }
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -83,7 +83,7 @@
 	client.SetRate(0)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := client.ScaleIn(ctx, []string{"n-1"}); !errors.Is(err, ErrUnavailable) {
+	if err := client.ScaleIn(ctx, []wire.MachineID{"n-1"}); !errors.Is(err, ErrUnavailable) {
 		t.Errorf("got %v", err)
 	}
 }
@@ -102,14 +102,14 @@
 		`{"hire":"r-17","build":"g8","yard":"a","loaners":true,"number":12}`, `{"boxes":["n-1","n-2"]}`))
 	request := wire.ScaleOutRequest{RequestID: "r-17", Type: "g8", Zone: "a", Spot: true, Count: 12}
 	ids, err := client.ScaleOut(t.Context(), request)
-	if err != nil || !slices.Equal(ids, []string{"n-1", "n-2"}) {
+	if err != nil || !slices.Equal(ids, []wire.MachineID{"n-1", "n-2"}) {
 		t.Errorf("got %v, %v", ids, err)
 	}
 }
 
 func TestScaleIn(t *testing.T) {
 	client := newClient(t, expectRequest(t, http.MethodPost, "/machines/delete", `{"boxes":["n-1","n-2"]}`, ``))
-	if err := client.ScaleIn(t.Context(), []string{"n-1", "n-2"}); err != nil {
+	if err := client.ScaleIn(t.Context(), []wire.MachineID{"n-1", "n-2"}); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/drain/planner.go
+++ b/internal/drain/planner.go
@@ -17,6 +17,7 @@
 
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/state"
+	"saffronbend/wire"
 )
 
 // State is the state of a drain. Its values are part of the durable records.
@@ -49,7 +50,7 @@
 	cfg       Config
 	drains    map[string]*trackedDrain // by name, the ended ones that are still listed included
 	teamUsage map[string]TeamUsage     // as of the last round, with the evictions since
-	cordons   map[string]bool
+	cordons   map[wire.MachineID]bool
 	shortage  string // why there is no room for replacements, as operators see it
 }
 
@@ -57,10 +58,10 @@
 type trackedDrain struct {
 	record   state.DrainRecord
 	version  uint64 // of the record, for its next compare-and-swap
-	machines []string
+	machines []wire.MachineID
 	budgets  map[string]disruption.Budget // by team
-	emptying map[string]bool              // machines of the present step
-	gone     map[string]bool              // machines that no longer exist
+	emptying map[wire.MachineID]bool      // machines of the present step
+	gone     map[wire.MachineID]bool      // machines that no longer exist
 	// The remaining fields are those of the last round, for the status.
 	blocked   []BlockedEviction
 	tasksLeft int
@@ -80,13 +81,13 @@
 		cfg:       cfg,
 		drains:    map[string]*trackedDrain{},
 		teamUsage: map[string]TeamUsage{},
-		cordons:   map[string]bool{},
+		cordons:   map[wire.MachineID]bool{},
 	}
 }
 
 // Apply applies a drain's durable record of the given version. The machines are nil if they haven't changed since the
 // last record. An error says that a budget in the record can't be parsed; it wraps disruption.ErrInvalidBudget.
-func (p *Planner) Apply(record state.DrainRecord, machines []string, version uint64) error {
+func (p *Planner) Apply(record state.DrainRecord, machines []wire.MachineID, version uint64) error {
 	budgets := map[string]disruption.Budget{}
 	for team, text := range record.Budgets {
 		budget, err := disruption.ParseBudget(text)
@@ -97,7 +98,7 @@
 	}
 	d := p.drains[record.Name]
 	if d == nil {
-		d = &trackedDrain{emptying: map[string]bool{}, gone: map[string]bool{}}
+		d = &trackedDrain{emptying: map[wire.MachineID]bool{}, gone: map[wire.MachineID]bool{}}
 		p.drains[record.Name] = d
 	}
 	d.record, d.version, d.budgets = record, version, budgets
@@ -117,7 +118,7 @@
 
 // renewCordons makes a new map, since callers hold the previous one.
 func (p *Planner) renewCordons() {
-	p.cordons = map[string]bool{}
+	p.cordons = map[wire.MachineID]bool{}
 	for _, d := range p.activeDrains() {
 		for _, id := range d.machines {
 			p.cordons[id] = true
@@ -138,7 +139,7 @@
 }
 
 // Cordons returns the machines that take nothing new. The map is never changed after it was returned.
-func (p *Planner) Cordons() map[string]bool { return p.cordons }
+func (p *Planner) Cordons() map[wire.MachineID]bool { return p.cordons }
 
 // Active reports whether a drain that hasn't ended cordons machines.
 func (p *Planner) Active() bool { return len(p.cordons) > 0 }
--- a/internal/drain/planner_test.go
+++ b/internal/drain/planner_test.go
@@ -8,6 +8,7 @@
 
 	"saffronbend/internal/micros"
 	"saffronbend/internal/state"
+	"saffronbend/wire"
 )
 
 // Cordons last while a drain runs or is paused, and as long as any of two drains of a machine does.
@@ -52,7 +53,7 @@
 	planner := newPlanner(t, "1")
 	begin(t, planner, Request{Name: "zone", Zone: "a"}, knownMachines)
 	begin(t, planner, Request{Name: "old", Zone: "b", OlderThan: micros.Second}, knownMachines)
-	begin(t, planner, Request{Name: "named", Type: "small", Machines: []string{"n-3"}}, knownMachines)
+	begin(t, planner, Request{Name: "named", Type: "small", Machines: []wire.MachineID{"n-3"}}, knownMachines)
 	pools := planner.VacatedPools()
 	if !slices.Equal(pools, []VacatedPool{{Zone: "a"}}) {
 		t.Fatalf("vacated: %v", pools)
--- a/internal/drain/property_test.go
+++ b/internal/drain/property_test.go
@@ -9,15 +9,16 @@
 
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
+	"saffronbend/wire"
 )
 
 var modelTeams = []string{"red", "blue"}
 
 // fleetModel is a model of machines whose tasks are evicted, lost and started again elsewhere.
 type fleetModel struct {
-	machines  map[string]map[disruption.Task]string // team by task, by machine
-	disrupted map[disruption.Task]string            // team by task
-	running   map[string]int                        // tasks by team
+	machines  map[wire.MachineID]map[disruption.Task]string // team by task, by machine
+	disrupted map[disruption.Task]string                    // team by task
+	running   map[string]int                                // tasks by team
 }
 
 // For any fleet, budgets and losses: no eviction exceeds a budget, no machine is deleted before it is empty, and
@@ -67,13 +68,13 @@
 // drawFleet draws machines with tasks of both teams.
 func drawFleet(t *rapid.T) (*fleetModel, []KnownMachine) {
 	model := &fleetModel{
-		machines:  map[string]map[disruption.Task]string{},
+		machines:  map[wire.MachineID]map[disruption.Task]string{},
 		disrupted: map[disruption.Task]string{},
 		running:   map[string]int{},
 	}
 	var known []KnownMachine
 	for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
-		id := fmt.Sprintf("n-%02d", i)
+		id := wire.MachineID(fmt.Sprintf("n-%02d", i))
 		known = append(known, KnownMachine{ID: id, Zone: "a"})
 		model.machines[id] = map[disruption.Task]string{}
 		for k := range rapid.IntRange(0, 5).Draw(t, "tasks") {
@@ -86,7 +87,9 @@
 }
 
 func (f *fleetModel) snapshot(now micros.Timestamp) Snapshot {
-	snapshot := Snapshot{Now: now, Machines: map[string]Machine{}, Teams: map[string]TeamUsage{}, MachinesListed: true}
+	snapshot := Snapshot{
+		Now: now, Machines: map[wire.MachineID]Machine{}, Teams: map[string]TeamUsage{}, MachinesListed: true,
+	}
 	for _, team := range modelTeams {
 		disrupted := f.disruptedOf(team)
 		snapshot.Teams[team] = TeamUsage{Running: f.running[team] + disrupted, Disrupted: disrupted}
@@ -115,7 +118,7 @@
 }
 
 // disrupt takes a task off its machine; its successor runs later.
-func (f *fleetModel) disrupt(machine string, task disruption.Task) {
+func (f *fleetModel) disrupt(machine wire.MachineID, task disruption.Task) {
 	team := f.machines[machine][task]
 	delete(f.machines[machine], task)
 	f.running[team]--
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -13,6 +13,7 @@
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
 	"saffronbend/internal/state"
+	"saffronbend/wire"
 )
 
 // Errors of requests, which operators see. They may be wrapped with details.
@@ -49,7 +50,7 @@
 // Zone, Type and OlderThan that aren't zero.
 type Request struct {
 	Name            string
-	Machines        []string
+	Machines        []wire.MachineID
 	Zone, Type      string
 	OlderThan       micros.Duration
 	Step            int               // machines emptied at the same time, at most MaxStep; 0: the configured size
@@ -76,7 +77,7 @@
 // PreparedDrain is a valid request with the machines that it selects, to be made durable.
 type PreparedDrain struct {
 	Record   state.DrainRecord
-	Machines []string // in alphabetical order
+	Machines []wire.MachineID // in alphabetical order
 	// Exists says that the drain exists already: the request is a repetition, and nothing has to be written.
 	Exists bool
 }
--- a/internal/drain/request_test.go
+++ b/internal/drain/request_test.go
@@ -7,6 +7,7 @@
 
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
+	"saffronbend/wire"
 )
 
 func TestPrepareValidatesAndSelects(t *testing.T) {
@@ -14,16 +15,17 @@
 	for _, test := range []struct {
 		name    string
 		request Request
-		want    []string
+		want    []wire.MachineID
 		err     error
 	}{
-		{name: "by zone", request: Request{Name: "x", Zone: "a"}, want: []string{"n-1", "n-2"}},
-		{name: "by type", request: Request{Name: "x", Type: "small"}, want: []string{"n-1", "n-3"}},
-		{name: "by type and zone", request: Request{Name: "x", Type: "small", Zone: "b"}, want: []string{"n-3"}},
-		{name: "by age", request: Request{Name: "x", OlderThan: 2 * micros.Second}, want: []string{"n-1", "n-3"}},
-		{name: "by name", request: Request{Name: "x", Machines: []string{"n-2", "n-1"}}, want: []string{"n-1", "n-2"}},
+		{name: "by zone", request: Request{Name: "x", Zone: "a"}, want: []wire.MachineID{"n-1", "n-2"}},
+		{name: "by type", request: Request{Name: "x", Type: "small"}, want: []wire.MachineID{"n-1", "n-3"}},
+		{name: "by type and zone", request: Request{Name: "x", Type: "small", Zone: "b"}, want: []wire.MachineID{"n-3"}},
+		{name: "by age", request: Request{Name: "x", OlderThan: 2 * micros.Second}, want: []wire.MachineID{"n-1", "n-3"}},
+		{name: "by name", request: Request{Name: "x", Machines: []wire.MachineID{"n-2", "n-1"}},
+			want: []wire.MachineID{"n-1", "n-2"}},
 		{name: "a named machine is unknown",
-			request: Request{Name: "x", Machines: []string{"n-2", "n-9"}}, err: ErrUnknownMachine},
+			request: Request{Name: "x", Machines: []wire.MachineID{"n-2", "n-9"}}, err: ErrUnknownMachine},
 		{name: "no machine matches", request: Request{Name: "x", Zone: "c"}, err: ErrNoMatch},
 		{name: "nothing is selected", request: Request{Name: "x"}, err: ErrNoSelection},
 		{name: "no name", request: Request{Name: "", Zone: "a"}, err: ErrInvalidName},
@@ -69,7 +71,7 @@
 		{name: "by zone", request: Request{Name: "x", Zone: "a"}, want: "79fbdabce7ff83ba88a69cd3"},
 		{name: "all fields", request: Request{
 			Name:            "x",
-			Machines:        []string{"n-2", "n-1"},
+			Machines:        []wire.MachineID{"n-2", "n-1"},
 			Zone:            "a",
 			Type:            "small",
 			OlderThan:       7,
--- a/internal/drain/round.go
+++ b/internal/drain/round.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"saffronbend/internal/micros"
+	"saffronbend/wire"
 )
 
 const (
@@ -73,7 +74,7 @@
 }
 
 // scaleIn has a machine deleted, once however many drains include it.
-func (r *round) scaleIn(id string) {
+func (r *round) scaleIn(id wire.MachineID) {
 	if !slices.Contains(r.actions.ScaleIn, id) {
 		r.actions.ScaleIn = append(r.actions.ScaleIn, id)
 	}
--- a/internal/drain/round_test.go
+++ b/internal/drain/round_test.go
@@ -1,6 +1,10 @@
 package drain
 
-import "testing"
+import (
+	"testing"
+
+	"saffronbend/wire"
+)
 
 // blockedReason plays one round with a single machine and returns why its first attempt stays, empty if it was
 // evicted.
@@ -9,7 +13,7 @@
 	snapshot := Snapshot{
 		Now:            1,
 		WallClock:      wallClock,
-		Machines:       map[string]Machine{machine.ID: machine},
+		Machines:       map[wire.MachineID]Machine{machine.ID: machine},
 		Teams:          map[string]TeamUsage{"red": {Running: 10}},
 		MachinesListed: true,
 	}
@@ -57,7 +61,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			planner := newPlanner(t, test.budget)
 			planner.SetShortage("the cloud has none")
-			begin(t, planner, Request{Name: "x", Machines: []string{"n-1"}, Deadline: overdue,
+			begin(t, planner, Request{Name: "x", Machines: []wire.MachineID{"n-1"}, Deadline: overdue,
 				EvictAtDeadline: test.evictAtDeadline}, knownMachines)
 			attempt := newAttempt("run-1", 0, "red")
 			if test.change != nil {
@@ -74,14 +78,14 @@
 // Replacements are requested for as many tasks as the budget lets move, not for all tasks.
 func TestReplacementsWithinTheBudget(t *testing.T) {
 	planner := newPlanner(t, "3")
-	begin(t, planner, Request{Name: "x", Machines: []string{"n-1"}}, knownMachines)
+	begin(t, planner, Request{Name: "x", Machines: []wire.MachineID{"n-1"}}, knownMachines)
 	machine := Machine{ID: "n-1", Heartbeating: true}
 	for i := range 8 {
 		machine.Attempts = append(machine.Attempts, newAttempt("run-1", i, "red"))
 	}
 	snapshot := Snapshot{
 		Now:            1,
-		Machines:       map[string]Machine{machine.ID: machine},
+		Machines:       map[wire.MachineID]Machine{machine.ID: machine},
 		Teams:          map[string]TeamUsage{"red": {Running: 9, Disrupted: 1}},
 		MachinesListed: true,
 	}
--- a/internal/drain/selection.go
+++ b/internal/drain/selection.go
@@ -6,25 +6,27 @@
 	"slices"
 
 	"saffronbend/internal/micros"
+	"saffronbend/wire"
 )
 
 // KnownMachine is a machine that a request may select.
 type KnownMachine struct {
-	ID, Zone, Type string
-	Age            micros.Duration // since it was registered
+	ID         wire.MachineID
+	Zone, Type string
+	Age        micros.Duration // since it was registered
 }
 
 // selectMachines returns the identifiers of the known machines that match all selectors of a request, in alphabetical
 // order. A named machine must exist, but isn't selected if it doesn't match the other selectors.
-func (r *Request) selectMachines(known []KnownMachine) ([]string, error) {
+func (r *Request) selectMachines(known []KnownMachine) ([]wire.MachineID, error) {
 	if len(r.Machines) == 0 && r.Zone == "" && r.Type == "" && r.OlderThan == 0 {
 		return nil, ErrNoSelection
 	}
-	unknown := map[string]bool{}
+	unknown := map[wire.MachineID]bool{}
 	for _, id := range r.Machines {
 		unknown[id] = true
 	}
-	var selected []string
+	var selected []wire.MachineID
 	for _, machine := range known {
 		named := unknown[machine.ID]
 		delete(unknown, machine.ID)
--- a/internal/drain/snapshot.go
+++ b/internal/drain/snapshot.go
@@ -3,13 +3,14 @@
 import (
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
+	"saffronbend/wire"
 )
 
 // Snapshot is what the planner decides on: the cordoned machines that exist, and the teams' tasks.
 type Snapshot struct {
 	Now       micros.Timestamp
 	WallClock int64 // time of day, microseconds
-	Machines  map[string]Machine
+	Machines  map[wire.MachineID]Machine
 	Teams     map[string]TeamUsage
 	// MachinesListed says that the cloud has listed its machines in this term: one that isn't in Machines is gone.
 	MachinesListed bool
@@ -17,7 +18,7 @@
 
 // Machine is a cordoned machine.
 type Machine struct {
-	ID           string
+	ID           wire.MachineID
 	Heartbeating bool // its heartbeats arrive, and its agent has this leader's fencing token
 	Deleting     bool
 	Empty        bool // nothing can be on it, and all results that came from it are durable
@@ -51,7 +52,7 @@
 // Actions are the decisions of a round. The evictions are carried out already, by the Evictor.
 type Actions struct {
 	// ScaleIn are empty machines that can be deleted.
-	ScaleIn []string
+	ScaleIn []wire.MachineID
 	// Evicted counts the evictions, gangs as one.
 	Evicted int
 	// NeedReplacement are tasks that could be evicted within the budgets if there were room for them elsewhere.
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -1,6 +1,10 @@
 package drain
 
-import "slices"
+import (
+	"slices"
+
+	"saffronbend/wire"
+)
 
 // Status is a drain as operators see it.
 type Status struct {
@@ -17,7 +21,8 @@
 
 // BlockedEviction says why a task isn't evicted yet.
 type BlockedEviction struct {
-	Machine, Team, Task, Reason string
+	Machine            wire.MachineID
+	Team, Task, Reason string
 }
 
 // TeamBudget is how much of a team's disruption budget is used, in tasks.
--- a/internal/drain/step.go
+++ b/internal/drain/step.go
@@ -4,15 +4,17 @@
 	"cmp"
 	"maps"
 	"slices"
+
+	"saffronbend/wire"
 )
 
 // fillStep removes the machines that are empty or gone from a drain's step, and adds others up to the step's size.
 func (r *round) fillStep(d *trackedDrain, occupied []Machine) {
-	exists := make(map[string]bool, len(occupied))
+	exists := make(map[wire.MachineID]bool, len(occupied))
 	for _, machine := range occupied {
 		exists[machine.ID] = true
 	}
-	maps.DeleteFunc(d.emptying, func(id string, _ bool) bool { return !exists[id] })
+	maps.DeleteFunc(d.emptying, func(id wire.MachineID, _ bool) bool { return !exists[id] })
 	free := d.record.Step - len(d.emptying)
 	if free <= 0 {
 		return
@@ -30,7 +32,7 @@
 
 // candidate is a machine that may be emptied next.
 type candidate struct {
-	id          string
+	id          wire.MachineID
 	disruptions map[string]int // by team
 	weight      float64        // largest share that it takes of what remains of a team's budget
 }
@@ -38,10 +40,10 @@
 // chooseMachines returns up to limit machines to be emptied next: as many as can be emptied within the remaining
 // budgets, those first that take the smallest share of them. If none fits, it is the one that exceeds them least, to
 // be emptied bit by bit. The choice is greedy; docs/drains.md compares it with a solver's.
-func chooseMachines(machines []Machine, remainingBudgets map[string]int, limit int) []string {
+func chooseMachines(machines []Machine, remainingBudgets map[string]int, limit int) []wire.MachineID {
 	candidates := rankCandidates(machines, remainingBudgets)
 	remaining := maps.Clone(remainingBudgets)
-	var chosen []string
+	var chosen []wire.MachineID
 	for _, c := range candidates {
 		if len(chosen) == limit {
 			break
--- a/internal/drain/step_test.go
+++ b/internal/drain/step_test.go
@@ -7,6 +7,8 @@
 	"slices"
 	"testing"
 
+	"saffronbend/wire"
+
 	"github.com/crillab/gophersat/solver"
 )
 
@@ -18,7 +20,7 @@
 	}
 	out := make([]Machine, machines)
 	for i := range out {
-		out[i].ID = fmt.Sprintf("n-%05d", i)
+		out[i].ID = wire.MachineID(fmt.Sprintf("n-%05d", i))
 		out[i].Heartbeating = true
 		for k := range r.IntN(tasks + 1) {
 			out[i].Attempts = append(out[i].Attempts, newAttempt("run-1", i*tasks+k, fmt.Sprint("team", r.IntN(teams))))
@@ -28,7 +30,7 @@
 }
 
 // countEmptied counts the chosen machines that can be emptied within what remains of the budgets.
-func countEmptied(machines []Machine, chosen []string, remainingBudgets map[string]int) int {
+func countEmptied(machines []Machine, chosen []wire.MachineID, remainingBudgets map[string]int) int {
 	remaining := maps.Clone(remainingBudgets)
 	emptied := 0
 	for _, id := range chosen {
@@ -121,7 +123,9 @@
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
 			cordoned, _ := randomMachines(rand.New(rand.NewPCG(1, 2)), machines, 8, 16, 1)
 			teams := make([]string, 8)
-			snapshot := Snapshot{Now: 1, Machines: map[string]Machine{}, Teams: map[string]TeamUsage{}, MachinesListed: true}
+			snapshot := Snapshot{
+				Now: 1, Machines: map[wire.MachineID]Machine{}, Teams: map[string]TeamUsage{}, MachinesListed: true,
+			}
 			for t := range teams {
 				teams[t] = fmt.Sprint("team", t)
 				snapshot.Teams[teams[t]] = TeamUsage{Running: machines}
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -30,9 +30,9 @@
 	startWorker func(Machine) *Worker
 
 	mu               sync.Mutex
-	machines         map[string]*cloudMachine // by ID
-	requests         map[string][]string      // IDs of the machines rented, by request ID
-	capacity         map[machinePool]int      // machines that may still be rented
+	machines         map[wire.MachineID]*cloudMachine // by ID
+	requests         map[string][]wire.MachineID      // IDs of the machines rented, by request ID
+	capacity         map[machinePool]int              // machines that may still be rented
 	lastNumber       int
 	scaledOut        int
 	outage           bool
@@ -60,8 +60,8 @@
 		types:       types,
 		listLag:     listLag,
 		startWorker: startWorker,
-		machines:    map[string]*cloudMachine{},
-		requests:    map[string][]string{},
+		machines:    map[wire.MachineID]*cloudMachine{},
+		requests:    map[string][]wire.MachineID{},
 		capacity:    map[machinePool]int{},
 	}
 }
@@ -115,7 +115,7 @@
 }
 
 // Worker returns the worker of a machine, or nil if there is no such machine or it is not up yet.
-func (c *Cloud) Worker(id string) *Worker {
+func (c *Cloud) Worker(id wire.MachineID) *Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if machine := c.machines[id]; machine != nil {
@@ -139,14 +139,14 @@
 }
 
 // AddMachine adds a machine that is up from the start, outside of the capacity, and returns its ID.
-func (c *Cloud) AddMachine(machineType, zone string, spot bool) string {
+func (c *Cloud) AddMachine(machineType, zone string, spot bool) wire.MachineID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.provision(machinePool{machineType, zone, spot}, 0)
 }
 
 // FailMachine ends a machine by a fault of its own. It is listed as failed at once.
-func (c *Cloud) FailMachine(id string) {
+func (c *Cloud) FailMachine(id wire.MachineID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	machine := c.machines[id]
@@ -155,7 +155,7 @@
 }
 
 // ReclaimMachine ends a machine and removes it from the cloud.
-func (c *Cloud) ReclaimMachine(id string) {
+func (c *Cloud) ReclaimMachine(id wire.MachineID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.machines[id].worker.Stop()
@@ -163,9 +163,9 @@
 }
 
 // MachineIP returns the address of a machine, or false if the ID is not one of a machine.
-func MachineIP(id string) (string, bool) {
+func MachineIP(id wire.MachineID) (string, bool) {
 	var number int
-	_, err := fmt.Sscanf(id, machineIDFormat, &number)
+	_, err := fmt.Sscanf(string(id), machineIDFormat, &number)
 	return machineIP(number), err == nil
 }
 
@@ -175,9 +175,9 @@
 }
 
 // newMachine adds a machine that is booting. The caller holds the lock.
-func (c *Cloud) newMachine(pool machinePool) (id string, machine *cloudMachine) {
+func (c *Cloud) newMachine(pool machinePool) (id wire.MachineID, machine *cloudMachine) {
 	c.lastNumber++
-	id = fmt.Sprintf(machineIDFormat, c.lastNumber)
+	id = wire.MachineID(fmt.Sprintf(machineIDFormat, c.lastNumber))
 	machine = &cloudMachine{
 		listing: wire.Machine{ID: id, Addr: machineIP(c.lastNumber) + ":" + workerPort, Type: pool.machineType,
 			Zone: pool.zone, Spot: pool.spot, State: wire.MachineStarting},
@@ -200,7 +200,7 @@
 
 // provision adds a machine that is up after its boot time, unless it is returned before, and returns its ID. One
 // without boot time is up, and listed, at once. The caller holds the lock.
-func (c *Cloud) provision(pool machinePool, bootTime time.Duration) string {
+func (c *Cloud) provision(pool machinePool, bootTime time.Duration) wire.MachineID {
 	id, machine := c.newMachine(pool)
 	if bootTime == 0 {
 		c.bootMachine(machine)
@@ -219,7 +219,7 @@
 
 // scaleOut rents the machines that a request asks for, as far as the capacity allows, and returns their IDs: none if
 // there is no capacity. A repeated request returns the machines of the first. The caller holds the lock.
-func (c *Cloud) scaleOut(request wire.ScaleOutRequest) []string {
+func (c *Cloud) scaleOut(request wire.ScaleOutRequest) []wire.MachineID {
 	if ids, repeated := c.requests[request.RequestID]; repeated {
 		return ids
 	}
@@ -228,7 +228,7 @@
 	if count == 0 {
 		return nil
 	}
-	var ids []string
+	var ids []wire.MachineID
 	for range count {
 		ids = append(ids, c.provision(pool, c.bootTime(request.Type)))
 	}
@@ -249,7 +249,7 @@
 }
 
 // returnMachine ends a machine, which may be booting, and returns it to the capacity. The caller holds the lock.
-func (c *Cloud) returnMachine(id string) {
+func (c *Cloud) returnMachine(id wire.MachineID) {
 	machine := c.machines[id]
 	if machine == nil {
 		return
--- a/internal/fake/cloud_http.go
+++ b/internal/fake/cloud_http.go
@@ -30,7 +30,7 @@
 	case "GET /machine_types":
 		writeJSON(w, http.StatusOK, wire.MachineTypes{Types: c.types})
 	case "GET /machines":
-		writeJSON(w, http.StatusOK, c.listMachines(r.URL.Query().Get("from")))
+		writeJSON(w, http.StatusOK, c.listMachines(wire.MachineID(r.URL.Query().Get("from"))))
 	case "POST /machines":
 		c.serveScaleOut(w, r)
 	case "POST /machines/delete":
@@ -41,7 +41,7 @@
 }
 
 // listMachines returns the page of machines whose IDs follow from. The caller holds the lock.
-func (c *Cloud) listMachines(from string) wire.MachinePage {
+func (c *Cloud) listMachines(from wire.MachineID) wire.MachinePage {
 	page := wire.MachinePage{Machines: []wire.Machine{}}
 	for _, id := range slices.Sorted(maps.Keys(c.machines)) {
 		machine := c.machines[id]
--- a/internal/fake/cloud_test.go
+++ b/internal/fake/cloud_test.go
@@ -34,7 +34,7 @@
 }
 
 // scaleOut asks for machines and returns the status and their IDs.
-func scaleOut(t *testing.T, cloud *Cloud, requestID string, count int) (status int, ids []string) {
+func scaleOut(t *testing.T, cloud *Cloud, requestID string, count int) (status int, ids []wire.MachineID) {
 	t.Helper()
 	var machines wire.MachineIDs
 	body := wire.ScaleOutRequest{RequestID: requestID, Type: "small", Zone: "a", Count: count}
@@ -143,7 +143,7 @@
 			{"no machines", "/machines", wire.ScaleOutRequest{RequestID: "r", Type: "small"}, http.StatusBadRequest},
 			{"too many machines", "/machines", wire.ScaleOutRequest{RequestID: "r", Count: maxScaledOut + 1},
 				http.StatusBadRequest},
-			{"too many returned", "/machines/delete", wire.MachineIDs{IDs: make([]string, maxReturned+1)},
+			{"too many returned", "/machines/delete", wire.MachineIDs{IDs: make([]wire.MachineID, maxReturned+1)},
 				http.StatusBadRequest},
 			{"another path", "/nothing", nil, http.StatusNotFound},
 		} {
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -21,7 +21,7 @@
 	})
 	published := &snapshot.Snapshot{Now: start}
 	for i := range machines {
-		machine := newMachine(fmt.Sprintf("n-%03d", i), "small", resources.Vector{})
+		machine := newMachine(wire.MachineID(fmt.Sprintf("n-%03d", i)), "small", resources.Vector{})
 		machine.Zone = zones[i%len(zones)]
 		machine.Leases = []snapshot.JobLeases{{
 			Job:    "run-0",
--- a/internal/fleet/bins.go
+++ b/internal/fleet/bins.go
@@ -12,7 +12,7 @@
 
 // bin is the room of a machine that exists or is expected, for bin packing.
 type bin struct {
-	machine        string // empty: the machine doesn't exist yet
+	machine        wire.MachineID // empty: the machine doesn't exist yet
 	machineType    *wire.MachineType
 	zone           string
 	spot           bool
@@ -71,8 +71,8 @@
 
 // collectBins returns the room that exists or is expected, and the number of machines, requested ones included. The
 // machines in scaledIn are being deleted.
-func (f *Fleet) collectBins(published *snapshot.Snapshot, scaledIn []string) (bins []*bin, machineCount int) {
-	deleted := map[string]bool{}
+func (f *Fleet) collectBins(published *snapshot.Snapshot, scaledIn []wire.MachineID) (bins []*bin, machineCount int) {
+	deleted := map[wire.MachineID]bool{}
 	for _, id := range scaledIn {
 		deleted[id] = true
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -37,20 +37,23 @@
 // Actions are the decisions of a round.
 type Actions struct {
 	ScaleOut       []wire.ScaleOutRequest
-	ScaleIn        []string        // machines to delete
-	ScaleInReasons []ScaleInReason // for each of them, in the same order
+	ScaleIn        []wire.MachineID // machines to delete
+	ScaleInReasons []ScaleInReason  // for each of them, in the same order
 	// Shortage is why there is no room yet for tasks that are to be evicted.
 	Shortage Shortage
 }
 
 // scaleIn adds a machine to be deleted.
-func (a *Actions) scaleIn(machine, reason string) {
+func (a *Actions) scaleIn(machine wire.MachineID, reason string) {
 	a.ScaleIn = append(a.ScaleIn, machine)
 	a.ScaleInReasons = append(a.ScaleInReasons, ScaleInReason{Machine: machine, Reason: reason})
 }
 
 // ScaleInReason is why a machine is deleted, for the log.
-type ScaleInReason struct{ Machine, Reason string }
+type ScaleInReason struct {
+	Machine wire.MachineID
+	Reason  string
+}
 
 // Shortage is why there is no room for tasks that are to be evicted. Operators see it in the status of a drain.
 type Shortage string
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -55,7 +55,7 @@
 }
 
 // newMachine returns a running, empty machine in zone a.
-func newMachine(id, machineType string, capacity resources.Vector) *snapshot.Machine {
+func newMachine(id wire.MachineID, machineType string, capacity resources.Vector) *snapshot.Machine {
 	return &snapshot.Machine{
 		ID:            id,
 		Type:          machineType,
@@ -204,7 +204,7 @@
 func TestFewIdleMachinesStayWhileLargerTasksWait(t *testing.T) {
 	published := &snapshot.Snapshot{Now: start, Jobs: []*snapshot.Job{newJob("run-1", "work", 40, 32)}}
 	for i := range 100 {
-		machine := newMachine(fmt.Sprintf("n-%d", i), "small", smallMachine)
+		machine := newMachine(wire.MachineID(fmt.Sprintf("n-%d", i)), "small", smallMachine)
 		machine.Spot, machine.IdleSince = true, start.Add(-31*micros.Second)
 		published.Machines = append(published.Machines, machine)
 	}
--- a/internal/fleet/scalein.go
+++ b/internal/fleet/scalein.go
@@ -5,6 +5,7 @@
 
 	"saffronbend/internal/micros"
 	"saffronbend/internal/snapshot"
+	"saffronbend/wire"
 )
 
 // reasonIdle is why a machine is deleted that no task needs. Operators see it in the log.
@@ -12,7 +13,7 @@
 
 // scaleInIdle deletes idle machines into which no task was packed.
 func (f *Fleet) scaleInIdle(published *snapshot.Snapshot, bins []*bin, anyUnmet bool, actions *Actions) {
-	needed := map[string]bool{}
+	needed := map[wire.MachineID]bool{}
 	for _, b := range bins {
 		if b.used {
 			needed[b.machine] = true
--- a/internal/follower/lease_renewer.go
+++ b/internal/follower/lease_renewer.go
@@ -51,7 +51,7 @@
 	resolved   openjobs.ResolvedTimestamp // up to which the ended jobs are known
 	// mayLaunch has the recorded attempts of ended jobs by machine: a launch of one may yet arrive there, as long as the
 	// agent's incarnation lasts that this controller keeps alive.
-	mayLaunch map[string][]endedAttempt
+	mayLaunch map[wire.MachineID][]endedAttempt
 }
 
 // endedAttempt is an attempt of a job that has ended. Until a time its launch and stop are sent to a worker that
@@ -158,14 +158,14 @@
 func (r *leaseRenewer) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ended, r.mayLaunch, r.resolved = map[string]bool{}, map[string][]endedAttempt{}, openjobs.ResolvedTimestamp{}
+	r.ended, r.mayLaunch, r.resolved = map[string]bool{}, map[wire.MachineID][]endedAttempt{}, openjobs.ResolvedTimestamp{}
 }
 
 // applyOpenJobs applies an update of the open records. The ended jobs in it count as known once their attempts are
 // known, too.
 func (r *leaseRenewer) applyOpenJobs(ctx context.Context, update openjobs.Update) {
 	var ended []string
-	attempts := map[string][]endedAttempt{}
+	attempts := map[wire.MachineID][]endedAttempt{}
 	for _, item := range update.Records {
 		if !r.hasEnded(item) {
 			continue
@@ -206,7 +206,7 @@
 
 // readAttempts adds the recorded attempts of an ended job by machine, unless the leader itself has known that it
 // ended. It repeats reading until it succeeds, and returns false if ctx ended first.
-func (r *leaseRenewer) readAttempts(ctx context.Context, job string, attempts map[string][]endedAttempt) bool {
+func (r *leaseRenewer) readAttempts(ctx context.Context, job string, attempts map[wire.MachineID][]endedAttempt) bool {
 	cancelledAt, needed := r.earliestCancellation(job)
 	for needed {
 		items, _, err := r.cfg.Store.List(ctx, state.ProgressPrefix+job+"/")
@@ -236,7 +236,7 @@
 }
 
 // addAttempts adds by machine the attempts in a progress record of a job that was cancelled at the earliest at a time.
-func (r *leaseRenewer) addAttempts(attempts map[string][]endedAttempt, job string, item wire.KeyValue,
+func (r *leaseRenewer) addAttempts(attempts map[wire.MachineID][]endedAttempt, job string, item wire.KeyValue,
 	cancelledAt micros.Timestamp) {
 	var progress state.ProgressRecord
 	if err := json.Unmarshal(item.Value, &progress); err != nil {
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -21,7 +21,8 @@
 
 // Machine is a machine as the rules see it. Its ID is never given to another machine.
 type Machine struct {
-	ID, Type, Zone string
+	ID         wire.MachineID
+	Type, Zone string
 	// Spot machines can be reclaimed by the cloud.
 	Spot bool
 }
@@ -56,8 +57,8 @@
 	taskStarts map[string]int // by job
 	gangRuns   map[string]int // by job
 	gangTasks  map[gangAttempt]map[int]bool
-	cpusInUse  map[string]float64 // by team
-	reclaimed  map[string]bool    // machines whose reclaim is announced
+	cpusInUse  map[string]float64      // by team
+	reclaimed  map[wire.MachineID]bool // machines whose reclaim is announced
 	violations []Violation
 	events     []worklog.Event
 	// startsAfterCancel counts the starts of tasks after their user has seen that the job is cancelled.
@@ -92,7 +93,7 @@
 		gangRuns:     map[string]int{},
 		gangTasks:    map[gangAttempt]map[int]bool{},
 		cpusInUse:    map[string]float64{},
-		reclaimed:    map[string]bool{},
+		reclaimed:    map[wire.MachineID]bool{},
 	}
 }
 
@@ -309,10 +310,10 @@
 }
 
 // Placements returns the IDs of the machines that a job's tasks are on, by index of the task.
-func (c *Checker) Placements(job string) map[int]string {
+func (c *Checker) Placements(job string) map[int]wire.MachineID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	placements := map[int]string{}
+	placements := map[int]wire.MachineID{}
 	if record := c.jobs[job]; record != nil {
 		for index, machine := range record.placements {
 			placements[index] = machine.ID
--- a/internal/invariant/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -391,7 +391,7 @@
 		leave(checker, machineA, 0, true)
 		type entry struct {
 			kind    worklog.EventKind
-			machine string
+			machine wire.MachineID
 			exempt  bool
 		}
 		want := []entry{
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -116,7 +116,7 @@
 
 // checkLeftWaiting: none of a job's tasks runs for longer than maxWaitBesideRoom, though a machine that it allows has
 // room for one and its team is under its limit.
-func (c *Checker) checkLeftWaiting(job *jobRecord, machines []Machine, used map[string]resources) {
+func (c *Checker) checkLeftWaiting(job *jobRecord, machines []Machine, used map[wire.MachineID]resources) {
 	switch {
 	case !job.waits() || !c.underLimit(job) || !c.hasRoom(job, machines, used):
 		job.besideRoomSince = time.Time{}
@@ -141,7 +141,7 @@
 }
 
 // hasRoom reports whether a machine that a job allows has room for another task of it.
-func (c *Checker) hasRoom(job *jobRecord, machines []Machine, used map[string]resources) bool {
+func (c *Checker) hasRoom(job *jobRecord, machines []Machine, used map[wire.MachineID]resources) bool {
 	return slices.ContainsFunc(machines, func(machine Machine) bool {
 		machineType, inUse := c.machineTypes[machine.Type], used[machine.ID]
 		return job.Job.Allows(machineType, machine.Zone, machine.Spot) &&
@@ -151,8 +151,8 @@
 }
 
 // resourcesInUse returns what the tasks on each machine use, by ID of the machine.
-func (c *Checker) resourcesInUse() map[string]resources {
-	used := map[string]resources{}
+func (c *Checker) resourcesInUse() map[wire.MachineID]resources {
+	used := map[wire.MachineID]resources{}
 	for _, job := range c.jobs {
 		for _, machine := range job.placements {
 			inUse := used[machine.ID]
--- a/internal/leader/drains/drains.go
+++ b/internal/leader/drains/drains.go
@@ -27,13 +27,13 @@
 	DrainSnapshot(now micros.Timestamp) drain.Snapshot
 	Evict(now micros.Timestamp, task disruption.Task) drain.EvictionOutcome
 	KnownMachines(now micros.Timestamp) []drain.KnownMachine
-	SetCordons(now micros.Timestamp, cordons map[string]bool, vacated []drain.VacatedPool)
+	SetCordons(now micros.Timestamp, cordons map[wire.MachineID]bool, vacated []drain.VacatedPool)
 	SetReplacements(tasks []disruption.Task)
 }
 
 // Scaler deletes machines. It is called on the term's goroutine.
 type Scaler interface {
-	ScaleIn(ctx context.Context, machines []string)
+	ScaleIn(ctx context.Context, machines []wire.MachineID)
 }
 
 // Config is what an Executor needs.
--- a/internal/leader/drains/records.go
+++ b/internal/leader/drains/records.go
@@ -56,7 +56,7 @@
 		if err := state.DecodeRecord(item, &record); err != nil {
 			return err
 		}
-		machines := []string{}
+		machines := []wire.MachineID{}
 		for page := range record.MachinePages {
 			machines = append(machines, pages[pageID{record.MachineListID, page}]...)
 		}
@@ -80,14 +80,14 @@
 }
 
 // decodePages returns the machines of each page.
-func decodePages(items []wire.KeyValue) (map[pageID][]string, error) {
-	pages := map[pageID][]string{}
+func decodePages(items []wire.KeyValue) (map[pageID][]wire.MachineID, error) {
+	pages := map[pageID][]wire.MachineID{}
 	for _, item := range items {
 		list, page, ok := state.ParseDrainMachinesKey(item.Key)
 		if !ok {
 			continue
 		}
-		var machines []string
+		var machines []wire.MachineID
 		if err := state.DecodeRecord(item, &machines); err != nil {
 			return nil, err
 		}
@@ -115,7 +115,9 @@
 }
 
 // write writes a drain's record, and applies it once it is durable.
-func (e *Executor) write(ctx context.Context, record state.DrainRecord, machines []string, version uint64) error {
+func (e *Executor) write(
+	ctx context.Context, record state.DrainRecord, machines []wire.MachineID, version uint64,
+) error {
 	revision, err := e.records.Put(ctx, state.DrainKey(record.Name), version, record)
 	if err != nil {
 		return err
@@ -130,10 +132,10 @@
 }
 
 // paginate divides machines so that each page, encoded, fits into a value.
-func paginate(machines []string, valueKB float64) [][]string {
+func paginate(machines []wire.MachineID, valueKB float64) [][]wire.MachineID {
 	const bytesPerKB, overhead, perName = 1024, 64, 3
 	maxSize := int(valueKB*bytesPerKB) - overhead
-	var pages [][]string
+	var pages [][]wire.MachineID
 	size := maxSize
 	for _, machine := range machines {
 		need := len(machine) + perName
@@ -148,7 +150,7 @@
 }
 
 // writePages writes a drain's machines. Until the drain's record is written they have no effect.
-func (e *Executor) writePages(ctx context.Context, list string, pages [][]string) error {
+func (e *Executor) writePages(ctx context.Context, list string, pages [][]wire.MachineID) error {
 	var changes []wire.Change
 	for i, machines := range pages {
 		value, err := json.Marshal(machines)
--- a/internal/leader/drains/records_test.go
+++ b/internal/leader/drains/records_test.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"slices"
-	"strings"
 	"testing"
 
 	"saffronbend/internal/state"
@@ -12,9 +11,9 @@
 )
 
 func TestPagesFitIntoValues(t *testing.T) {
-	machines := make([]string, 500)
+	machines := make([]wire.MachineID, 500)
 	for i := range machines {
-		machines[i] = fmt.Sprintf("machine-%0*d", 1+i%20, i)
+		machines[i] = wire.MachineID(fmt.Sprintf("machine-%0*d", 1+i%20, i))
 	}
 	for _, valueKB := range []float64{1, 2.5, 64} {
 		t.Run(fmt.Sprintf("%g KB", valueKB), func(t *testing.T) {
@@ -52,12 +51,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := map[pageID]string{{"7.1", 0}: "a b", {"7.1", 1}: "c", {"8.1", 0}: "d"}
+	want := map[pageID][]wire.MachineID{{"7.1", 0}: {"a", "b"}, {"7.1", 1}: {"c"}, {"8.1", 0}: {"d"}}
 	if len(pages) != len(want) {
 		t.Errorf("%d pages, want %d", len(pages), len(want))
 	}
 	for id, machines := range want {
-		if got := strings.Join(pages[id], " "); got != machines {
+		if got := pages[id]; !slices.Equal(got, machines) {
 			t.Errorf("page %v has %q, want %q", id, got, machines)
 		}
 	}
--- a/internal/leader/scaling/scaling.go
+++ b/internal/leader/scaling/scaling.go
@@ -38,17 +38,17 @@
 type Cloud interface {
 	MachineTypes(ctx context.Context) ([]wire.MachineType, error)
 	ListMachines(ctx context.Context) ([]wire.Machine, error)
-	ScaleOut(ctx context.Context, request wire.ScaleOutRequest) (machines []string, err error)
-	ScaleIn(ctx context.Context, machines []string) error
+	ScaleOut(ctx context.Context, request wire.ScaleOutRequest) (machines []wire.MachineID, err error)
+	ScaleIn(ctx context.Context, machines []wire.MachineID) error
 }
 
 // Manager is the part of the term's manager that scaling reports to. It is called on the term's goroutine only.
 type Manager interface {
 	SetTypes(types []wire.MachineType)
 	MachinesListed(now micros.Timestamp, machines []wire.Machine)
-	MachinesScaledOut(now micros.Timestamp, request wire.ScaleOutRequest, machines []string)
-	DeletionRequested(machines []string)
-	MachinesDeleted(now micros.Timestamp, machines []string)
+	MachinesScaledOut(now micros.Timestamp, request wire.ScaleOutRequest, machines []wire.MachineID)
+	DeletionRequested(machines []wire.MachineID)
+	MachinesDeleted(now micros.Timestamp, machines []wire.MachineID)
 }
 
 // TypeCatalog holds the machine types for all of the controller.
@@ -140,7 +140,7 @@
 }
 
 // ScaleIn deletes machines, in the background.
-func (e *Executor) ScaleIn(ctx context.Context, machines []string) {
+func (e *Executor) ScaleIn(ctx context.Context, machines []wire.MachineID) {
 	const perRequest = 100
 	for part := range slices.Chunk(machines, perRequest) {
 		e.cfg.Manager.DeletionRequested(part)
@@ -149,7 +149,7 @@
 }
 
 // delete repeats a deletion until it has been carried out.
-func (e *Executor) delete(ctx context.Context, machines []string) {
+func (e *Executor) delete(ctx context.Context, machines []wire.MachineID) {
 	for {
 		if err := e.cfg.Cloud.ScaleIn(ctx, machines); err == nil {
 			e.cfg.Loop.Post(ctx, func(now micros.Timestamp) { e.cfg.Manager.MachinesDeleted(now, machines) })
--- a/internal/leader/scaling/scaling_test.go
+++ b/internal/leader/scaling/scaling_test.go
@@ -82,28 +82,28 @@
 	return c.errs[c.requests-1]
 }
 
-func (c *fakeCloud) ScaleOut(context.Context, wire.ScaleOutRequest) ([]string, error) {
+func (c *fakeCloud) ScaleOut(context.Context, wire.ScaleOutRequest) ([]wire.MachineID, error) {
 	if err := c.next(); err != nil {
 		return nil, err
 	}
-	return []string{"m1"}, nil
+	return []wire.MachineID{"m1"}, nil
 }
 
-func (c *fakeCloud) ScaleIn(context.Context, []string) error { return c.next() }
+func (c *fakeCloud) ScaleIn(context.Context, []wire.MachineID) error { return c.next() }
 
 // fakeManager keeps what is reported to it.
 type fakeManager struct {
 	Manager
-	scaledOut, deleted [][]string
+	scaledOut, deleted [][]wire.MachineID
 }
 
-func (m *fakeManager) MachinesScaledOut(_ micros.Timestamp, _ wire.ScaleOutRequest, machines []string) {
+func (m *fakeManager) MachinesScaledOut(_ micros.Timestamp, _ wire.ScaleOutRequest, machines []wire.MachineID) {
 	m.scaledOut = append(m.scaledOut, machines)
 }
 
-func (m *fakeManager) DeletionRequested([]string) {}
+func (m *fakeManager) DeletionRequested([]wire.MachineID) {}
 
-func (m *fakeManager) MachinesDeleted(_ micros.Timestamp, machines []string) {
+func (m *fakeManager) MachinesDeleted(_ micros.Timestamp, machines []wire.MachineID) {
 	m.deleted = append(m.deleted, machines)
 }
 
@@ -135,11 +135,11 @@
 	cases := map[string]struct {
 		errs     []error
 		requests int
-		want     [][]string
+		want     [][]wire.MachineID
 	}{
-		"created":                    {nil, 1, [][]string{{"m1"}}},
-		"created after two errors":   {[]error{errUnknown, errUnknown}, 3, [][]string{{"m1"}}},
-		"no capacity after an error": {[]error{errUnknown, cloud.ErrNoCapacity}, 2, [][]string{nil}},
+		"created":                    {nil, 1, [][]wire.MachineID{{"m1"}}},
+		"created after two errors":   {[]error{errUnknown, errUnknown}, 3, [][]wire.MachineID{{"m1"}}},
+		"no capacity after an error": {[]error{errUnknown, cloud.ErrNoCapacity}, 2, [][]wire.MachineID{nil}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -156,9 +156,9 @@
 func TestDeletionIsRepeatedUntilCarriedOut(t *testing.T) {
 	errUnknown := errors.New("no answer")
 	fake, manager := play(t, []error{errUnknown}, func(ctx context.Context, executor *Executor) {
-		executor.ScaleIn(ctx, []string{"m1", "m2"})
+		executor.ScaleIn(ctx, []wire.MachineID{"m1", "m2"})
 	})
-	if want := [][]string{{"m1", "m2"}}; fake.requests != 2 || !reflect.DeepEqual(manager.deleted, want) {
+	if want := [][]wire.MachineID{{"m1", "m2"}}; fake.requests != 2 || !reflect.DeepEqual(manager.deleted, want) {
 		t.Errorf("%d requests, reported %v; want 2 and %v", fake.requests, manager.deleted, want)
 	}
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -14,7 +14,7 @@
 // of an attempt's lease.
 type Request struct {
 	Job      string          `json:"job"`
-	Machine  string          `json:"machine"`
+	Machine  wire.MachineID  `json:"machine"`
 	Count    int             `json:"count,omitempty"` // tasks
 	Duration micros.Duration `json:"lease,omitempty"` // of each lease, as the scheduler expects the tasks to run
 	WaitFor  wire.AttemptID  `json:"wait,omitempty"`  // the attempt whose lease the job waits for; 0: none
--- a/internal/manager/bench_test.go
+++ b/internal/manager/bench_test.go
@@ -75,7 +75,7 @@
 	heartbeats := make([]*wire.Heartbeat, machines)
 	for i := range heartbeats {
 		heartbeats[i] = &wire.Heartbeat{
-			Machine: fmt.Sprintf("n-%06d", i), Addr: "10.1.0.1:9000", Type: "small", Zone: "a",
+			Machine: wire.MachineID(fmt.Sprintf("n-%06d", i)), Addr: "10.1.0.1:9000", Type: "small", Zone: "a",
 			Incarnation: 1, FencingToken: token,
 		}
 	}
--- a/internal/manager/disruptions_test.go
+++ b/internal/manager/disruptions_test.go
@@ -18,7 +18,7 @@
 		lose func(*harness)
 	}{
 		{"the agent begins a new incarnation", func(h *harness) { h.heartbeat("n-1-a", token, 2) }},
-		{"the machine is deleted", func(h *harness) { h.m.MachinesDeleted(h.now, []string{"n-1-a"}) }},
+		{"the machine is deleted", func(h *harness) { h.m.MachinesDeleted(h.now, []wire.MachineID{"n-1-a"}) }},
 		{"the machine has failed", func(h *harness) {
 			h.m.MachinesListed(h.now, []wire.Machine{{ID: "n-1-a", Type: "small", Zone: "a", State: wire.MachineFailed}})
 		}},
@@ -67,7 +67,7 @@
 func TestWithdrawalIsNoDisruption(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.placeTask()
-	h.m.SetCordons(h.now, map[string]bool{"n-1-a": true}, nil)
+	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-1-a": true}, nil)
 	h.want(h.openDisruptions(), "")
 	h.want(h.m.jobs.byID["run-1"].waiting, 1)
 }
@@ -104,7 +104,7 @@
 func TestPreemptionIsADisruption(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
-	h.m.SetCordons(h.now, map[string]bool{"n-2-a": true}, nil)
+	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-2-a": true}, nil)
 	h.submit("run-2", 1, func(j *wire.Job) { j.CPUs, j.PriorityName, j.Team = 8, "critical", "blue" })
 	h.advance(3 * micros.Second)
 	h.start("n-2-a")
@@ -129,7 +129,7 @@
 	h.m.writes.limits.maxOps = 2
 	h.submit("run-2", 1, nil)
 	h.grant("run-2", "n-2-a", 1)
-	h.m.SetCordons(h.now, map[string]bool{"n-1-a": true}, nil)
+	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-1-a": true}, nil)
 	h.m.Evict(h.now, firstTask("run-1"))
 	var all []string
 	for batch, keys := h.nextWrite(); batch != nil; batch, keys = h.nextWrite() {
--- a/internal/manager/drains.go
+++ b/internal/manager/drains.go
@@ -18,7 +18,7 @@
 
 // SetCordons sets which machines get nothing new, and in which pools the fleet rents no machine that it can rent
 // elsewhere. What was granted on a machine that is newly cordoned and was not launched is withdrawn.
-func (m *Manager) SetCordons(now micros.Timestamp, cordons map[string]bool, vacatedPools []drain.VacatedPool) {
+func (m *Manager) SetCordons(now micros.Timestamp, cordons map[wire.MachineID]bool, vacatedPools []drain.VacatedPool) {
 	m.vacatedPools = vacatedPools
 	before := m.cordons
 	m.cordons = cordons
@@ -79,7 +79,7 @@
 func (m *Manager) DrainSnapshot(now micros.Timestamp) drain.Snapshot {
 	published := drain.Snapshot{
 		Now:            now,
-		Machines:       map[string]drain.Machine{},
+		Machines:       map[wire.MachineID]drain.Machine{},
 		Teams:          m.TeamUsage(now),
 		MachinesListed: m.machines.listed && now.Sub(m.termStart) > lateListFactor*m.cfg.ListLag,
 	}
--- a/internal/manager/drains_test.go
+++ b/internal/manager/drains_test.go
@@ -6,6 +6,7 @@
 	"saffronbend/internal/drain"
 	"saffronbend/internal/lease"
 	"saffronbend/internal/micros"
+	"saffronbend/wire"
 )
 
 // Cordoned machines get nothing new in any way, and have no room for anybody.
@@ -13,7 +14,7 @@
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
 	h.submit("run-2", 4, nil)
-	h.m.SetCordons(h.now, map[string]bool{"n-1-a": true, "n-2-a": true}, nil)
+	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-1-a": true, "n-2-a": true}, nil)
 	h.want(h.grant("run-2", "n-2-a", 1), 0)
 	wait := lease.Transaction{Requests: []lease.Request{{Job: "run-2", Machine: "n-1-a", WaitFor: first}}}
 	h.want(h.m.Grant(h.now, wait).Granted[0], 0)
@@ -25,7 +26,7 @@
 			t.Errorf("%+v", published)
 		}
 	}
-	h.m.SetCordons(h.now, map[string]bool{}, nil)
+	h.m.SetCordons(h.now, map[wire.MachineID]bool{}, nil)
 	h.want(h.grant("run-2", "n-2-a", 1), 1)
 }
 
@@ -33,7 +34,7 @@
 func TestMachineIsEmptyOnceResultsAreDurable(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
-	h.m.SetCordons(h.now, map[string]bool{"n-1-a": true}, nil)
+	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-1-a": true}, nil)
 	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "ended done"))
 	h.want(h.m.DrainSnapshot(h.now).Machines["n-1-a"].Empty, false)
 	h.commitWrites()
@@ -46,7 +47,7 @@
 	h := newDrainHarness(t, nil, nil, nil)
 	h.placeTask()
 	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "fetching"))
-	h.m.SetCordons(h.now, map[string]bool{"n-1-a": true}, nil)
+	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-1-a": true}, nil)
 	h.want(h.m.DrainSnapshot(h.now).Machines["n-1-a"].Attempts[0].Checkpoints, false)
 }
 
--- a/internal/manager/evictions_test.go
+++ b/internal/manager/evictions_test.go
@@ -5,6 +5,7 @@
 
 	"saffronbend/internal/drain"
 	"saffronbend/internal/micros"
+	"saffronbend/wire"
 )
 
 // A task is stopped only once its disruption is durable, together with its progress record. Its successor goes where
@@ -12,7 +13,7 @@
 func TestEvictionIsDurableBeforeTheStop(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
-	h.m.SetCordons(h.now, map[string]bool{"n-1-a": true}, nil)
+	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-1-a": true}, nil)
 	h.want(h.m.Evict(h.now, firstTask("run-1")), drain.Evicted)
 	h.want(h.openDisruptions(), "run-1/0 drain")
 	// The machine with the reserved room is not idle.
@@ -43,7 +44,7 @@
 func TestJobCancelledDuringEviction(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
-	h.m.SetCordons(h.now, map[string]bool{"n-1-a": true}, nil)
+	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-1-a": true}, nil)
 	h.m.Evict(h.now, firstTask("run-1"))
 	batch, _ := h.nextWrite()
 	h.revision++
--- a/internal/manager/exits.go
+++ b/internal/manager/exits.go
@@ -69,7 +69,7 @@
 	if m.ledger != nil {
 		machine.unwrittenResults = append(machine.unwrittenResults, completedTask{job: job, task: exit.task})
 	}
-	job.failuresByMachine = map[string]int{}
+	job.failuresByMachine = map[wire.MachineID]int{}
 	// Of a run that began under an earlier leader only the end is known.
 	if exit.of(attempt) && attempt.grantedThisTerm && attempt.runningSince != 0 {
 		runTime := now.Sub(attempt.runningSince)
--- a/internal/manager/gangs_test.go
+++ b/internal/manager/gangs_test.go
@@ -25,7 +25,7 @@
 	return h.grantGang("n-1-a", "n-2-a")
 }
 
-func (h *harness) grantGang(machines ...string) wire.AttemptID {
+func (h *harness) grantGang(machines ...wire.MachineID) wire.AttemptID {
 	h.Helper()
 	var requests []lease.Request
 	for _, machine := range machines {
@@ -133,11 +133,11 @@
 func TestMachinesAreReservedForAWholeGang(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		machines []string
+		machines []wire.MachineID
 		want     int
 	}{
-		{"enough machines", []string{"n-1-a", "n-2-a", "n-3-b"}, 2},
-		{"enough machines, but in two zones", []string{"n-1-a", "n-2-b"}, 0},
+		{"enough machines", []wire.MachineID{"n-1-a", "n-2-a", "n-3-b"}, 2},
+		{"enough machines, but in two zones", []wire.MachineID{"n-1-a", "n-2-b"}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, nil, nil)
@@ -162,7 +162,7 @@
 func TestGangIsEvictedAsAWhole(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	id := h.runGang()
-	h.m.SetCordons(h.now, map[string]bool{"n-1-a": true}, nil)
+	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-1-a": true}, nil)
 	h.want(h.m.Evict(h.now, firstTask("run-1")), drain.NoCapacity)
 	h.m.SetReplacements([]disruption.Task{firstTask("run-1")})
 	h.want(h.m.Snapshot(h.now).Replacements[0].Waiting, 2)
--- a/internal/manager/gone_test.go
+++ b/internal/manager/gone_test.go
@@ -104,7 +104,7 @@
 	h.tick()
 	h.start("n-2-a")
 	h.want(h.grant("run-1", "n-2-a", 1), 0)
-	h.m.MachinesDeleted(h.now, []string{"n-1-a"})
+	h.m.MachinesDeleted(h.now, []wire.MachineID{"n-1-a"})
 	h.want(h.grant("run-1", "n-2-a", 1), 1)
 	h.want(h.heartbeat("n-1-a", token, 1), "dropped")
 }
--- a/internal/manager/grants_test.go
+++ b/internal/manager/grants_test.go
@@ -71,7 +71,7 @@
 			refusedMachineUnusable},
 		{"the machine is cordoned",
 			func(h *harness, _ *jobState, _ *machineState) {
-				h.m.SetCordons(h.now, map[string]bool{"n-1-a": true}, nil)
+				h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-1-a": true}, nil)
 			},
 			refusedMachineUnusable},
 		{"the machine is reserved for another job",
--- a/internal/manager/harness_test.go
+++ b/internal/manager/harness_test.go
@@ -166,14 +166,14 @@
 // Agents.
 
 // start brings machines up whose agents have acknowledged our token.
-func (h *harness) start(machines ...string) {
+func (h *harness) start(machines ...wire.MachineID) {
 	for _, machine := range machines {
 		h.heartbeat(machine, token, 1)
 	}
 }
 
 // list has the cloud list a machine as running.
-func (h *harness) list(id string) {
+func (h *harness) list(id wire.MachineID) {
 	h.m.MachinesListed(h.now, []wire.Machine{
 		{ID: id, Addr: "10.1.0.1:9000", Type: "small", Zone: "a", State: wire.MachineRunning},
 	})
@@ -182,18 +182,18 @@
 // heartbeat sends a machine's heartbeat with tasks such as "run-1/0 5 running". It returns the commands of the answer
 // such as "launch run-1/0 5", or "dropped" if there is no answer.
 func (h *harness) heartbeat(
-	machine string, fencingToken wire.FencingToken, incarnation wire.AgentIncarnation, tasks ...string,
+	machine wire.MachineID, fencingToken wire.FencingToken, incarnation wire.AgentIncarnation, tasks ...string,
 ) string {
 	h.seq++
 	return h.heartbeatWithSeq(h.seq, machine, fencingToken, incarnation, tasks...)
 }
 
 func (h *harness) heartbeatWithSeq(
-	seq wire.HeartbeatSeq, machine string, fencingToken wire.FencingToken, incarnation wire.AgentIncarnation,
+	seq wire.HeartbeatSeq, machine wire.MachineID, fencingToken wire.FencingToken, incarnation wire.AgentIncarnation,
 	tasks ...string,
 ) string {
 	heartbeat := &wire.Heartbeat{
-		Machine: machine, Addr: "10.1.0.1:9000", Type: "small", Zone: machine[len(machine)-1:],
+		Machine: machine, Addr: "10.1.0.1:9000", Type: "small", Zone: string(machine[len(machine)-1:]),
 		Incarnation: incarnation, Sequence: seq, FencingToken: fencingToken,
 	}
 	for _, task := range tasks {
@@ -246,7 +246,7 @@
 // Leases and writes.
 
 // grant requests leases for tasks of a job on a machine and returns how many are granted.
-func (h *harness) grant(job, machine string, tasks int) int {
+func (h *harness) grant(job string, machine wire.MachineID, tasks int) int {
 	request := lease.Request{Job: job, Machine: machine, Count: tasks, Duration: workerLease}
 	return h.m.Grant(h.now, lease.Transaction{Requests: []lease.Request{request}}).Granted[0]
 }
@@ -352,8 +352,8 @@
 }
 
 // reservedMachines returns the machines that are reserved for a waiting job, by identifier.
-func (h *harness) reservedMachines(job string) []string {
-	var ids []string
+func (h *harness) reservedMachines(job string) []wire.MachineID {
+	var ids []wire.MachineID
 	for id, machine := range h.m.machines.byID {
 		if machine.reservedForJob == job {
 			ids = append(ids, id)
--- a/internal/manager/health_test.go
+++ b/internal/manager/health_test.go
@@ -14,7 +14,7 @@
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a", "n-2-a", "n-3-a")
 	h.submit("run-1", 1, nil)
-	for i, m := range []string{"n-1-a", "n-2-a", "n-3-a"} {
+	for i, m := range []wire.MachineID{"n-1-a", "n-2-a", "n-3-a"} {
 		h.want(h.grant("run-1", m, 1), 1)
 		h.commitWrites()
 		h.heartbeat(m, token, 1)
@@ -32,7 +32,7 @@
 	h := newHarness(t, nil, nil)
 	h.submit("run-1", 6, func(j *wire.Job) { j.CPUs = 8 })
 	next := first
-	run := func(machine string, s micros.Duration) {
+	run := func(machine wire.MachineID, s micros.Duration) {
 		h.start(machine)
 		h.want(h.grant("run-1", machine, 1), 1)
 		h.commitWrites()
--- a/internal/manager/heartbeat.go
+++ b/internal/manager/heartbeat.go
@@ -49,7 +49,7 @@
 // MayReturnToLeader reports whether an agent whose heartbeats are relayed has received a push from us since, so that
 // it may be told to send them here again. If it turns to the other controller again all the same, its heartbeats
 // don't reach us: they are relayed until another push has arrived.
-func (m *Manager) MayReturnToLeader(now micros.Timestamp, id string) bool {
+func (m *Manager) MayReturnToLeader(now micros.Timestamp, id wire.MachineID) bool {
 	machine := m.machines.byID[id]
 	if machine == nil {
 		return false
--- a/internal/manager/jobs.go
+++ b/internal/manager/jobs.go
@@ -49,7 +49,7 @@
 
 	// failuresByMachine counts failed attempts since the last success. A job that fails everywhere backs off instead of
 	// starting in a hot loop.
-	failuresByMachine map[string]int
+	failuresByMachine map[wire.MachineID]int
 	backoffUntil      micros.Timestamp
 	normalRuns        int             // tasks that ran at a usual speed
 	normalRunTime     micros.Duration // their run times together
@@ -182,7 +182,7 @@
 		waiting:           record.Job.Tasks,
 		active:            map[int]*taskAttempt{},
 		shards:            map[int]*progressShard{},
-		failuresByMachine: map[string]int{},
+		failuresByMachine: map[wire.MachineID]int{},
 		waitingSince:      now,
 	}
 	if record.Job.Kind == wire.KindGang {
--- a/internal/manager/listing.go
+++ b/internal/manager/listing.go
@@ -50,7 +50,7 @@
 // MachinesListed applies the cloud's list of machines. That a machine is not in it proves nothing.
 func (m *Manager) MachinesListed(now micros.Timestamp, list []wire.Machine) {
 	m.machines.listed = true
-	seen := map[string]bool{}
+	seen := map[wire.MachineID]bool{}
 	for i := range list {
 		if m.machines.deleted[list[i].ID] {
 			continue
--- a/internal/manager/machines.go
+++ b/internal/manager/machines.go
@@ -1,8 +1,8 @@
 package manager
 
 import (
+	"cmp"
 	"slices"
-	"strings"
 
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
@@ -13,7 +13,7 @@
 // machineState is a machine that the cloud has rented or listed, that an agent has reported from, or that a record
 // names.
 type machineState struct {
-	id           string
+	id           wire.MachineID
 	address      string // of its agent, HOST:PORT; empty: not known
 	typeName     string
 	zone         string
@@ -47,23 +47,23 @@
 
 // machineTable holds the machines, and what the cloud offers.
 type machineTable struct {
-	byID map[string]*machineState
+	byID map[wire.MachineID]*machineState
 	// deleted are the machines that the cloud has confirmed as deleted: late heartbeats of them count for nothing.
-	deleted map[string]bool
+	deleted map[wire.MachineID]bool
 	types   map[string]*wire.MachineType
 	listed  bool // the cloud has listed its machines in this term
 }
 
 func newMachineTable() machineTable {
 	return machineTable{
-		byID:    map[string]*machineState{},
-		deleted: map[string]bool{},
+		byID:    map[wire.MachineID]*machineState{},
+		deleted: map[wire.MachineID]bool{},
 		types:   map[string]*wire.MachineType{},
 	}
 }
 
 // ensure returns a machine, which it registers if it is new.
-func (table *machineTable) ensure(now micros.Timestamp, id string) *machineState {
+func (table *machineTable) ensure(now micros.Timestamp, id wire.MachineID) *machineState {
 	machine := table.byID[id]
 	if machine == nil {
 		machine = &machineState{
@@ -87,7 +87,7 @@
 	for _, machine := range table.byID {
 		machines = append(machines, machine)
 	}
-	slices.SortFunc(machines, func(a, b *machineState) int { return strings.Compare(a.id, b.id) })
+	slices.SortFunc(machines, func(a, b *machineState) int { return cmp.Compare(a.id, b.id) })
 	return machines
 }
 
@@ -106,7 +106,7 @@
 }
 
 // MachinesScaledOut registers machines that the cloud has rented out by a request.
-func (m *Manager) MachinesScaledOut(now micros.Timestamp, request wire.ScaleOutRequest, ids []string) {
+func (m *Manager) MachinesScaledOut(now micros.Timestamp, request wire.ScaleOutRequest, ids []wire.MachineID) {
 	for _, id := range ids {
 		if m.machines.deleted[id] {
 			continue
@@ -122,7 +122,7 @@
 }
 
 // DeletionRequested records that the deletion of machines is being requested: they get nothing new.
-func (m *Manager) DeletionRequested(ids []string) {
+func (m *Manager) DeletionRequested(ids []wire.MachineID) {
 	for _, id := range ids {
 		if machine := m.machines.byID[id]; machine != nil {
 			machine.deleting = true
@@ -132,7 +132,7 @@
 }
 
 // MachinesDeleted records that the cloud has confirmed the deletion of machines: they and all on them are gone.
-func (m *Manager) MachinesDeleted(now micros.Timestamp, ids []string) {
+func (m *Manager) MachinesDeleted(now micros.Timestamp, ids []wire.MachineID) {
 	for _, id := range ids {
 		if machine := m.machines.byID[id]; machine != nil {
 			m.releaseMachine(now, machine)
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -65,7 +65,7 @@
 
 	jobs          jobTable
 	machines      machineTable
-	cordons       map[string]bool // machines that get nothing new
+	cordons       map[wire.MachineID]bool // machines that get nothing new
 	leaseRenewers leaseRenewers
 
 	quota      quotaUsage
--- a/internal/manager/moves.go
+++ b/internal/manager/moves.go
@@ -113,7 +113,7 @@
 }
 
 // MayHost reports whether a machine may take a task that is moved: it has room that no waiting work could use.
-func (executor moveExecutor) MayHost(task disruption.Task, machineID string) bool {
+func (executor moveExecutor) MayHost(task disruption.Task, machineID wire.MachineID) bool {
 	m := executor.manager
 	job, machine := m.jobs.byID[task.Job], m.machines.byID[machineID]
 	if job == nil || machine == nil || machine.reservedForJob != "" || !m.suitsMove(executor.now, machine, job) {
@@ -126,7 +126,7 @@
 }
 
 // Move has a task leave its machine for another.
-func (executor moveExecutor) Move(task disruption.Task, destination string) rebalance.MoveOutcome {
+func (executor moveExecutor) Move(task disruption.Task, destination wire.MachineID) rebalance.MoveOutcome {
 	return executor.manager.Move(executor.now, task, destination)
 }
 
@@ -153,7 +153,7 @@
 
 // Move has a task leave its machine for another: room there is reserved, and the attempt is stopped once the move is
 // durable. If that is not possible, nothing changes.
-func (m *Manager) Move(now micros.Timestamp, task disruption.Task, destination string) rebalance.MoveOutcome {
+func (m *Manager) Move(now micros.Timestamp, task disruption.Task, destination wire.MachineID) rebalance.MoveOutcome {
 	job := m.jobs.byID[task.Job]
 	if job == nil || job.active[task.Index] == nil {
 		return rebalance.AttemptEnded
--- a/internal/manager/moves_test.go
+++ b/internal/manager/moves_test.go
@@ -45,7 +45,7 @@
 	h.runTask()
 	h.want(h.m.Move(h.now, firstTask("run-1"), "n-2-a"), rebalance.Moved)
 	batch, _ := h.nextWrite()
-	h.m.MachinesDeleted(h.now, []string{"n-2-a"})
+	h.m.MachinesDeleted(h.now, []wire.MachineID{"n-2-a"})
 	h.commit(batch)
 	h.want(h.openDisruptions(), "")
 	h.want(h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "running")), "")
@@ -62,7 +62,7 @@
 	h.want(h.m.MoveExecutor(h.now).MayHost(firstTask("run-1"), "n-2-a"), true)
 	h.submit("run-2", 1, savesProgress)
 	h.want(h.m.MoveExecutor(h.now).MayHost(firstTask("run-1"), "n-2-a"), false) // its room is for work that waits
-	h.m.SetCordons(h.now, map[string]bool{"n-2-a": true}, nil)
+	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-2-a": true}, nil)
 	h.want(h.m.Move(h.now, firstTask("run-1"), "n-2-a"), rebalance.NoCapacity)
 	h.m.SetCordons(h.now, nil, nil)
 	h.m.OpenRecordChanged(h.now, h.now, 0, cancelledRecord("run-1"), h.revision+1)
@@ -86,7 +86,7 @@
 	earlier.runTask()
 	earlier.want(earlier.m.Move(earlier.now, firstTask("run-1"), "n-2-a"), rebalance.Moved)
 	batch, _ := earlier.nextWrite()
-	earlier.want(batch.Changes[1].Value.(state.DisruptionRecord).Open[0].ReservedMachine, "n-2-a")
+	earlier.want(batch.Changes[1].Value.(state.DisruptionRecord).Open[0].ReservedMachine, wire.MachineID("n-2-a"))
 
 	open := []wire.KeyValue{item("open/run-1", 4, record("run-1", 1, savesProgress))}
 	progress := []wire.KeyValue{item("tasks/run-1/0", 6, state.ProgressRecord{Active: []state.Placement{
--- a/internal/manager/publisher.go
+++ b/internal/manager/publisher.go
@@ -7,6 +7,7 @@
 
 	"saffronbend/internal/micros"
 	"saffronbend/internal/snapshot"
+	"saffronbend/wire"
 )
 
 // minRemovals and minCompletedRuns are how many removals and completed runs a follower may at least miss without
@@ -23,7 +24,7 @@
 	stale         bool                // something has changed since the last snapshot
 	machines      []*snapshot.Machine // by identifier
 	jobs          []*snapshot.Job     // by arrival
-	dirtyMachines map[string]bool
+	dirtyMachines map[wire.MachineID]bool
 	dirtyJobs     map[string]bool
 	removals      []removal
 	completedRuns []snapshot.CompletedRun
@@ -33,7 +34,7 @@
 
 // newSnapshotPublisher returns a publisher whose first snapshot is due at once.
 func newSnapshotPublisher() snapshotPublisher {
-	return snapshotPublisher{dirtyMachines: map[string]bool{}, dirtyJobs: map[string]bool{}, stale: true}
+	return snapshotPublisher{dirtyMachines: map[wire.MachineID]bool{}, dirtyJobs: map[string]bool{}, stale: true}
 }
 
 // removal is a machine or a job that is no longer published, with the first version without it.
@@ -192,13 +193,13 @@
 	list := slices.Clone(publisher.machines)
 	for _, id := range slices.Sorted(maps.Keys(publisher.dirtyMachines)) {
 		machine := m.machines.byID[id]
-		i, found := slices.BinarySearchFunc(list, id, func(published *snapshot.Machine, id string) int {
+		i, found := slices.BinarySearchFunc(list, id, func(published *snapshot.Machine, id wire.MachineID) int {
 			return cmp.Compare(published.ID, id)
 		})
 		switch {
 		case machine == nil && found:
 			list = slices.Delete(list, i, i+1)
-			publisher.removals = append(publisher.removals, removal{id: id, version: publisher.version})
+			publisher.removals = append(publisher.removals, removal{id: string(id), version: publisher.version})
 		case machine == nil:
 		case found:
 			published := m.publishedMachine(now, machine)
--- a/internal/manager/publisher_test.go
+++ b/internal/manager/publisher_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"saffronbend/internal/snapshot"
+	"saffronbend/wire"
 )
 
 // A follower's replica equals the leader's snapshot, whichever snapshots it has missed.
@@ -32,7 +33,7 @@
 	h.start("n-3-a")
 	got := catchUp()
 	h.want(len(got.Machines[0].Leases[0].Leases), 2)
-	h.m.MachinesDeleted(h.now, []string{"n-2-a"})
+	h.m.MachinesDeleted(h.now, []wire.MachineID{"n-2-a"})
 	h.submit("run-2", 1, nil)
 	catchUp()
 	h.want(len(h.m.SnapshotUpdate(h.now, since).Machines), 0) // nothing has changed
--- a/internal/manager/pushes.go
+++ b/internal/manager/pushes.go
@@ -13,14 +13,14 @@
 
 // CommandPush is a set of commands that does not wait for the agent's next heartbeat.
 type CommandPush struct {
-	Machine string
+	Machine wire.MachineID
 	Addr    string // of the machine's agent, HOST:PORT
 	Body    wire.CommandPush
 }
 
 // pushQueue holds the machines for which there may be something to push, and counts the pushes in flight.
 type pushQueue struct {
-	candidates  map[string]bool
+	candidates  map[wire.MachineID]bool
 	inFlight    int
 	maxInFlight int
 }
--- a/internal/manager/pushes_test.go
+++ b/internal/manager/pushes_test.go
@@ -87,7 +87,7 @@
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a", "n-2-a", "n-3-a")
 	h.submit("run-1", 3, nil)
-	for _, m := range []string{"n-1-a", "n-2-a", "n-3-a"} {
+	for _, m := range []wire.MachineID{"n-1-a", "n-2-a", "n-3-a"} {
 		h.grant("run-1", m, 1)
 	}
 	h.commitWrites()
@@ -99,7 +99,7 @@
 	h.m.CommandPushDone(h.now, out[0], PushOutcomeUnknown, nil)
 	out = h.m.CommandPushes(h.now, true)
 	h.want(len(out), 1)
-	h.want(out[0].Machine, "n-3-a")
+	h.want(out[0].Machine, wire.MachineID("n-3-a"))
 }
 
 // A copy of a pushed launch that was executed may arrive again: an attempt that exited without a result is not
--- a/internal/manager/quota_test.go
+++ b/internal/manager/quota_test.go
@@ -12,9 +12,9 @@
 // A team's limit counts every attempt that may exist, also one that was never launched.
 func TestLimitCountsAttemptsNotLaunched(t *testing.T) {
 	h := newHarness(t, nil, nil)
-	var ms []string
+	var ms []wire.MachineID
 	for i := range 6 {
-		ms = append(ms, fmt.Sprintf("n-%d-a", i))
+		ms = append(ms, wire.MachineID(fmt.Sprintf("n-%d-a", i)))
 	}
 	h.start(ms...)
 	h.submit("run-1", 100, nil)
--- a/internal/manager/recovery.go
+++ b/internal/manager/recovery.go
@@ -44,7 +44,7 @@
 		quota:           newQuotaUsage(cfg.Teams),
 		attemptIDs:      attemptIDs{fencingToken: cfg.FencingToken},
 		writes:          writePipeline{limits: newWriteLimits(cfg.StoreLimits)},
-		pushes:          pushQueue{candidates: map[string]bool{}, maxInFlight: cfg.MaxCommandPushes},
+		pushes:          pushQueue{candidates: map[wire.MachineID]bool{}, maxInFlight: cfg.MaxCommandPushes},
 		estimates:       runTimeEstimator{bias: map[string]float64{}},
 		publisher:       newSnapshotPublisher(),
 		teamAssignments: map[string]string{},
--- a/internal/manager/reservations.go
+++ b/internal/manager/reservations.go
@@ -8,6 +8,7 @@
 	"saffronbend/internal/micros"
 	"saffronbend/internal/resources"
 	"saffronbend/internal/snapshot"
+	"saffronbend/wire"
 )
 
 // Room is reserved in two ways, which differ in what is reserved, for whom and until when, and are not merged for that:
@@ -34,14 +35,14 @@
 type reservationTable struct {
 	byTask map[disruption.Task]*reservation
 	// inherited are the machines on which an earlier leader had reserved room and this one has not yet.
-	inherited map[disruption.Task]string
+	inherited map[disruption.Task]wire.MachineID
 	publisher *snapshotPublisher // learns which machines change
 }
 
 func newReservationTable(publisher *snapshotPublisher) reservationTable {
 	return reservationTable{
 		byTask:    map[disruption.Task]*reservation{},
-		inherited: map[disruption.Task]string{},
+		inherited: map[disruption.Task]wire.MachineID{},
 		publisher: publisher,
 	}
 }
--- a/internal/manager/reservations_test.go
+++ b/internal/manager/reservations_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"saffronbend/internal/micros"
+	"saffronbend/wire"
 )
 
 // Reserved room belongs to nobody else. It is free again when the destination is gone, or nobody wants it any more.
@@ -12,7 +13,7 @@
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
 	h.submit("run-2", 4, nil)
-	h.m.SetCordons(h.now, map[string]bool{"n-1-a": true}, nil)
+	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-1-a": true}, nil)
 	h.m.Evict(h.now, firstTask("run-1"))
 	h.want(h.grant("run-2", "n-2-a", 4), 1)
 	view := h.m.Snapshot(h.now)
--- a/internal/manager/waiting_reservations_test.go
+++ b/internal/manager/waiting_reservations_test.go
@@ -33,9 +33,9 @@
 	h := newHarness(t, nil, nil)
 	h.m.quota["blue"].CPUsMax = 0
 	h.m.SetTypes([]wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 16, Zones: []string{"a", "b"}}})
-	var ids []string
+	var ids []wire.MachineID
 	for i := range machines {
-		ids = append(ids, fmt.Sprintf("n-%03d-a", i))
+		ids = append(ids, wire.MachineID(fmt.Sprintf("n-%03d-a", i)))
 	}
 	h.start(ids...)
 	h.submit("run-1", machines, func(j *wire.Job) { j.Team = "blue" })
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -12,6 +12,7 @@
 	"saffronbend/internal/micros"
 	"saffronbend/internal/operator/operatorpb"
 	"saffronbend/internal/operator/operatorpb/operatorpbconnect"
+	"saffronbend/wire"
 )
 
 // DrainController carries out the operators' requests about drains on the leader. Its errors are those of this
@@ -126,7 +127,7 @@
 	}
 	return drain.Request{
 		Name:            message.Name,
-		Machines:        message.Machines,
+		Machines:        machineIDs(message.Machines),
 		Zone:            message.Zone,
 		Type:            message.Type,
 		OlderThan:       micros.Seconds(message.OlderThanS),
@@ -137,6 +138,15 @@
 	}, nil
 }
 
+// machineIDs returns the identifiers of machines that a message names.
+func machineIDs(names []string) []wire.MachineID {
+	var ids []wire.MachineID
+	for _, name := range names {
+		ids = append(ids, wire.MachineID(name))
+	}
+	return ids
+}
+
 // encodeDrainStatus returns the message for a controller's result.
 func encodeDrainStatus(status drain.Status, err error) (*operatorpb.DrainStatus, error) {
 	if err != nil {
@@ -157,7 +167,7 @@
 	}
 	for _, blocked := range status.Blocked {
 		message.Blocked = append(message.Blocked, &operatorpb.BlockedMachine{
-			Machine: blocked.Machine,
+			Machine: string(blocked.Machine),
 			Team:    blocked.Team,
 			Task:    blocked.Task,
 			Reason:  blocked.Reason,
--- a/internal/operator/rebalancing.go
+++ b/internal/operator/rebalancing.go
@@ -111,8 +111,8 @@
 			AgoS:   status.Now.Sub(move.At).Seconds(),
 			Task:   move.Task.String(),
 			Team:   move.Team,
-			From:   move.From,
-			To:     move.To,
+			From:   string(move.From),
+			To:     string(move.To),
 			Relief: move.Relief,
 			GainS:  move.Gain.Seconds(),
 			PriceS: move.Cost.Seconds(),
@@ -120,7 +120,7 @@
 	}
 	for _, held := range status.HeldTasks {
 		message.Held = append(message.Held, &operatorpb.HeldTask{
-			Machine: held.Machine,
+			Machine: string(held.Machine),
 			Team:    held.Team,
 			Task:    held.Task,
 			Reason:  held.Reason,
@@ -130,7 +130,7 @@
 }
 
 func machineLoadMessage(load *rebalance.MachineLoad) *operatorpb.MachineLoad {
-	message := &operatorpb.MachineLoad{Machine: load.ID, Load: load.Load, Smoothed: load.Smoothed}
+	message := &operatorpb.MachineLoad{Machine: string(load.ID), Load: load.Load, Smoothed: load.Smoothed}
 	for _, team := range load.Teams {
 		message.Teams = append(message.Teams, &operatorpb.TeamLoad{Team: team.Team, Load: team.Load})
 	}
--- a/internal/rebalance/cooldowns.go
+++ b/internal/rebalance/cooldowns.go
@@ -6,6 +6,7 @@
 
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
+	"saffronbend/wire"
 )
 
 // role is what a machine was in a move.
@@ -18,7 +19,7 @@
 
 // machineRole is a machine in a role.
 type machineRole struct {
-	machine string
+	machine wire.MachineID
 	role    role
 }
 
@@ -60,7 +61,7 @@
 }
 
 // coolsMachine reports whether a machine was in a role within its cooldown.
-func (c *cooldowns) coolsMachine(machine string, as role) bool {
+func (c *cooldowns) coolsMachine(machine wire.MachineID, as role) bool {
 	_, cooling := c.machines[machineRole{machine, as}]
 	return cooling
 }
--- a/internal/rebalance/model_test.go
+++ b/internal/rebalance/model_test.go
@@ -7,6 +7,7 @@
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
 	"saffronbend/internal/resources"
+	"saffronbend/wire"
 )
 
 var testConfig = Config{
@@ -42,7 +43,7 @@
 	capacity := resources.Vector{CPUs: 4, MemoryGB: 16}
 	for i, tasks := range machines {
 		machine := Machine{
-			ID:           fmt.Sprintf("m%03d", i),
+			ID:           wire.MachineID(fmt.Sprintf("m%03d", i)),
 			Capacity:     capacity,
 			Free:         capacity,
 			Heartbeating: true,
@@ -87,7 +88,7 @@
 	return snapshot
 }
 
-func (f *fleetModel) machine(id string) *Machine {
+func (f *fleetModel) machine(id wire.MachineID) *Machine {
 	for i := range f.machines {
 		if f.machines[i].ID == id {
 			return &f.machines[i]
@@ -97,10 +98,10 @@
 }
 
 // MayHost implements MoveExecutor.
-func (f *fleetModel) MayHost(disruption.Task, string) bool { return true }
+func (f *fleetModel) MayHost(disruption.Task, wire.MachineID) bool { return true }
 
 // Move implements MoveExecutor.
-func (f *fleetModel) Move(disruption.Task, string) MoveOutcome { return f.outcome }
+func (f *fleetModel) Move(disruption.Task, wire.MachineID) MoveOutcome { return f.outcome }
 
 // noTimeout is the time budget of a round that is never spent.
 func noTimeout() bool { return false }
--- a/internal/rebalance/observe.go
+++ b/internal/rebalance/observe.go
@@ -4,6 +4,7 @@
 	"fmt"
 
 	"saffronbend/internal/micros"
+	"saffronbend/wire"
 )
 
 // contentionMemory is how long after its last waiting task a team is expected to wait again, in smoothing times.
@@ -11,8 +12,8 @@
 
 // observe updates the usage and the smoothed loads of all machines whose work is known, and which teams compete.
 func (p *Planner) observe(snapshot *Snapshot) {
-	p.usage = make(map[string]*usage, len(snapshot.Machines))
-	loads := make(map[string]*average, len(snapshot.Machines))
+	p.usage = make(map[wire.MachineID]*usage, len(snapshot.Machines))
+	loads := make(map[wire.MachineID]*average, len(snapshot.Machines))
 	for i := range snapshot.Machines {
 		machine := &snapshot.Machines[i]
 		if !machine.Heartbeating {
--- a/internal/rebalance/rebalance.go
+++ b/internal/rebalance/rebalance.go
@@ -11,7 +11,10 @@
 // operators know rebalancing as "spread".
 package rebalance
 
-import "saffronbend/internal/micros"
+import (
+	"saffronbend/internal/micros"
+	"saffronbend/wire"
+)
 
 // Config holds the operators' settings.
 type Config struct {
@@ -42,13 +45,13 @@
 	paused    bool
 
 	cooldowns  cooldowns
-	loads      map[string]*average         // smoothed loads, by machine
+	loads      map[wire.MachineID]*average // smoothed loads, by machine
 	lastWaited map[string]micros.Timestamp // when tasks waited last, by team
 	history    []Move                      // the last moves, the oldest first
 
 	// The remaining fields are those of the last round.
-	usage      map[string]*usage // by machine
-	contended  map[string]bool   // teams with which others compete
+	usage      map[wire.MachineID]*usage // by machine
+	contended  map[string]bool           // teams with which others compete
 	held       []HeldTask
 	idleReason string // why nothing is moved at all; empty: moves are decided on
 }
@@ -60,7 +63,7 @@
 		cfg:        cfg,
 		startedAt:  now,
 		cooldowns:  newCooldowns(),
-		loads:      map[string]*average{},
+		loads:      map[wire.MachineID]*average{},
 		lastWaited: map[string]micros.Timestamp{},
 		idleReason: "the first round",
 	}
--- a/internal/rebalance/round.go
+++ b/internal/rebalance/round.go
@@ -7,6 +7,7 @@
 
 	"saffronbend/internal/micros"
 	"saffronbend/internal/resources"
+	"saffronbend/wire"
 )
 
 const (
@@ -27,8 +28,8 @@
 	executor MoveExecutor
 	timedOut func() bool // the time budget of the round is spent
 	// usage and free are what is used and free on each machine once the round's moves are done.
-	usage            map[string]*usage
-	free             map[string]resources.Vector
+	usage            map[wire.MachineID]*usage
+	free             map[wire.MachineID]resources.Vector
 	remainingBudgets map[string]int // by team, after the round's moves
 	destinations     []*Machine     // by load, the lowest first
 	moves            []Move
@@ -61,7 +62,7 @@
 		executor:         executor,
 		timedOut:         timedOut,
 		usage:            p.usage,
-		free:             map[string]resources.Vector{},
+		free:             map[wire.MachineID]resources.Vector{},
 		remainingBudgets: map[string]int{},
 		movedTeams:       map[string]bool{},
 	}
@@ -97,7 +98,7 @@
 }
 
 // steadyLoad is the load that a machine has now and has had lately.
-func (r *round) steadyLoad(machine string) float64 {
+func (r *round) steadyLoad(machine wire.MachineID) float64 {
 	return min(r.usage[machine].load(), r.planner.loads[machine].value)
 }
 
@@ -274,7 +275,7 @@
 }
 
 // reorderDestination restores the order of the destinations after the load of one has grown.
-func (r *round) reorderDestination(id string) {
+func (r *round) reorderDestination(id wire.MachineID) {
 	i := slices.IndexFunc(r.destinations, func(machine *Machine) bool { return machine.ID == id })
 	for ; i+1 < len(r.destinations) && r.compareByLoad(r.destinations[i], r.destinations[i+1]) > 0; i++ {
 		r.destinations[i], r.destinations[i+1] = r.destinations[i+1], r.destinations[i]
--- a/internal/rebalance/snapshot.go
+++ b/internal/rebalance/snapshot.go
@@ -4,6 +4,7 @@
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
 	"saffronbend/internal/resources"
+	"saffronbend/wire"
 )
 
 // Snapshot is what the planner decides on.
@@ -19,7 +20,7 @@
 
 // Machine is a machine and the work on it.
 type Machine struct {
-	ID       string
+	ID       wire.MachineID
 	Capacity resources.Vector
 	Free     resources.Vector // neither used nor reserved
 	// Heartbeating says that heartbeats arrive and that the agent has this leader's fencing token: its work is known.
@@ -75,9 +76,9 @@
 type MoveExecutor interface {
 	// MayHost reports whether a machine may take a task: it is of a kind that the task's job allows, it has room, and no
 	// waiting work could use that room.
-	MayHost(task disruption.Task, machine string) bool
+	MayHost(task disruption.Task, machine wire.MachineID) bool
 	// Move reserves room on a machine for a task, and has the task stopped once the move is durable.
-	Move(task disruption.Task, machine string) MoveOutcome
+	Move(task disruption.Task, machine wire.MachineID) MoveOutcome
 }
 
 // Move is a move that was decided on.
@@ -85,7 +86,7 @@
 	At       micros.Timestamp
 	Task     disruption.Task
 	Team     string
-	From, To string // machines
+	From, To wire.MachineID // machines
 	// Relief is the reduction of imbalance, as a share of a machine.
 	Relief float64
 	// Gain is the relief over the task's remaining run time, Cost the run time that the move takes.
@@ -94,5 +95,6 @@
 
 // HeldTask says why a task stays where it is.
 type HeldTask struct {
-	Machine, Team, Task, Reason string
+	Machine            wire.MachineID
+	Team, Task, Reason string
 }
--- a/internal/rebalance/status.go
+++ b/internal/rebalance/status.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"saffronbend/internal/micros"
+	"saffronbend/wire"
 )
 
 // Status is the state of rebalancing as operators see it.
@@ -21,7 +22,7 @@
 
 // MachineLoad is the load of one machine, as dominant shares of its capacity.
 type MachineLoad struct {
-	ID             string
+	ID             wire.MachineID
 	Load, Smoothed float64
 	Teams          []TeamLoad // the highest load first
 }
--- a/internal/scale/drain_test.go
+++ b/internal/scale/drain_test.go
@@ -104,7 +104,7 @@
 	c := newCluster(tb, machines)
 	c.disturbed, c.decide = d.disturbances, func() { d.round(c) }
 	c.load(machines * each)
-	loaded := []string{}
+	loaded := []wire.MachineID{}
 	for _, w := range c.workers {
 		if len(w.running) > 0 && len(loaded) < machines/10 {
 			loaded = append(loaded, w.id)
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -27,7 +27,7 @@
 
 // worker is a machine's worker as the protocol describes it, without I/O.
 type worker struct {
-	id         string
+	id         wire.MachineID
 	session    wire.AgentIncarnation
 	seq        wire.HeartbeatSeq
 	token      wire.FencingToken
@@ -54,7 +54,7 @@
 	scheduler *scheduler.Scheduler
 	fleet     *fleet.Fleet
 	workers   []*worker
-	on        map[string]string // the machine that each running task is on
+	on        map[string]wire.MachineID // the machine that each running task is on
 	starts    map[string]int
 	taskRun   micros.Duration
 	// disturbed is the account of disturbed work as the workers show it, nil: none is kept. decide is called in each
@@ -72,10 +72,10 @@
 	tb.Helper()
 	c := &cluster{
 		tb: tb, now: 1_000_000, revision: 10, taskRun: taskRun,
-		records: map[string]wire.KeyValue{}, on: map[string]string{}, starts: map[string]int{},
+		records: map[string]wire.KeyValue{}, on: map[string]wire.MachineID{}, starts: map[string]int{},
 	}
 	for i := range machines {
-		c.workers = append(c.workers, &worker{id: fmt.Sprintf("n-%06d", i), session: 1, renewed: c.now,
+		c.workers = append(c.workers, &worker{id: wire.MachineID(fmt.Sprintf("n-%06d", i)), session: 1, renewed: c.now,
 			running: map[taskAttempt]micros.Timestamp{}, ended: map[taskAttempt]wire.ExitReason{}})
 	}
 	return c
@@ -224,9 +224,9 @@
 	}
 }
 
-func machineNumber(tb testing.TB, id string) (n int) {
+func machineNumber(tb testing.TB, id wire.MachineID) (n int) {
 	tb.Helper()
-	if _, err := fmt.Sscanf(id, "n-%d", &n); err != nil {
+	if _, err := fmt.Sscanf(string(id), "n-%d", &n); err != nil {
 		tb.Fatal(err)
 	}
 	return n
--- a/internal/scenario/conditions.go
+++ b/internal/scenario/conditions.go
@@ -126,7 +126,7 @@
 
 // mostOnOneMachine returns how many tasks of a job run on the machine that has most of them.
 func mostOnOneMachine(w *world, words []string) int {
-	tasks := map[string]int{}
+	tasks := map[wire.MachineID]int{}
 	most := 0
 	for _, machine := range w.checker.Placements(words[0]) {
 		tasks[machine]++
@@ -152,7 +152,7 @@
 }
 
 func machineOfTask(_ context.Context, w *world, words []string) (string, error) {
-	return w.checker.Placements(words[0])[integer(words[1])], nil
+	return string(w.checker.Placements(words[0])[integer(words[1])]), nil
 }
 
 // jobStatus returns the status that a controller answers with; if none does, that of the last one asked.
@@ -214,7 +214,7 @@
 }
 
 func pushesAtMost(_ context.Context, w *world, words []string) error {
-	machine := w.cloud.Worker(words[0])
+	machine := w.cloud.Worker(wire.MachineID(words[0]))
 	if machine == nil {
 		return fmt.Errorf("no machine %q", words[0])
 	}
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -97,7 +97,7 @@
 	if n := w.nodes[w.member(name)]; n != nil {
 		return []string{n.ip}, nil
 	}
-	if ip, ok := fake.MachineIP(name); ok {
+	if ip, ok := fake.MachineIP(wire.MachineID(name)); ok {
 		return []string{ip}, nil
 	}
 	return nil, fmt.Errorf("no host %q", name)
@@ -185,7 +185,8 @@
 func (w *world) pick(_ context.Context, args arguments) error {
 	name, job, machines := args.words[0], args.words[1], strings.Split(args.words[2], ",")
 	busy := slices.Collect(maps.Values(w.checker.Placements(job)))
-	for _, id := range slices.Backward(machines) {
+	for _, machine := range slices.Backward(machines) {
+		id := wire.MachineID(machine)
 		if slices.Contains(busy, id) {
 			w.picked[name] = id
 			w.log.Info("picked", "name", name, "machine", id)
@@ -196,8 +197,8 @@
 }
 
 // machine returns the machine of a name, which a step may have picked, and nil if there is none.
-func (w *world) machine(name string) (id string, worker *fake.Worker) {
-	id = name
+func (w *world) machine(name string) (id wire.MachineID, worker *fake.Worker) {
+	id = wire.MachineID(name)
 	if picked, ok := w.picked[name]; ok {
 		id = picked
 	}
@@ -205,7 +206,7 @@
 }
 
 // machineFault is what happens to a machine. The words are those after its name.
-type machineFault func(w *world, id string, worker *fake.Worker, words []string)
+type machineFault func(w *world, id wire.MachineID, worker *fake.Worker, words []string)
 
 // machineCommand makes a command of what happens to a machine.
 func machineCommand(fault machineFault) func(*world, context.Context, arguments) error {
@@ -227,35 +228,37 @@
 	return nil
 }
 
-func hangMachine(_ *world, _ string, worker *fake.Worker, _ []string)   { worker.Hang() }
-func sickenMachine(_ *world, _ string, worker *fake.Worker, _ []string) { worker.FailEveryTask() }
-func killMachine(w *world, id string, _ *fake.Worker, _ []string)       { w.cloud.FailMachine(id) }
-func takeMachine(w *world, id string, _ *fake.Worker, _ []string)       { w.cloud.ReclaimMachine(id) }
+func hangMachine(_ *world, _ wire.MachineID, worker *fake.Worker, _ []string) { worker.Hang() }
+func sickenMachine(_ *world, _ wire.MachineID, worker *fake.Worker, _ []string) {
+	worker.FailEveryTask()
+}
+func killMachine(w *world, id wire.MachineID, _ *fake.Worker, _ []string) { w.cloud.FailMachine(id) }
+func takeMachine(w *world, id wire.MachineID, _ *fake.Worker, _ []string) { w.cloud.ReclaimMachine(id) }
 
-func slowMachine(_ *world, _ string, worker *fake.Worker, words []string) {
+func slowMachine(_ *world, _ wire.MachineID, worker *fake.Worker, words []string) {
 	worker.SetSlowdown(number(words[0]))
 }
 
-func noticeMachine(_ *world, _ string, worker *fake.Worker, words []string) {
+func noticeMachine(_ *world, _ wire.MachineID, worker *fake.Worker, words []string) {
 	worker.AnnounceReclaim(secondsOf(words[0]))
 }
 
-func holdTask(_ *world, _ string, worker *fake.Worker, words []string) {
+func holdTask(_ *world, _ wire.MachineID, worker *fake.Worker, words []string) {
 	worker.ReceiveLaunch(words[0], wire.AttemptID(number(words[1])), wire.FencingToken(number(words[2])))
 }
 
-func recordHeartbeats(_ *world, _ string, worker *fake.Worker, words []string) {
+func recordHeartbeats(_ *world, _ wire.MachineID, worker *fake.Worker, words []string) {
 	worker.RecordHeartbeats(times(words))
 }
 
-func deliverHeartbeats(_ *world, _ string, worker *fake.Worker, _ []string) {
+func deliverHeartbeats(_ *world, _ wire.MachineID, worker *fake.Worker, _ []string) {
 	worker.DeliverRecordedHeartbeats()
 }
 
-func copyHeartbeats(_ *world, _ string, worker *fake.Worker, words []string) {
+func copyHeartbeats(_ *world, _ wire.MachineID, worker *fake.Worker, words []string) {
 	worker.DuplicateHeartbeats(secondsOf(words[0]))
 }
 
-func repeatCommands(_ *world, _ string, worker *fake.Worker, words []string) {
+func repeatCommands(_ *world, _ wire.MachineID, worker *fake.Worker, words []string) {
 	worker.DuplicateCommands(secondsOf(words[0]))
 }
--- a/internal/scenario/loopback/burst_test.go
+++ b/internal/scenario/loopback/burst_test.go
@@ -16,6 +16,7 @@
 	"saffronbend/internal/fake"
 	"saffronbend/internal/scenario"
 	"saffronbend/internal/worklog"
+	"saffronbend/wire"
 )
 
 // Figures of the burst scenario.
@@ -89,20 +90,20 @@
 func logLoads(t *testing.T, events []worklog.Event) {
 	t.Helper()
 	samples := worklog.SampleLoad(events, time.Second)
-	machines := map[string]bool{}
+	machines := map[wire.MachineID]bool{}
 	for _, e := range events {
 		machines[e.Machine] = true
 	}
 	var names []string
 	for name := range machines {
-		names = append(names, name)
+		names = append(names, string(name))
 	}
 	slices.Sort(names)
 	t.Log("tasks of red+blue on ", strings.Join(names, " "))
 	for i, s := range samples {
 		var line strings.Builder
 		for _, name := range names {
-			fmt.Fprintf(&line, " %d+%d", s.Tasks[name]["red"], s.Tasks[name]["blue"])
+			fmt.Fprintf(&line, " %d+%d", s.Tasks[wire.MachineID(name)]["red"], s.Tasks[wire.MachineID(name)]["blue"])
 		}
 		t.Logf("%3d s:%s", i, line.String())
 	}
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -63,7 +63,7 @@
 	workers   fake.WorkerConfig
 	values    map[string]float64
 	repeats   map[string]*fake.Duplicator // by the service whose requests are repeated
-	picked    map[string]string           // machines by the names that steps have given them
+	picked    map[string]wire.MachineID   // machines by the names that steps have given them
 	budgets   map[string]int              // tasks of a team that may be disturbed at once
 }
 
@@ -99,7 +99,7 @@
 		options: s.options,
 		nodes:   map[string]*node{},
 		values:  maps.Clone(defaultValues),
-		picked:  map[string]string{},
+		picked:  map[string]wire.MachineID{},
 		budgets: map[string]int{},
 	}
 	defer w.end(cancel)
--- a/internal/scheduler/candidates_test.go
+++ b/internal/scheduler/candidates_test.go
@@ -6,6 +6,7 @@
 	"saffronbend/internal/micros"
 	"saffronbend/internal/resources"
 	"saffronbend/internal/snapshot"
+	"saffronbend/wire"
 )
 
 // Room that was reserved for an evicted task is taken at once, though it has no image and a lease on a machine that
@@ -34,7 +35,7 @@
 // Successors go to the machines where room is reserved for them, each to as many as it is reserved for. Without the
 // limit all of them went to the first of these machines.
 func TestReservedRoomIsTakenByAsManyAsItIsFor(t *testing.T) {
-	reserved := func(id string, free, tasks float64) *snapshot.Machine {
+	reserved := func(id wire.MachineID, free, tasks float64) *snapshot.Machine {
 		machine := testMachine(id, free, "img")
 		machine.Reserved = []snapshot.Reservation{{Job: "run-1", Vector: resources.Vector{CPUs: tasks, MemoryGB: tasks}}}
 		return machine
--- a/internal/scheduler/estimate.go
+++ b/internal/scheduler/estimate.go
@@ -3,6 +3,7 @@
 import (
 	"saffronbend/internal/micros"
 	"saffronbend/internal/snapshot"
+	"saffronbend/wire"
 )
 
 // This file estimates how long tasks run, and so the durations of their leases: the paper's III.D, equation 1.
@@ -16,7 +17,7 @@
 
 // runHistory holds the newest run times of one job's tasks.
 type runHistory struct {
-	byMachine map[string][]micros.Duration
+	byMachine map[wire.MachineID][]micros.Duration
 	newest    []micros.Duration // on any machine
 }
 
@@ -29,7 +30,7 @@
 func (h *runHistories) record(run snapshot.CompletedRun) {
 	history := h.byJob[run.Job]
 	if history == nil {
-		history = &runHistory{byMachine: map[string][]micros.Duration{}}
+		history = &runHistory{byMachine: map[wire.MachineID][]micros.Duration{}}
 		h.byJob[run.Job] = history
 	}
 	history.byMachine[run.Machine] = h.appendNewest(history.byMachine[run.Machine], run.Run)
@@ -56,7 +57,7 @@
 
 // expected returns the mean of the newest run times of the job's tasks on the machine, or else on any machine; where
 // none has run, unknown.
-func (h *runHistories) expected(job, machine string, unknown micros.Duration) micros.Duration {
+func (h *runHistories) expected(job string, machine wire.MachineID, unknown micros.Duration) micros.Duration {
 	history := h.byJob[job]
 	if history == nil {
 		return unknown
--- a/internal/scheduler/estimate_test.go
+++ b/internal/scheduler/estimate_test.go
@@ -5,11 +5,12 @@
 
 	"saffronbend/internal/micros"
 	"saffronbend/internal/snapshot"
+	"saffronbend/wire"
 )
 
 // A lease lasts for the fetch, the mean of the newest run times on the machine, or else on any, and the slack.
 func TestLeaseDuration(t *testing.T) {
-	runs := func(machine string, seconds ...float64) []snapshot.CompletedRun {
+	runs := func(machine wire.MachineID, seconds ...float64) []snapshot.CompletedRun {
 		var runs []snapshot.CompletedRun
 		for _, s := range seconds {
 			runs = append(runs, snapshot.CompletedRun{Job: "run-1", Team: "red", Machine: machine, Run: micros.Seconds(s)})
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -37,7 +37,7 @@
 	// Of the latest snapshot.
 	snapshot     *snapshot.Snapshot
 	machines     []*machineState // in the snapshot's order
-	machinesByID map[string]*machineState
+	machinesByID map[wire.MachineID]*machineState
 	queue        []*queuedJob
 	next         int               // index in the queue of the job that is decided on next
 	teamOfJob    map[string]string // with rebalancing
@@ -54,7 +54,7 @@
 	return &Scheduler{
 		member:       member,
 		tuning:       tuning,
-		machinesByID: map[string]*machineState{},
+		machinesByID: map[wire.MachineID]*machineState{},
 		skippedSince: map[string]micros.Timestamp{},
 		runs:         newRunHistories(tuning.RunHistory),
 	}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -27,14 +27,14 @@
 }
 
 // testMachine returns a machine with so many free processors and these images.
-func testMachine(id string, cpus float64, images ...string) *snapshot.Machine {
+func testMachine(id wire.MachineID, cpus float64, images ...string) *snapshot.Machine {
 	return &snapshot.Machine{ID: id, Type: "small", Zone: "a", Usable: true,
 		Vector: resources.Vector{CPUs: cpus, MemoryGB: 16}, Images: images}
 }
 
 // busyMachine returns a full machine with the image and one lease of another job, of attempt 7, that ends after so
 // long.
-func busyMachine(id string, endsAfter micros.Duration) *snapshot.Machine {
+func busyMachine(id wire.MachineID, endsAfter micros.Duration) *snapshot.Machine {
 	machine := testMachine(id, 0, "img")
 	machine.Leases = []snapshot.JobLeases{{Job: "run-9", Vector: testTask,
 		Leases: []snapshot.Lease{{Attempt: 7, Expiry: now.Add(endsAfter)}}}}
@@ -90,7 +90,7 @@
 func TestRoundContinues(t *testing.T) {
 	s := newScheduler()
 	var machines []*snapshot.Machine
-	for _, id := range []string{"n-1", "n-2", "n-3"} {
+	for _, id := range []wire.MachineID{"n-1", "n-2", "n-3"} {
 		machines = append(machines, testMachine(id, 8, "img"))
 	}
 	s.ApplySnapshot(testSnapshot(machines, testJob("run-1", 1), testJob("run-2", 1), testJob("run-3", 1)))
--- a/internal/snapshot/job.go
+++ b/internal/snapshot/job.go
@@ -41,7 +41,7 @@
 	// WaitingSince is since when tasks have waited without one of them being placed.
 	WaitingSince micros.Timestamp `json:"since"`
 	// AvoidMachines are machines on which its tasks have failed.
-	AvoidMachines []string `json:"avoid,omitempty"`
+	AvoidMachines []wire.MachineID `json:"avoid,omitempty"`
 
 	Arrival   uint64 `json:"-"` // orders jobs by acceptance
 	ChangedIn uint64 `json:"-"` // the version of the first snapshot that shows it so
@@ -60,7 +60,7 @@
 	Job     string          `json:"job"`
 	Class   string          `json:"class"`
 	Team    string          `json:"team"`
-	Machine string          `json:"machine"`
+	Machine wire.MachineID  `json:"machine"`
 	Run     micros.Duration `json:"run"`
 
 	PublishedIn uint64 `json:"-"` // the version of the snapshot that contains it; 0: none yet
--- a/internal/snapshot/machine.go
+++ b/internal/snapshot/machine.go
@@ -10,11 +10,11 @@
 
 // Machine is a machine as schedulers and the fleet see it.
 type Machine struct {
-	ID     string `json:"id"`
-	Type   string `json:"t"`
-	Zone   string `json:"z"`
-	Spot   bool   `json:"s,omitempty"`
-	Usable bool   `json:"u,omitempty"` // gets new tasks now
+	ID     wire.MachineID `json:"id"`
+	Type   string         `json:"t"`
+	Zone   string         `json:"z"`
+	Spot   bool           `json:"s,omitempty"`
+	Usable bool           `json:"u,omitempty"` // gets new tasks now
 	// Vector holds the free resources.
 	resources.Vector
 	// Unreliable says that the last task here failed or ran far too slowly, or that a gang has just failed by the
--- a/internal/snapshot/update_test.go
+++ b/internal/snapshot/update_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"saffronbend/internal/micros"
+	"saffronbend/wire"
 )
 
 // idsOf returns the identifiers of a snapshot's machines and jobs.
@@ -15,7 +16,7 @@
 	}
 	var ids []string
 	for _, machine := range s.Machines {
-		ids = append(ids, machine.ID)
+		ids = append(ids, string(machine.ID))
 	}
 	for _, job := range s.Jobs {
 		ids = append(ids, job.ID)
@@ -23,7 +24,7 @@
 	return strings.Join(ids, " ")
 }
 
-func machines(ids ...string) []*Machine {
+func machines(ids ...wire.MachineID) []*Machine {
 	var list []*Machine
 	for _, id := range ids {
 		list = append(list, &Machine{ID: id})
--- a/internal/state/progress.go
+++ b/internal/state/progress.go
@@ -20,7 +20,7 @@
 // Placement is an attempt of a task that may exist on a machine.
 type Placement struct {
 	Task        int                   `json:"t"` // its index within the job
-	Machine     string                `json:"m"`
+	Machine     wire.MachineID        `json:"m"`
 	Attempt     wire.AttemptID        `json:"n"`
 	Incarnation wire.AgentIncarnation `json:"s"` // of the machine's agent
 }
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -62,7 +62,7 @@
 	Attempt wire.AttemptID `json:"n"`
 	Cause   string         `json:"c"`
 	// ReservedMachine is where resources are reserved for the successor, if any are.
-	ReservedMachine string `json:"m,omitempty"`
+	ReservedMachine wire.MachineID `json:"m,omitempty"`
 }
 
 // DrainRecord is a drain as its operators have started it, and its state.
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -167,7 +167,9 @@
 )
 
 // heartbeat returns a machine's heartbeat.
-func heartbeat(machine, zone string, sequence wire.HeartbeatSeq, tasks ...wire.TaskStatus) *wire.Heartbeat {
+func heartbeat(
+	machine wire.MachineID, zone string, sequence wire.HeartbeatSeq, tasks ...wire.TaskStatus,
+) *wire.Heartbeat {
 	return &wire.Heartbeat{
 		Machine: machine, Addr: "10.1.0.2:9000", Type: "small", Zone: zone,
 		Incarnation: 1, Sequence: sequence, FencingToken: token, Tasks: tasks,
@@ -213,7 +215,7 @@
 	put("open", state.OpenJobKey(gang.ID), rec.Finalized(wire.JobCancelled))
 	m.OpenRecordChanged(now, now, acceptedAt, rec, 60)
 	seq := wire.HeartbeatSeq(0)
-	report := func(id string, tasks ...wire.TaskStatus) {
+	report := func(id wire.MachineID, tasks ...wire.TaskStatus) {
 		seq++
 		r := heartbeat(id, "a", seq, tasks...)
 		m.Heartbeat(now, r, "", true)
@@ -290,15 +292,16 @@
 }
 
 // grant requests leases on a machine and returns how many are granted.
-func (o *takeover) grant(job, machine string, n int) int {
+func (o *takeover) grant(job string, machine wire.MachineID, n int) int {
 	request := lease.Request{Job: job, Machine: machine, Count: n}
 	return o.manager.Grant(now, lease.Transaction{Requests: []lease.Request{request}}).Granted[0]
 }
 
 // report sends a heartbeat and returns the commands that it is answered with. A machine's name ends with its zone.
-func (o *takeover) report(machine string, tasks ...wire.TaskStatus) []wire.Command {
+func (o *takeover) report(machine wire.MachineID, tasks ...wire.TaskStatus) []wire.Command {
 	o.sequence++
-	response, _ := o.manager.Heartbeat(now, heartbeat(machine, machine[len(machine)-1:], o.sequence, tasks...), "", true)
+	zone := string(machine[len(machine)-1:])
+	response, _ := o.manager.Heartbeat(now, heartbeat(machine, zone, o.sequence, tasks...), "", true)
 	return response.Commands
 }
 
@@ -383,8 +386,8 @@
 // Production's scheduler asks this version's leader for a gang as it always has.
 func TestServesProductionsAsks(t *testing.T) {
 	m := newManager(t, settings.StoreLimits{TxnOps: 8, ValueKB: 4}, items(t, "open"), nil)
-	for i, id := range []string{"n-000001a", "n-000002b", "n-000003a"} {
-		m.Heartbeat(now, heartbeat(id, id[len(id)-1:], wire.HeartbeatSeq(i+1)), "", true)
+	for i, id := range []wire.MachineID{"n-000001a", "n-000002b", "n-000003a"} {
+		m.Heartbeat(now, heartbeat(id, string(id[len(id)-1:]), wire.HeartbeatSeq(i+1)), "", true)
 	}
 	for _, e := range production(t) {
 		if e.Kind != "asks" {
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -22,7 +22,7 @@
 type handler struct {
 	response *wire.HeartbeatResponse
 	leader   string
-	machine  string // of the last heartbeat
+	machine  wire.MachineID // of the last heartbeat
 }
 
 func (h *handler) Heartbeat(_ context.Context, heartbeat *wire.Heartbeat) (*wire.HeartbeatResponse, string) {
@@ -39,7 +39,7 @@
 
 		wantStatus  int
 		wantBody    string
-		wantMachine string // that the handler was called for
+		wantMachine wire.MachineID // that the handler was called for
 	}{
 		{
 			name: "the leader responds", body: heartbeat,
@@ -101,7 +101,7 @@
 		name         string
 		worker       roundTrip
 		wantExecuted bool
-		wantMachine  string // of the heartbeat
+		wantMachine  wire.MachineID // of the heartbeat
 		wantErr      bool
 	}{
 		{
@@ -133,7 +133,7 @@
 	}
 }
 
-func machineOf(heartbeat *wire.Heartbeat) string {
+func machineOf(heartbeat *wire.Heartbeat) wire.MachineID {
 	if heartbeat == nil {
 		return ""
 	}
--- a/internal/worklog/event.go
+++ b/internal/worklog/event.go
@@ -5,7 +5,11 @@
 // afterwards. The package never asks a controller: its figures are a second source beside the controllers' own.
 package worklog
 
-import "time"
+import (
+	"time"
+
+	"saffronbend/wire"
+)
 
 // EventKind is what happened to a task or to its job.
 type EventKind int
@@ -27,7 +31,7 @@
 	// Team owns the task's job.
 	Team, Task string
 	// Machine is empty in events that concern the job alone.
-	Machine string
+	Machine wire.MachineID
 	// Exempt events count as no disruption: the job is cancelled, or the cloud has announced that it reclaims the machine.
 	Exempt bool
 }
--- a/internal/worklog/load.go
+++ b/internal/worklog/load.go
@@ -3,17 +3,19 @@
 import (
 	"slices"
 	"time"
+
+	"saffronbend/wire"
 )
 
 // LoadSample is how many tasks of each team are on each machine at a time.
 type LoadSample struct {
 	At time.Time
 	// Tasks counts tasks by machine and team.
-	Tasks map[string]map[string]int
+	Tasks map[wire.MachineID]map[string]int
 }
 
 // Total returns the number of tasks on a machine.
-func (s *LoadSample) Total(machine string) int {
+func (s *LoadSample) Total(machine wire.MachineID) int {
 	total := 0
 	for _, tasks := range s.Tasks[machine] {
 		total += tasks
@@ -50,7 +52,7 @@
 
 // sampleAt returns the load of the machines, from the starts of the tasks that are on them.
 func sampleAt(at time.Time, startOf map[string]Event) LoadSample {
-	sample := LoadSample{At: at, Tasks: map[string]map[string]int{}}
+	sample := LoadSample{At: at, Tasks: map[wire.MachineID]map[string]int{}}
 	for _, start := range startOf {
 		if sample.Tasks[start.Machine] == nil {
 			sample.Tasks[start.Machine] = map[string]int{}
--- a/internal/worklog/rebalancing.go
+++ b/internal/worklog/rebalancing.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"saffronbend/wire"
+
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
@@ -57,9 +59,9 @@
 
 // addMoves counts the moves. A move begins with the first command to stop a task and ends when it starts elsewhere.
 func (s *RebalancingSummary) addMoves(events []Event, bounceTime time.Duration) {
-	stops := map[string]Event{}         // the first command to stop each task that has not started since
-	lastMoves := map[string]time.Time{} // when each task was last stopped for a move
-	usedMachines := map[string]bool{}   // that have run a task
+	stops := map[string]Event{}               // the first command to stop each task that has not started since
+	lastMoves := map[string]time.Time{}       // when each task was last stopped for a move
+	usedMachines := map[wire.MachineID]bool{} // that have run a task
 	for _, event := range events {
 		switch event.Kind {
 		case StopCommanded:
--- a/internal/worklog/worklog_test.go
+++ b/internal/worklog/worklog_test.go
@@ -3,13 +3,15 @@
 import (
 	"testing"
 	"time"
+
+	"saffronbend/wire"
 )
 
 // logStart is when the logs of the tests begin.
 var logStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // at returns an event at a number of seconds after the beginning.
-func at(seconds int, kind EventKind, team, task, machine string) Event {
+func at(seconds int, kind EventKind, team, task string, machine wire.MachineID) Event {
 	offset := time.Duration(seconds) * time.Second
 	return Event{At: logStart.Add(offset), Kind: kind, Team: team, Task: task, Machine: machine}
 }
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -44,12 +44,12 @@
 
 // MachineIDs is the response to a ScaleOutRequest, and the request that deletes machines.
 type MachineIDs struct {
-	IDs []string `json:"boxes"`
+	IDs []MachineID `json:"boxes"`
 }
 
 // Machine is a machine as the cloud lists it.
 type Machine struct {
-	ID    string       `json:"id"`
+	ID    MachineID    `json:"id"`
 	Addr  string       `json:"address"`
 	Type  string       `json:"build"`
 	Zone  string       `json:"yard"`
--- a/wire/heartbeat.go
+++ b/wire/heartbeat.go
@@ -42,11 +42,11 @@
 
 // Heartbeat is a worker's heartbeat with the status of its machine and tasks.
 type Heartbeat struct {
-	Machine string `json:"box"`
-	Addr    string `json:"address"`
-	Type    string `json:"build"`
-	Zone    string `json:"yard"`
-	Spot    bool   `json:"loaners"`
+	Machine MachineID `json:"box"`
+	Addr    string    `json:"address"`
+	Type    string    `json:"build"`
+	Zone    string    `json:"yard"`
+	Spot    bool      `json:"loaners"`
 	// Incarnation of the worker's agent: it starts at 1 and grows when the worker's lease has expired.
 	Incarnation AgentIncarnation `json:"shift"`
 	// Sequence grows with each heartbeat. Of two, the one with the larger (Incarnation, Sequence) is newer.
--- a/wire/identifiers.go
+++ b/wire/identifiers.go
@@ -22,3 +22,7 @@
 // HeartbeatSeq counts the messages of an agent's incarnation, heartbeats and answers to pushed commands, in the order
 // in which the agent has sent them. Those of different incarnations don't compare. 0: none.
 type HeartbeatSeq uint64
+
+// MachineID identifies a machine, such as n-000231. The cloud issues it with the rental and never again. Where machines
+// are sorted it is by the identifier's bytes, which says nothing of their age. Empty: none.
+type MachineID string
