--- a/client/client.go
+++ b/client/client.go
@@ -63,7 +63,7 @@
 }
 
 // Status returns a job's state. The error is a *RefusedError, or says why the request was given up.
-func (c *Client) Status(ctx context.Context, id string) (*wire.JobStatus, error) {
+func (c *Client) Status(ctx context.Context, id wire.JobID) (*wire.JobStatus, error) {
 	path, err := jobPath(id)
 	if err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 
 // Cancel cancels a job; the state returned says whether it was done before. Repeating it is safe. The error is a
 // *RefusedError, or says why the request was given up.
-func (c *Client) Cancel(ctx context.Context, id string) (*wire.JobStatus, error) {
+func (c *Client) Cancel(ctx context.Context, id wire.JobID) (*wire.JobStatus, error) {
 	path, err := jobPath(id)
 	if err != nil {
 		return nil, err
@@ -81,11 +81,11 @@
 	return c.retry(ctx, request{http.MethodPost, path + "/" + wire.ActionCancel, nil, changeTimeout})
 }
 
-func jobPath(id string) (string, error) {
+func jobPath(id wire.JobID) (string, error) {
 	if !wire.ValidJobID(id) {
 		return "", fmt.Errorf("%q is no job id: they are of the form run-000412", id)
 	}
-	return wire.PathJobs + "/" + id, nil
+	return wire.PathJobs + "/" + string(id), nil
 }
 
 // request is what is repeated until it has a final answer.
--- a/cmd/saffronbend/job.go
+++ b/cmd/saffronbend/job.go
@@ -79,12 +79,16 @@
 
 // Run asks for a job and prints its state.
 func (s statusCmd) Run(c *cli) error {
-	return printStatus(func(ctx context.Context) (*wire.JobStatus, error) { return c.Job.client().Status(ctx, s.ID) })
+	return printStatus(func(ctx context.Context) (*wire.JobStatus, error) {
+		return c.Job.client().Status(ctx, wire.JobID(s.ID))
+	})
 }
 
 // Run cancels a job and prints its state.
 func (w withdrawCmd) Run(c *cli) error {
-	return printStatus(func(ctx context.Context) (*wire.JobStatus, error) { return c.Job.client().Cancel(ctx, w.ID) })
+	return printStatus(func(ctx context.Context) (*wire.JobStatus, error) {
+		return c.Job.client().Cancel(ctx, wire.JobID(w.ID))
+	})
 }
 
 // printStatus asks for a job's state and prints it in one line.
@@ -95,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	line := []string{status.ID, string(status.State)}
+	line := []string{string(status.ID), string(status.State)}
 	if status.DoneTasks != nil && status.RunningTasks != nil {
 		line = append(line, fmt.Sprintf("%d done", *status.DoneTasks), fmt.Sprintf("%d running", *status.RunningTasks))
 	}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -45,7 +45,7 @@
 	// Types returns the machine types, or nil while they are not known.
 	Types() []wire.MachineType
 	// Progress returns how many tasks of a job are done and running, for display.
-	Progress(job string) (done, running int)
+	Progress(job wire.JobID) (done, running int)
 	// Healthy reports whether this controller can serve requests.
 	Healthy() bool
 	// ShortOfMemory reports whether nothing may be accepted now that takes more memory.
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -69,7 +69,7 @@
 }
 
 // stateOf returns a job's stored state, "" if there is none.
-func (s *memoryStore) stateOf(t *testing.T, job string) wire.JobState {
+func (s *memoryStore) stateOf(t *testing.T, job wire.JobID) wire.JobState {
 	t.Helper()
 	item, ok := s.items[state.JobStatusKey(job)]
 	if !ok {
@@ -122,9 +122,9 @@
 	return []wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 16, Zones: []string{"a"}}}
 }
 
-func (c *controller) Progress(string) (done, running int) { return c.done, c.running }
-func (c *controller) Healthy() bool                       { return !c.unhealthy }
-func (c *controller) ShortOfMemory() bool                 { return c.shortOfMemory }
+func (c *controller) Progress(wire.JobID) (done, running int) { return c.done, c.running }
+func (c *controller) Healthy() bool                           { return !c.unhealthy }
+func (c *controller) ShortOfMemory() bool                     { return c.shortOfMemory }
 
 // newTestAPI returns the interface over a store in which one team may submit.
 func newTestAPI(store Store, info *controller) http.Handler {
@@ -274,7 +274,7 @@
 	tests := []struct {
 		name       string
 		stored     wire.JobState
-		job        string // "": testJob
+		job        wire.JobID // "": testJob
 		controller controller
 		getErr     error
 		want       expected
@@ -306,7 +306,7 @@
 			if job == "" {
 				job = testJob
 			}
-			test.want.check(t, newTestAPI(store, &test.controller), http.MethodGet, wire.PathJobs+"/"+job, "")
+			test.want.check(t, newTestAPI(store, &test.controller), http.MethodGet, wire.PathJobs+"/"+string(job), "")
 		})
 	}
 }
@@ -325,7 +325,7 @@
 	tests := []struct {
 		name        string
 		stored      wire.JobState
-		job         string // "": testJob
+		job         wire.JobID // "": testJob
 		getErr      error
 		beforeWrite func(t *testing.T, store *memoryStore) error
 
@@ -385,7 +385,7 @@
 			if job == "" {
 				job = testJob
 			}
-			path := wire.PathJobs + "/" + job + "/" + wire.ActionCancel
+			path := wire.PathJobs + "/" + string(job) + "/" + wire.ActionCancel
 			test.want.check(t, newTestAPI(store, &controller{}), http.MethodPost, path, "")
 			if stored := store.stateOf(t, testJob); stored != test.wantStored {
 				t.Errorf("the stored state is %q, want %q", stored, test.wantStored)
@@ -401,7 +401,7 @@
 func TestShortOfMemory(t *testing.T) {
 	info := &controller{}
 	handler := newTestAPI(storeWith(t, ""), info)
-	job := func(id string, cpus float64) string {
+	job := func(id wire.JobID, cpus float64) string {
 		t.Helper()
 		submission := testSubmission()
 		submission.ID, submission.CPUs = id, cpus
--- a/internal/api/finalstates.go
+++ b/internal/api/finalstates.go
@@ -12,18 +12,18 @@
 	mu sync.Mutex
 	// When the newer generation is full, it becomes the older one, whose jobs are forgotten.
 	generationSize int
-	newer, older   map[string]wire.JobState
+	newer, older   map[wire.JobID]wire.JobState
 }
 
 // newFinalStates returns a memory of at most size jobs.
 func newFinalStates(size int) *finalStates {
 	return &finalStates{
 		generationSize: size / 2,
-		newer:          map[string]wire.JobState{}, older: map[string]wire.JobState{},
+		newer:          map[wire.JobID]wire.JobState{}, older: map[wire.JobID]wire.JobState{},
 	}
 }
 
-func (f *finalStates) get(job string) (wire.JobState, bool) {
+func (f *finalStates) get(job wire.JobID) (wire.JobState, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if jobState, ok := f.newer[job]; ok {
@@ -33,11 +33,11 @@
 	return jobState, ok
 }
 
-func (f *finalStates) put(job string, jobState wire.JobState) {
+func (f *finalStates) put(job wire.JobID, jobState wire.JobState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.newer) >= f.generationSize {
-		f.older, f.newer = f.newer, map[string]wire.JobState{}
+		f.older, f.newer = f.newer, map[wire.JobID]wire.JobState{}
 	}
 	f.newer[job] = jobState
 }
--- a/internal/api/finalstates_test.go
+++ b/internal/api/finalstates_test.go
@@ -12,11 +12,11 @@
 	states := newFinalStates(size)
 	const jobs = 3 * size
 	for i := range jobs {
-		states.put(strconv.Itoa(i), wire.JobDone)
+		states.put(wire.JobID(strconv.Itoa(i)), wire.JobDone)
 	}
 	known := 0
 	for i := range jobs {
-		if _, ok := states.get(strconv.Itoa(i)); ok {
+		if _, ok := states.get(wire.JobID(strconv.Itoa(i))); ok {
 			known++
 		}
 	}
@@ -24,7 +24,7 @@
 		t.Errorf("%d jobs are known, want %d to %d", known, size/2, size)
 	}
 	for i := jobs - size/2; i < jobs; i++ {
-		if jobState, ok := states.get(strconv.Itoa(i)); !ok || jobState != wire.JobDone {
+		if jobState, ok := states.get(wire.JobID(strconv.Itoa(i))); !ok || jobState != wire.JobDone {
 			t.Errorf("job %d of %d: %q, %v; want it to be known", i+1, jobs, jobState, ok)
 		}
 	}
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -18,12 +18,12 @@
 
 // jobRequest returns the handler of a request about one job, which ends after a timeout.
 func (a *API) jobRequest(
-	timeout time.Duration, serve func(ctx context.Context, w http.ResponseWriter, job string),
+	timeout time.Duration, serve func(ctx context.Context, w http.ResponseWriter, job wire.JobID),
 ) httprouter.Handle {
 	return a.limitInFlight(func(w http.ResponseWriter, req *http.Request, params httprouter.Params) {
 		ctx, cancel := context.WithTimeout(req.Context(), timeout)
 		defer cancel()
-		job := params.ByName("id")
+		job := wire.JobID(params.ByName("id"))
 		if !wire.ValidJobID(job) {
 			refuse(w, http.StatusNotFound, noSuchJob)
 			return
@@ -33,7 +33,7 @@
 }
 
 // poll serves a poll of a job's state.
-func (a *API) poll(ctx context.Context, w http.ResponseWriter, job string) {
+func (a *API) poll(ctx context.Context, w http.ResponseWriter, job wire.JobID) {
 	switch jobState, err := a.readState(ctx, job); {
 	case err != nil:
 		refuseForNow(w, storeSilent)
@@ -51,7 +51,7 @@
 // their version, so that a job is either done or cancelled, never both. The leader sees the write in its watch of the
 // open jobs and stops the job's tasks; until it has seen it, the limit on renewals without fresh knowledge of
 // cancellations holds (the resolved timestamp).
-func (a *API) cancel(ctx context.Context, w http.ResponseWriter, job string) {
+func (a *API) cancel(ctx context.Context, w http.ResponseWriter, job wire.JobID) {
 	for range cancelAttempts {
 		switch jobState, err := a.readState(ctx, job); {
 		case err != nil:
@@ -73,7 +73,7 @@
 
 // writeCancellation tries to write that a job is cancelled. Whether it has succeeded is not known until the job's state
 // is read again.
-func (a *API) writeCancellation(ctx context.Context, job string) error {
+func (a *API) writeCancellation(ctx context.Context, job wire.JobID) error {
 	stored, err := a.store.Get(ctx, state.OpenJobKey(job))
 	if err != nil || stored == nil {
 		return err
@@ -90,7 +90,7 @@
 }
 
 // readState returns a job's state as stored: pending or a final state, or "" if the job was never accepted.
-func (a *API) readState(ctx context.Context, job string) (wire.JobState, error) {
+func (a *API) readState(ctx context.Context, job wire.JobID) (wire.JobState, error) {
 	if jobState, ok := a.finalStates.get(job); ok {
 		return jobState, nil
 	}
--- a/internal/api/responses.go
+++ b/internal/api/responses.go
@@ -44,7 +44,7 @@
 
 // respondWithState responds with a job's stored state and its counts of tasks. Whether a job that has no final state is
 // pending or running is for display: it comes from this controller's snapshot.
-func (a *API) respondWithState(w http.ResponseWriter, status int, job string, jobState wire.JobState) {
+func (a *API) respondWithState(w http.ResponseWriter, status int, job wire.JobID, jobState wire.JobState) {
 	done, running := a.controller.Progress(job)
 	if jobState == wire.JobPending && running > 0 {
 		jobState = wire.JobRunning
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -47,7 +47,7 @@
 }
 
 // refuseUnlessAccepted refuses a submission, unless the job was accepted earlier: then it responds with its state.
-func (a *API) refuseUnlessAccepted(ctx context.Context, w http.ResponseWriter, job string, refuseIt func()) {
+func (a *API) refuseUnlessAccepted(ctx context.Context, w http.ResponseWriter, job wire.JobID, refuseIt func()) {
 	switch jobState, err := a.readState(ctx, job); {
 	case err != nil:
 		refuseForNow(w, storeSilent)
@@ -58,7 +58,7 @@
 	}
 }
 
-func (a *API) refuseTooLong(ctx context.Context, w http.ResponseWriter, job string) {
+func (a *API) refuseTooLong(ctx context.Context, w http.ResponseWriter, job wire.JobID) {
 	a.refuseUnlessAccepted(ctx, w, job, func() { refuse(w, http.StatusBadRequest, descriptionTooLong) })
 }
 
@@ -113,7 +113,7 @@
 }
 
 // writeRecords replaces the records of a job at a version; with version 0 it creates them.
-func (a *API) writeRecords(ctx context.Context, job string, version uint64, records jobRecords) error {
+func (a *API) writeRecords(ctx context.Context, job wire.JobID, version uint64, records jobRecords) error {
 	statusKey, openJobKey := state.JobStatusKey(job), state.OpenJobKey(job)
 	_, err := a.store.CompareAndSwap(ctx, wire.Transaction{
 		If: []wire.Condition{{Key: statusKey, Version: version}, {Key: openJobKey, Version: version}},
--- a/internal/disruption/ledger.go
+++ b/internal/disruption/ledger.go
@@ -19,12 +19,12 @@
 
 // Task identifies a task by its job's identifier and its index in the job.
 type Task struct {
-	Job   string
+	Job   wire.JobID
 	Index int
 }
 
 // String returns the task as operators see it: JOB/INDEX.
-func (t Task) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
+func (t Task) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
 
 // Cause is why a running attempt was stopped or lost. Its values are part of the durable records.
 type Cause string
@@ -52,12 +52,12 @@
 type Ledger struct {
 	open   map[Task]Disruption
 	byTeam map[string]int
-	byJob  map[string]map[int]bool
+	byJob  map[wire.JobID]map[int]bool
 }
 
 // NewLedger returns a ledger without disruptions.
 func NewLedger() *Ledger {
-	return &Ledger{open: map[Task]Disruption{}, byTeam: map[string]int{}, byJob: map[string]map[int]bool{}}
+	return &Ledger{open: map[Task]Disruption{}, byTeam: map[string]int{}, byJob: map[wire.JobID]map[int]bool{}}
 }
 
 // Begin opens a disruption and reports whether it did. It does nothing if the task is disrupted already: whatever
@@ -95,7 +95,7 @@
 }
 
 // EndJob closes all disruptions of a job that has ended.
-func (l *Ledger) EndJob(job string) {
+func (l *Ledger) EndJob(job wire.JobID) {
 	for _, index := range l.TasksOfJob(job) {
 		l.End(Task{job, index})
 	}
@@ -111,7 +111,7 @@
 }
 
 // TasksOfJob returns the indices of a job's disrupted tasks in ascending order.
-func (l *Ledger) TasksOfJob(job string) []int {
+func (l *Ledger) TasksOfJob(job wire.JobID) []int {
 	if l == nil {
 		return nil
 	}
--- a/internal/disruption/ledger_test.go
+++ b/internal/disruption/ledger_test.go
@@ -12,7 +12,7 @@
 // ledgerModel is what a ledger should hold: the attempt of each disrupted task.
 type ledgerModel map[Task]wire.AttemptID
 
-var teamOfJob = map[string]string{"run-1": "red", "run-2": "red", "run-3": "blue"}
+var teamOfJob = map[wire.JobID]string{"run-1": "red", "run-2": "red", "run-3": "blue"}
 
 // Whatever begins and ends, in whatever order and however often: each task counts once, and the counts match the
 // entries.
@@ -20,7 +20,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		model, ledger := ledgerModel{}, NewLedger()
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
-			job := rapid.SampledFrom([]string{"run-1", "run-2", "run-3"}).Draw(t, "job")
+			job := rapid.SampledFrom([]wire.JobID{"run-1", "run-2", "run-3"}).Draw(t, "job")
 			task := Task{Job: job, Index: rapid.IntRange(0, 3).Draw(t, "task")}
 			model.step(t, ledger, task)
 			model.check(t, ledger, task.Job)
@@ -57,7 +57,7 @@
 }
 
 // check compares the ledger's entries and counts with the model's, and the entries of one job.
-func (m ledgerModel) check(t *rapid.T, ledger *Ledger, job string) {
+func (m ledgerModel) check(t *rapid.T, ledger *Ledger, job wire.JobID) {
 	byTeam := map[string]int{}
 	tasksOfJob := 0
 	for task, attempt := range m {
--- a/internal/drain/helpers_test.go
+++ b/internal/drain/helpers_test.go
@@ -5,6 +5,7 @@
 
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
+	"saffronbend/wire"
 )
 
 var knownMachines = []KnownMachine{
@@ -41,7 +42,7 @@
 }
 
 // newAttempt returns an attempt that can be evicted.
-func newAttempt(job string, index int, team string) Attempt {
+func newAttempt(job wire.JobID, index int, team string) Attempt {
 	return Attempt{
 		Task:           disruption.Task{Job: job, Index: index},
 		Team:           team,
--- a/internal/drain/round.go
+++ b/internal/drain/round.go
@@ -93,7 +93,7 @@
 
 // emptyMachine evicts what the budgets allow from a machine, and lists why the rest stays.
 func (r *round) emptyMachine(d *trackedDrain, machine *Machine) {
-	seen := map[string]bool{} // gangs, by job
+	seen := map[wire.JobID]bool{} // gangs, by job
 	for i := range machine.Attempts {
 		attempt := &machine.Attempts[i]
 		if attempt.Gang && seen[attempt.Task.Job] {
--- a/internal/drain/step.go
+++ b/internal/drain/step.go
@@ -95,7 +95,7 @@
 // disruptionsByTeam returns how many tasks of each team are disrupted when the machine is emptied.
 func (m *Machine) disruptionsByTeam() map[string]int {
 	disruptions := map[string]int{}
-	counted := map[string]bool{} // gangs, by job
+	counted := map[wire.JobID]bool{} // gangs, by job
 	for i := range m.Attempts {
 		attempt := &m.Attempts[i]
 		if attempt.Stopping || attempt.Gang && counted[attempt.Task.Job] {
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -21,12 +21,12 @@
 
 	mu       sync.Mutex
 	attempts map[gangKey]*gangAttempt
-	saved    map[string]time.Duration // progress by job
+	saved    map[wire.JobID]time.Duration // progress by job
 }
 
 // gangKey names an attempt of a gang.
 type gangKey struct {
-	job     string
+	job     wire.JobID
 	attempt wire.AttemptID
 }
 
@@ -51,11 +51,11 @@
 // they wait for a peer that is lost or does not stop.
 func NewGangRuntime(formTimeout, peerTimeout time.Duration) *GangRuntime {
 	return &GangRuntime{formTimeout: formTimeout, peerTimeout: peerTimeout,
-		attempts: map[gangKey]*gangAttempt{}, saved: map[string]time.Duration{}}
+		attempts: map[gangKey]*gangAttempt{}, saved: map[wire.JobID]time.Duration{}}
 }
 
 // SavedProgress returns the progress that a job has saved.
-func (g *GangRuntime) SavedProgress(job string) time.Duration {
+func (g *GangRuntime) SavedProgress(job wire.JobID) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.saved[job]
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -34,7 +34,7 @@
 		published.Machines = append(published.Machines, machine)
 	}
 	for i := range jobs {
-		published.Jobs = append(published.Jobs, newJob(fmt.Sprintf("run-%d", i), "rush", 50, 4))
+		published.Jobs = append(published.Jobs, newJob(wire.JobID(fmt.Sprintf("run-%d", i)), "rush", 50, 4))
 	}
 	return fleet, published
 }
--- a/internal/fleet/bins.go
+++ b/internal/fleet/bins.go
@@ -16,7 +16,7 @@
 	machineType    *wire.MachineType
 	zone           string
 	spot           bool
-	reservedForJob string // the only job that may use it; empty: any
+	reservedForJob wire.JobID // the only job that may use it; empty: any
 	free           resources.Vector
 	used           bool // a task was packed into it
 	// freedLater is what work frees that ends before long, for jobs without an objective for their start. freedSoon is
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -39,7 +39,7 @@
 }
 
 // newJob returns a job with waiting tasks.
-func newJob(id, class string, waiting int, cpus float64) *snapshot.Job {
+func newJob(id wire.JobID, class string, waiting int, cpus float64) *snapshot.Job {
 	return &snapshot.Job{
 		ID:           id,
 		Class:        class,
@@ -181,7 +181,7 @@
 	fleet := newFleet(1)
 	published := &snapshot.Snapshot{Now: start}
 	for i := range 6 {
-		job := newJob(fmt.Sprintf("run-%d", i), "rush", 0, 4)
+		job := newJob(wire.JobID(fmt.Sprintf("run-%d", i)), "rush", 0, 4)
 		job.Active = 30
 		published.Jobs = append(published.Jobs, job)
 	}
--- a/internal/fleet/forecast.go
+++ b/internal/fleet/forecast.go
@@ -8,6 +8,7 @@
 	"saffronbend/internal/micros"
 	"saffronbend/internal/resources"
 	"saffronbend/internal/snapshot"
+	"saffronbend/wire"
 )
 
 const (
@@ -20,7 +21,7 @@
 // forecast expects tasks of the urgent classes. New machines take too long to come up for a job that has arrived
 // already, so room is kept free for those to come.
 type forecast struct {
-	openJobs map[string]bool      // as of the last snapshot
+	openJobs map[wire.JobID]bool  // as of the last snapshot
 	arrivals map[string][]arrival // by class, within the window
 	since    micros.Timestamp     // of the first snapshot
 }
@@ -32,7 +33,7 @@
 }
 
 func newForecast() forecast {
-	return forecast{openJobs: map[string]bool{}, arrivals: map[string][]arrival{}}
+	return forecast{openJobs: map[wire.JobID]bool{}, arrivals: map[string][]arrival{}}
 }
 
 // observe adds the jobs that have arrived since the last snapshot, and removes those before the window.
@@ -40,7 +41,7 @@
 	if f.since == 0 {
 		f.since = published.Now
 	}
-	open := make(map[string]bool, len(published.Jobs))
+	open := make(map[wire.JobID]bool, len(published.Jobs))
 	for _, job := range published.Jobs {
 		open[job.ID] = true
 		if urgentClasses[job.Class] && !f.openJobs[job.ID] {
--- a/internal/follower/lease_renewer.go
+++ b/internal/follower/lease_renewer.go
@@ -47,7 +47,7 @@
 
 	mu         sync.Mutex // guards what follows
 	validUntil micros.Timestamp
-	ended      map[string]bool            // jobs in their final state
+	ended      map[wire.JobID]bool        // jobs in their final state
 	resolved   openjobs.ResolvedTimestamp // up to which the ended jobs are known
 	// mayLaunch has the recorded attempts of ended jobs by machine: a launch of one may yet arrive there, as long as the
 	// agent's incarnation lasts that this controller keeps alive.
@@ -57,7 +57,8 @@
 // endedAttempt is an attempt of a job that has ended. Until a time its launch and stop are sent to a worker that
 // doesn't know it.
 type endedAttempt struct {
-	job, task   string
+	job         wire.JobID
+	task        string
 	attempt     wire.AttemptID
 	incarnation wire.AgentIncarnation
 	until       micros.Timestamp
@@ -158,13 +159,14 @@
 func (r *leaseRenewer) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ended, r.mayLaunch, r.resolved = map[string]bool{}, map[wire.MachineID][]endedAttempt{}, openjobs.ResolvedTimestamp{}
+	r.ended, r.mayLaunch = map[wire.JobID]bool{}, map[wire.MachineID][]endedAttempt{}
+	r.resolved = openjobs.ResolvedTimestamp{}
 }
 
 // applyOpenJobs applies an update of the open records. The ended jobs in it count as known once their attempts are
 // known, too.
 func (r *leaseRenewer) applyOpenJobs(ctx context.Context, update openjobs.Update) {
-	var ended []string
+	var ended []wire.JobID
 	attempts := map[wire.MachineID][]endedAttempt{}
 	for _, item := range update.Records {
 		if !r.hasEnded(item) {
@@ -206,10 +208,12 @@
 
 // readAttempts adds the recorded attempts of an ended job by machine, unless the leader itself has known that it
 // ended. It repeats reading until it succeeds, and returns false if ctx ended first.
-func (r *leaseRenewer) readAttempts(ctx context.Context, job string, attempts map[wire.MachineID][]endedAttempt) bool {
+func (r *leaseRenewer) readAttempts(
+	ctx context.Context, job wire.JobID, attempts map[wire.MachineID][]endedAttempt,
+) bool {
 	cancelledAt, needed := r.earliestCancellation(job)
 	for needed {
-		items, _, err := r.cfg.Store.List(ctx, state.ProgressPrefix+job+"/")
+		items, _, err := r.cfg.Store.List(ctx, state.ProgressPrefix+string(job)+"/")
 		if err == nil {
 			for _, item := range items {
 				r.addAttempts(attempts, job, item, cancelledAt)
@@ -226,7 +230,7 @@
 // earliestCancellation returns the earliest time at which a job that is found to have ended can have been cancelled.
 // ok is false if the leader itself has known of the job's end. At first there is only the leader's last snapshot that
 // was built on recent cancellations: a job in it was not cancelled before.
-func (r *leaseRenewer) earliestCancellation(job string) (at micros.Timestamp, ok bool) {
+func (r *leaseRenewer) earliestCancellation(job wire.JobID) (at micros.Timestamp, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if resolvedAt := r.resolved.At(); resolvedAt != 0 {
@@ -236,7 +240,7 @@
 }
 
 // addAttempts adds by machine the attempts in a progress record of a job that was cancelled at the earliest at a time.
-func (r *leaseRenewer) addAttempts(attempts map[wire.MachineID][]endedAttempt, job string, item wire.KeyValue,
+func (r *leaseRenewer) addAttempts(attempts map[wire.MachineID][]endedAttempt, job wire.JobID, item wire.KeyValue,
 	cancelledAt micros.Timestamp) {
 	var progress state.ProgressRecord
 	if err := json.Unmarshal(item.Value, &progress); err != nil {
--- a/internal/follower/lease_renewer_test.go
+++ b/internal/follower/lease_renewer_test.go
@@ -136,7 +136,7 @@
 			t.Errorf("the response is %+v, want none: a late launch could start the attempt", response)
 		}
 		// Once the job's records are deleted, none of its attempts can exist.
-		renewer.applyOpenJobs(t.Context(), openjobs.Update{RequestedAt: now, Removed: []string{"run-1"}})
+		renewer.applyOpenJobs(t.Context(), openjobs.Update{RequestedAt: now, Removed: []wire.JobID{"run-1"}})
 		if response := renewer.respond(heartbeat); response == nil {
 			t.Error("there is no response though the job's records are deleted")
 		}
--- a/internal/health/monitor.go
+++ b/internal/health/monitor.go
@@ -9,6 +9,7 @@
 
 	"saffronbend/internal/micros"
 	"saffronbend/internal/snapshot"
+	"saffronbend/wire"
 )
 
 const (
@@ -23,7 +24,7 @@
 	clock             micros.Clock
 	storeServed       atomic.Int64 // time of the store's last answer
 	leaderStoreServed atomic.Int64 // time of the last snapshot of a leader that the store serves
-	progress          atomic.Pointer[map[string]taskCounts]
+	progress          atomic.Pointer[map[wire.JobID]taskCounts]
 }
 
 type taskCounts struct{ done, running int }
@@ -36,7 +37,7 @@
 
 // SnapshotPublished reports the leader's newest snapshot.
 func (m *Monitor) SnapshotPublished(published *snapshot.Snapshot) {
-	progress := make(map[string]taskCounts, len(published.Jobs))
+	progress := make(map[wire.JobID]taskCounts, len(published.Jobs))
 	for _, job := range published.Jobs {
 		progress[job.ID] = taskCounts{job.Done, job.Running}
 	}
@@ -52,7 +53,7 @@
 }
 
 // JobPublished reports whether the newest snapshot has a job.
-func (m *Monitor) JobPublished(job string) bool {
+func (m *Monitor) JobPublished(job wire.JobID) bool {
 	progress := m.progress.Load()
 	if progress == nil {
 		return false
@@ -62,7 +63,7 @@
 }
 
 // Progress returns how many of a job's tasks are done and how many run, by the newest snapshot.
-func (m *Monitor) Progress(job string) (done, running int) {
+func (m *Monitor) Progress(job wire.JobID) (done, running int) {
 	progress := m.progress.Load()
 	if progress == nil {
 		return 0, 0
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -29,7 +29,7 @@
 
 // Task names a task of a job.
 type Task struct {
-	Job   string
+	Job   wire.JobID
 	Index int
 }
 
@@ -53,9 +53,9 @@
 	machineTypes   map[string]*wire.MachineType
 
 	mu         sync.Mutex
-	jobs       map[string]*jobRecord
-	taskStarts map[string]int // by job
-	gangRuns   map[string]int // by job
+	jobs       map[wire.JobID]*jobRecord
+	taskStarts map[wire.JobID]int // by job
+	gangRuns   map[wire.JobID]int // by job
 	gangTasks  map[gangAttempt]map[int]bool
 	cpusInUse  map[string]float64      // by team
 	reclaimed  map[wire.MachineID]bool // machines whose reclaim is announced
@@ -67,7 +67,7 @@
 
 // gangAttempt is one attempt of a gang; all of its tasks have the same attempt number.
 type gangAttempt struct {
-	job     string
+	job     wire.JobID
 	attempt wire.AttemptID
 }
 
@@ -88,9 +88,9 @@
 	return &Checker{
 		cpuLimits:    map[string]float64{},
 		machineTypes: map[string]*wire.MachineType{},
-		jobs:         map[string]*jobRecord{},
-		taskStarts:   map[string]int{},
-		gangRuns:     map[string]int{},
+		jobs:         map[wire.JobID]*jobRecord{},
+		taskStarts:   map[wire.JobID]int{},
+		gangRuns:     map[wire.JobID]int{},
 		gangTasks:    map[gangAttempt]map[int]bool{},
 		cpusInUse:    map[string]float64{},
 		reclaimed:    map[wire.MachineID]bool{},
@@ -119,7 +119,7 @@
 }
 
 // CancelRequested notes that a user asks to cancel a job.
-func (c *Checker) CancelRequested(id string) {
+func (c *Checker) CancelRequested(id wire.JobID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	job := c.jobs[id]
@@ -132,7 +132,7 @@
 
 // AnswerSeen notes the answer that a user has seen to a request about a job, sent at the given time. An answer that
 // was sent for before the user saw a final state may be older than that state, and is not held against it.
-func (c *Checker) AnswerSeen(id string, asked time.Time, code int, state wire.JobState) {
+func (c *Checker) AnswerSeen(id wire.JobID, asked time.Time, code int, state wire.JobState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	job := c.jobs[id]
@@ -266,7 +266,7 @@
 }
 
 // Workload returns a submitted job and what its tasks do, or false if nobody has submitted it.
-func (c *Checker) Workload(id string) (Workload, bool) {
+func (c *Checker) Workload(id wire.JobID) (Workload, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	job := c.jobs[id]
@@ -277,16 +277,16 @@
 }
 
 // Job returns a submitted job, or false if nobody has submitted it.
-func (c *Checker) Job(id string) (wire.Job, bool) {
+func (c *Checker) Job(id wire.JobID) (wire.Job, bool) {
 	workload, known := c.Workload(id)
 	return workload.Job, known
 }
 
 // AcceptedJobs returns the IDs, in order, of the jobs that were answered to their users as known.
-func (c *Checker) AcceptedJobs() []string {
+func (c *Checker) AcceptedJobs() []wire.JobID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var ids []string
+	var ids []wire.JobID
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		if c.jobs[id].answer != "" {
 			ids = append(ids, id)
@@ -296,21 +296,21 @@
 }
 
 // TaskStarts returns how many times tasks of a job have started.
-func (c *Checker) TaskStarts(job string) int {
+func (c *Checker) TaskStarts(job wire.JobID) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.taskStarts[job]
 }
 
 // GangRuns returns how many times a gang has begun to run as a whole.
-func (c *Checker) GangRuns(job string) int {
+func (c *Checker) GangRuns(job wire.JobID) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.gangRuns[job]
 }
 
 // Placements returns the IDs of the machines that a job's tasks are on, by index of the task.
-func (c *Checker) Placements(job string) map[int]wire.MachineID {
+func (c *Checker) Placements(job wire.JobID) map[int]wire.MachineID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	placements := map[int]wire.MachineID{}
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -70,7 +70,7 @@
 }
 
 // checkInvented: a job that nobody submitted gets the answer 200.
-func (c *Checker) checkInvented(id string, code int) {
+func (c *Checker) checkInvented(id wire.JobID, code int) {
 	if code == http.StatusOK {
 		c.violate(Invented, "%s", id)
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -13,7 +13,7 @@
 // Request is a scheduler's request for leases of a job's tasks on one machine or, with WaitFor, to be the one waiter
 // of an attempt's lease.
 type Request struct {
-	Job      string          `json:"job"`
+	Job      wire.JobID      `json:"job"`
 	Machine  wire.MachineID  `json:"machine"`
 	Count    int             `json:"count,omitempty"` // tasks
 	Duration micros.Duration `json:"lease,omitempty"` // of each lease, as the scheduler expects the tasks to run
--- a/internal/manager/attempts.go
+++ b/internal/manager/attempts.go
@@ -69,13 +69,13 @@
 // estimate for schedulers.
 type taskLease struct {
 	expiry      micros.Timestamp
-	waiter      string
+	waiter      wire.JobID
 	waiterUntil micros.Timestamp
 }
 
 // admitWaiter makes a job the lease's waiter and reports whether it may wait: another one that waits goes first until
 // its time is up.
-func (lease *taskLease) admitWaiter(now micros.Timestamp, job string, grace micros.Duration) bool {
+func (lease *taskLease) admitWaiter(now micros.Timestamp, job wire.JobID, grace micros.Duration) bool {
 	if lease.waiter != "" && lease.waiter != job && now < lease.waiterUntil {
 		return false
 	}
--- a/internal/manager/bench_test.go
+++ b/internal/manager/bench_test.go
@@ -86,7 +86,7 @@
 func fillFleet(m *Manager, now micros.Timestamp, heartbeats []*wire.Heartbeat, each int) {
 	const jobs = 100
 	for j := range jobs {
-		id := fmt.Sprintf("run-%06d", j+1)
+		id := wire.JobID(fmt.Sprintf("run-%06d", j+1))
 		rec := record(id, len(heartbeats)*each/jobs, nil)
 		m.OpenRecordChanged(now, now, 0, rec, uint64(j+1))
 		for k := range len(heartbeats) / jobs {
@@ -220,7 +220,7 @@
 		b.Helper()
 		m, now, next := newLargeFleet(b, machines)
 		for j := range maxReservingJobs {
-			rec := record(fmt.Sprintf("run-%06d", 900+j), 100, func(spec *wire.Job) { spec.CPUs = 32 })
+			rec := record(wire.JobID(fmt.Sprintf("run-%06d", 900+j)), 100, func(spec *wire.Job) { spec.CPUs = 32 })
 			m.OpenRecordChanged(*now, *now, 0, rec, uint64(5000+j))
 		}
 		*now = now.Add(micros.Minute)
--- a/internal/manager/estimates_test.go
+++ b/internal/manager/estimates_test.go
@@ -14,7 +14,7 @@
 	h := newHarness(t, nil, nil)
 	next := first
 	for i := range 12 {
-		id := fmt.Sprintf("run-%d", i)
+		id := wire.JobID(fmt.Sprintf("run-%d", i))
 		h.submit(id, 1, func(j *wire.Job) { j.Class, j.EstimateS = "rush", 40 })
 		h.start("n-1-a")
 		h.want(h.grant(id, "n-1-a", 1), 1)
--- a/internal/manager/harness_test.go
+++ b/internal/manager/harness_test.go
@@ -100,7 +100,7 @@
 // Jobs and records.
 
 // record returns the open record of a job of team red, with tasks of 4 processors.
-func record(id string, tasks int, change func(*wire.Job)) state.OpenJobRecord {
+func record(id wire.JobID, tasks int, change func(*wire.Job)) state.OpenJobRecord {
 	job := wire.Job{
 		ID: id, Team: "red", Kind: wire.KindArray, PriorityName: "normal", Tasks: tasks,
 		CPUs: 4, MemoryGB: 1, Image: "img", AllowSpot: true,
@@ -112,7 +112,7 @@
 }
 
 // cancelledRecord returns the open record of a job that its user has cancelled.
-func cancelledRecord(id string) state.OpenJobRecord {
+func cancelledRecord(id wire.JobID) state.OpenJobRecord {
 	rec := record(id, 1, savesProgress)
 	rec.FinalState = wire.JobCancelled
 	return rec
@@ -147,10 +147,10 @@
 }
 
 // firstTask returns the first task of a job.
-func firstTask(job string) disruption.Task { return disruption.Task{Job: job} }
+func firstTask(job wire.JobID) disruption.Task { return disruption.Task{Job: job} }
 
 // submit adds a job of some tasks, as the watch would deliver it.
-func (h *harness) submit(id string, tasks int, change func(*wire.Job)) {
+func (h *harness) submit(id wire.JobID, tasks int, change func(*wire.Job)) {
 	h.revision++
 	h.m.OpenRecordChanged(h.now, h.now, 0, record(id, tasks, change), h.revision)
 }
@@ -246,7 +246,7 @@
 // Leases and writes.
 
 // grant requests leases for tasks of a job on a machine and returns how many are granted.
-func (h *harness) grant(job string, machine wire.MachineID, tasks int) int {
+func (h *harness) grant(job wire.JobID, machine wire.MachineID, tasks int) int {
 	request := lease.Request{Job: job, Machine: machine, Count: tasks, Duration: workerLease}
 	return h.m.Grant(h.now, lease.Transaction{Requests: []lease.Request{request}}).Granted[0]
 }
@@ -352,7 +352,7 @@
 }
 
 // reservedMachines returns the machines that are reserved for a waiting job, by identifier.
-func (h *harness) reservedMachines(job string) []wire.MachineID {
+func (h *harness) reservedMachines(job wire.JobID) []wire.MachineID {
 	var ids []wire.MachineID
 	for id, machine := range h.m.machines.byID {
 		if machine.reservedForJob == job {
--- a/internal/manager/jobs.go
+++ b/internal/manager/jobs.go
@@ -57,7 +57,7 @@
 	waitingSince micros.Timestamp
 }
 
-func (job *jobState) id() string { return job.record.Job.ID }
+func (job *jobState) id() wire.JobID { return job.record.Job.ID }
 
 func (job *jobState) spec() *wire.Job { return &job.record.Job }
 
@@ -134,15 +134,15 @@
 
 // jobTable holds the jobs whose open records exist.
 type jobTable struct {
-	byID     map[string]*jobState
+	byID     map[wire.JobID]*jobState
 	arrivals uint64 // jobs added in this term
 	// removed are the jobs whose records this leader has deleted, with the revision of the deletion: the watch may still
 	// deliver older versions of them.
-	removed map[string]uint64
+	removed map[wire.JobID]uint64
 }
 
 func newJobTable() jobTable {
-	return jobTable{byID: map[string]*jobState{}, removed: map[string]uint64{}}
+	return jobTable{byID: map[wire.JobID]*jobState{}, removed: map[wire.JobID]uint64{}}
 }
 
 // add adds a job, as the newest.
@@ -153,7 +153,7 @@
 }
 
 // remove removes a job whose records were deleted at a revision.
-func (table *jobTable) remove(id string, revision uint64) {
+func (table *jobTable) remove(id wire.JobID, revision uint64) {
 	table.removed[id] = revision
 	delete(table.byID, id)
 }
@@ -252,9 +252,9 @@
 }
 
 // OpenRecordRemoved forgets the deletion of a job's open record, once the watch has delivered it.
-func (m *Manager) OpenRecordRemoved(id string) { delete(m.jobs.removed, id) }
+func (m *Manager) OpenRecordRemoved(id wire.JobID) { delete(m.jobs.removed, id) }
 
 // ForgetRemovedBefore forgets the deletions up to a revision, when the watch continues from there.
 func (m *Manager) ForgetRemovedBefore(revision uint64) {
-	maps.DeleteFunc(m.jobs.removed, func(_ string, removedAt uint64) bool { return removedAt <= revision })
+	maps.DeleteFunc(m.jobs.removed, func(_ wire.JobID, removedAt uint64) bool { return removedAt <= revision })
 }
--- a/internal/manager/machines.go
+++ b/internal/manager/machines.go
@@ -1,8 +1,8 @@
 package manager
 
 import (
-	"cmp"
 	"slices"
+	"strings"
 
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
@@ -38,7 +38,7 @@
 	unwrittenResults []completedTask
 	idleSince        micros.Timestamp // since when it has no attempts
 
-	reservedForJob string // the waiting job that alone gets room here; empty: none
+	reservedForJob wire.JobID // the waiting job that alone gets room here; empty: none
 	preempted      preemptedRoom
 	reservations   map[disruption.Task]*reservation // for successors of evicted attempts
 
@@ -87,7 +87,7 @@
 	for _, machine := range table.byID {
 		machines = append(machines, machine)
 	}
-	slices.SortFunc(machines, func(a, b *machineState) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(machines, func(a, b *machineState) int { return strings.Compare(string(a.id), string(b.id)) })
 	return machines
 }
 
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -75,7 +75,7 @@
 	pushes pushQueue
 
 	// resumePreemptionAt is the job at which the next round of preemption begins; empty: at the most urgent.
-	resumePreemptionAt string
+	resumePreemptionAt wire.JobID
 	estimates          runTimeEstimator
 	costs              costAccount
 
@@ -87,7 +87,7 @@
 	ledger       *disruption.Ledger // nil: disruptions are not tracked
 	reservations reservationTable
 	// replacements counts, by job, the tasks that cannot be evicted for lack of room elsewhere.
-	replacements map[string]int
+	replacements map[wire.JobID]int
 	vacatedPools []drain.VacatedPool
 }
 
--- a/internal/manager/preemption.go
+++ b/internal/manager/preemption.go
@@ -26,7 +26,7 @@
 // preemptedRoom is room on a machine that was freed by preemption for a gang, and until when nothing less urgent
 // takes it.
 type preemptedRoom struct {
-	forJob string
+	forJob wire.JobID
 	until  micros.Timestamp
 }
 
--- a/internal/manager/progress.go
+++ b/internal/manager/progress.go
@@ -3,6 +3,7 @@
 import (
 	"saffronbend/internal/micros"
 	"saffronbend/internal/state"
+	"saffronbend/wire"
 )
 
 // progressShard is what is known of one of a job's progress records, each of which holds the done tasks and the
@@ -20,7 +21,7 @@
 
 // shardKey identifies a progress shard.
 type shardKey struct {
-	job   string
+	job   wire.JobID
 	index int
 }
 
--- a/internal/manager/published.go
+++ b/internal/manager/published.go
@@ -60,7 +60,7 @@
 // publishedLeases returns the leases on a machine by job.
 func (m *Manager) publishedLeases(now micros.Timestamp, machine *machineState) []snapshot.JobLeases {
 	var leases []snapshot.JobLeases
-	indices := map[string]int{} // of jobs in leases
+	indices := map[wire.JobID]int{} // of jobs in leases
 	for _, attempt := range attemptsByID(machine.attempts) {
 		spec := attempt.spec()
 		i, ok := indices[spec.ID]
--- a/internal/manager/publisher.go
+++ b/internal/manager/publisher.go
@@ -25,7 +25,7 @@
 	machines      []*snapshot.Machine // by identifier
 	jobs          []*snapshot.Job     // by arrival
 	dirtyMachines map[wire.MachineID]bool
-	dirtyJobs     map[string]bool
+	dirtyJobs     map[wire.JobID]bool
 	removals      []removal
 	completedRuns []snapshot.CompletedRun
 	// forgottenUntil is the version up to which removals are no longer known.
@@ -34,7 +34,7 @@
 
 // newSnapshotPublisher returns a publisher whose first snapshot is due at once.
 func newSnapshotPublisher() snapshotPublisher {
-	return snapshotPublisher{dirtyMachines: map[wire.MachineID]bool{}, dirtyJobs: map[string]bool{}, stale: true}
+	return snapshotPublisher{dirtyMachines: map[wire.MachineID]bool{}, dirtyJobs: map[wire.JobID]bool{}, stale: true}
 }
 
 // removal is a machine or a job that is no longer published, with the first version without it.
@@ -59,7 +59,7 @@
 }
 
 // markRemoved records that a job no longer exists.
-func (publisher *snapshotPublisher) markRemoved(job string) {
+func (publisher *snapshotPublisher) markRemoved(job wire.JobID) {
 	publisher.dirtyJobs[job] = true
 	publisher.stale = true
 }
@@ -228,7 +228,7 @@
 			continue
 		}
 		if job := m.jobs.byID[published.ID]; job == nil || job.final() {
-			publisher.removals = append(publisher.removals, removal{id: published.ID, version: publisher.version})
+			publisher.removals = append(publisher.removals, removal{id: string(published.ID), version: publisher.version})
 		}
 	}
 	for id := range publisher.dirtyJobs {
--- a/internal/manager/recovery.go
+++ b/internal/manager/recovery.go
@@ -49,7 +49,7 @@
 		publisher:       newSnapshotPublisher(),
 		teamAssignments: map[string]string{},
 		storeAvailable:  true,
-		replacements:    map[string]int{},
+		replacements:    map[wire.JobID]int{},
 	}
 	m.reservations = newReservationTable(&m.publisher)
 	if cfg.TrackDisruptions {
--- a/internal/manager/reservations.go
+++ b/internal/manager/reservations.go
@@ -136,7 +136,7 @@
 
 // publishedReservations returns the reserved room on a machine that may be claimed, by job.
 func (m *Manager) publishedReservations(machine *machineState) []snapshot.Reservation {
-	claimable := map[string]resources.Vector{}
+	claimable := map[wire.JobID]resources.Vector{}
 	for task, reserved := range machine.reservations {
 		if m.claimable(reserved) {
 			claimable[task.Job] = claimable[task.Job].AddTasks(reserved.need, 1)
--- a/internal/manager/waiting_reservations.go
+++ b/internal/manager/waiting_reservations.go
@@ -23,7 +23,7 @@
 	now micros.Timestamp
 	// reserved and usable count machines.
 	reserved, usable int
-	tasks            map[string]int // that fit on the machines reserved for a job, by job
+	tasks            map[wire.JobID]int // that fit on the machines reserved for a job, by job
 }
 
 // ReserveForWaitingJobs reserves machines for the jobs that have waited longest without one of their tasks being
@@ -31,7 +31,7 @@
 // waits for. Class, priority and deadline do not matter. A reserved machine empties by itself; it is reserved until
 // it has as many of the job's tasks as it takes. See reservations.go for the other kind of reservation.
 func (m *Manager) ReserveForWaitingJobs(now micros.Timestamp) {
-	round := waitingReservations{m: m, now: now, tasks: map[string]int{}}
+	round := waitingReservations{m: m, now: now, tasks: map[wire.JobID]int{}}
 	round.releaseObsolete()
 	jobs := m.waitingFor(now, m.cfg.Tuning.ReserveAfter)
 	slices.SortStableFunc(jobs, func(a, b *jobState) int { return cmp.Compare(a.waitingSince, b.waitingSince) })
--- a/internal/manager/write_limits_test.go
+++ b/internal/manager/write_limits_test.go
@@ -75,8 +75,8 @@
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a")
 	for i := range 6 {
-		h.submit(fmt.Sprintf("run-%d", i), 8, smallTasks)
-		h.grant(fmt.Sprintf("run-%d", i), "n-1-a", 8)
+		h.submit(wire.JobID(fmt.Sprintf("run-%d", i)), 8, smallTasks)
+		h.grant(wire.JobID(fmt.Sprintf("run-%d", i)), "n-1-a", 8)
 	}
 	batch := h.m.NextWrite(h.now)
 	h.want(len(batch.Changes), 6)
@@ -89,7 +89,7 @@
 	h.want(h.m.WriteRefused(h.now, batch, 600), true) // 450 bytes now: what was to be placed is withdrawn
 	for range 3 {
 		for i := range 6 {
-			h.grant(fmt.Sprintf("run-%d", i), "n-1-a", 8)
+			h.grant(wire.JobID(fmt.Sprintf("run-%d", i)), "n-1-a", 8)
 		}
 		batch = h.m.NextWrite(h.now)
 		h.checkWrite(batch, 450, 2)
@@ -127,7 +127,7 @@
 	h.m.cfg.Tuning.ReserveAfter = 45 * micros.Second
 	h.start("n-1-a", "n-2-a", "n-3-a")
 	for i := range 40 {
-		h.submit(fmt.Sprintf("run-%d", i), 1, func(j *wire.Job) {
+		h.submit(wire.JobID(fmt.Sprintf("run-%d", i)), 1, func(j *wire.Job) {
 			smallTasks(j)
 			if i%2 == 1 {
 				j.PriorityName = "high"
@@ -137,7 +137,7 @@
 	h.m.writes.lastDuration = micros.Second
 	granted := map[int]int{}
 	for i := range 40 {
-		granted[i%2] += h.grant(fmt.Sprintf("run-%d", i), "n-1-a", 1)
+		granted[i%2] += h.grant(wire.JobID(fmt.Sprintf("run-%d", i)), "n-1-a", 1)
 	}
 	// Two changes a second: 8 records are 4 s of them for normal work, 12 are 6 s for urgent.
 	h.want(granted[0], 5)
--- a/internal/manager/writes.go
+++ b/internal/manager/writes.go
@@ -35,8 +35,8 @@
 type writePipeline struct {
 	limits      writeLimits
 	dirtyShards []shardKey
-	completions []string // jobs whose tasks are all done
-	cleanups    []string // final jobs whose records are to be deleted
+	completions []wire.JobID // jobs whose tasks are all done
+	cleanups    []wire.JobID // final jobs whose records are to be deleted
 	// orphanRecords are deletions of records without a job: late copies of writes have created them again.
 	orphanRecords []RecordChange
 
@@ -54,14 +54,14 @@
 	attempts    []*taskAttempt
 	evictions   []*taskAttempt
 	results     []completedTask
-	completions []string
-	deletions   map[string][]int // indices of deleted shards by job
-	deletedJobs []string
-	openJobs    []string // jobs that must still be open
+	completions []wire.JobID
+	deletions   map[wire.JobID][]int // indices of deleted shards by job
+	deletedJobs []wire.JobID
+	openJobs    []wire.JobID // jobs that must still be open
 }
 
 // jobIDs returns the jobs whose records the write changes.
-func (write *writeInFlight) jobIDs() []string {
+func (write *writeInFlight) jobIDs() []wire.JobID {
 	ids := slices.Concat(write.completions, write.deletedJobs, slices.Collect(maps.Keys(write.deletions)))
 	for _, key := range write.shards {
 		ids = append(ids, key.job)
@@ -84,7 +84,7 @@
 
 // withdrawCompletion removes a job from those to be completed, since it was cancelled.
 func (pipeline *writePipeline) withdrawCompletion(job *jobState) {
-	pipeline.completions = slices.DeleteFunc(pipeline.completions, func(id string) bool { return id == job.id() })
+	pipeline.completions = slices.DeleteFunc(pipeline.completions, func(id wire.JobID) bool { return id == job.id() })
 }
 
 // deleteOrphan queues the deletion of a record without a job.
@@ -121,7 +121,7 @@
 		maxOps:  m.writes.limits.maxOps,
 		mark:    strconv.FormatUint(uint64(m.cfg.FencingToken), 36) + "." + strconv.FormatUint(id, 36),
 		batch:   &WriteBatch{ID: id},
-		write:   &writeInFlight{id: id, startedAt: now, deletions: map[string][]int{}},
+		write:   &writeInFlight{id: id, startedAt: now, deletions: map[wire.JobID][]int{}},
 	}
 	builder.addCompletions()
 	builder.addDirtyShards()
--- a/internal/openjobs/openjobs.go
+++ b/internal/openjobs/openjobs.go
@@ -38,7 +38,7 @@
 	// CompleteAt is the revision at which Records are all open records there were; 0: Records are those that changed.
 	CompleteAt uint64
 	Records    []wire.KeyValue
-	Removed    []string // jobs whose record was deleted
+	Removed    []wire.JobID // jobs whose record was deleted
 }
 
 // Store is the part of the key-value store that Watch reads.
@@ -94,4 +94,4 @@
 }
 
 // JobOf returns the job that an open record's key names.
-func JobOf(key string) string { return key[len(state.OpenJobPrefix):] }
+func JobOf(key string) wire.JobID { return wire.JobID(key[len(state.OpenJobPrefix):]) }
--- a/internal/openjobs/openjobs_test.go
+++ b/internal/openjobs/openjobs_test.go
@@ -85,7 +85,7 @@
 		after := began.Add(100 * micros.Millisecond) // the pause after an error
 		changed := []wire.KeyValue{{Key: state.OpenJobKey("a"), Value: value, Version: 11}}
 		want := []Update{
-			{RequestedAt: began, Records: changed, Removed: []string{"b"}},
+			{RequestedAt: began, Records: changed, Removed: []wire.JobID{"b"}},
 			{RequestedAt: after, CompleteAt: 30, Records: listed},
 			{RequestedAt: after},
 		}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestOfferKeepsCompletedRunsOfReplacedSnapshots(t *testing.T) {
-	offered := func(token wire.FencingToken, version uint64, jobs ...string) *snapshot.Snapshot {
+	offered := func(token wire.FencingToken, version uint64, jobs ...wire.JobID) *snapshot.Snapshot {
 		s := &snapshot.Snapshot{FencingToken: token, Version: version}
 		for _, job := range jobs {
 			s.CompletedRuns = append(s.CompletedRuns, snapshot.CompletedRun{Job: job})
@@ -18,15 +18,15 @@
 	}
 	cases := map[string]struct {
 		offers []*snapshot.Snapshot
-		want   []string
+		want   []wire.JobID
 	}{
-		"one": {[]*snapshot.Snapshot{offered(1, 1, "a")}, []string{"a"}},
+		"one": {[]*snapshot.Snapshot{offered(1, 1, "a")}, []wire.JobID{"a"}},
 		"several of a term": {
 			[]*snapshot.Snapshot{offered(1, 1, "a"), offered(1, 2), offered(1, 3, "b", "c")},
-			[]string{"a", "b", "c"},
+			[]wire.JobID{"a", "b", "c"},
 		},
-		"of an earlier term":  {[]*snapshot.Snapshot{offered(1, 7, "a"), offered(2, 1, "b")}, []string{"b"}},
-		"nothing was dropped": {[]*snapshot.Snapshot{offered(1, 1), offered(1, 2, "b")}, []string{"b"}},
+		"of an earlier term":  {[]*snapshot.Snapshot{offered(1, 7, "a"), offered(2, 1, "b")}, []wire.JobID{"b"}},
+		"nothing was dropped": {[]*snapshot.Snapshot{offered(1, 1), offered(1, 2, "b")}, []wire.JobID{"b"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -38,7 +38,7 @@
 			if want := c.offers[len(c.offers)-1].Version; latest.Version != want {
 				t.Errorf("version %d waits, want %d", latest.Version, want)
 			}
-			var got []string
+			var got []wire.JobID
 			for _, run := range latest.CompletedRuns {
 				got = append(got, run.Job)
 			}
--- a/internal/rebalance/model_test.go
+++ b/internal/rebalance/model_test.go
@@ -52,7 +52,8 @@
 			Images:       map[string]bool{},
 		}
 		for n, team := range tasks {
-			attempt := newAttempt(fmt.Sprintf("%c%d", team, i), n, string(team), resources.Vector{CPUs: 1, MemoryGB: 1})
+			job := wire.JobID(fmt.Sprintf("%c%d", team, i))
+			attempt := newAttempt(job, n, string(team), resources.Vector{CPUs: 1, MemoryGB: 1})
 			attempt.CheckpointTime, attempt.ImageGB = micros.Second, 1
 			machine.place(attempt)
 		}
@@ -62,7 +63,7 @@
 }
 
 // newAttempt returns an attempt that can be moved.
-func newAttempt(job string, index int, team string, needs resources.Vector) Attempt {
+func newAttempt(job wire.JobID, index int, team string, needs resources.Vector) Attempt {
 	return Attempt{
 		Task:        disruption.Task{Job: job, Index: index},
 		Team:        team,
--- a/internal/rebalance/solver_test.go
+++ b/internal/rebalance/solver_test.go
@@ -8,6 +8,7 @@
 	"github.com/crillab/gophersat/solver"
 
 	"saffronbend/internal/resources"
+	"saffronbend/wire"
 )
 
 // unevenFleet draws machines of eight CPUs with tasks of one to three CPUs, which fill the first half of them.
@@ -20,7 +21,7 @@
 		for n := 0; i < machines/2 && n < 8; n++ {
 			needs := resources.Vector{CPUs: float64(1 + r.IntN(3)), MemoryGB: 1}
 			if machine.Free.Fits(needs) {
-				machine.place(newAttempt(fmt.Sprint("r", i), n, "r", needs))
+				machine.place(newAttempt(wire.JobID(fmt.Sprint("r", i)), n, "r", needs))
 			}
 		}
 	}
--- a/internal/scale/drain_test.go
+++ b/internal/scale/drain_test.go
@@ -83,7 +83,7 @@
 	}
 	jobs := max(1, tasks/largest)
 	for j := range jobs {
-		c.submit(fmt.Sprintf("run-%06d", j+1), tasks/jobs)
+		c.submit(wire.JobID(fmt.Sprintf("run-%06d", j+1)), tasks/jobs)
 	}
 	c.until(2*micros.Minute, "all tasks run", func() bool { return len(c.on) == tasks/jobs*jobs })
 	for range reports {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -146,7 +146,7 @@
 	}
 }
 
-func (c *cluster) submit(id string, tasks int) {
+func (c *cluster) submit(id wire.JobID, tasks int) {
 	c.revision++
 	job := wire.Job{
 		ID: id, Class: "work", Team: "red", Kind: wire.KindArray, PriorityName: "normal",
@@ -319,7 +319,7 @@
 		c.step()
 	}
 	for j := range jobs {
-		c.submit(fmt.Sprintf("run-%06d", j+1), each)
+		c.submit(wire.JobID(fmt.Sprintf("run-%06d", j+1)), each)
 	}
 	c.until(30*micros.Second, "the burst fills the machines", func() bool { return len(c.on) == machines*8 })
 	c.lead()
--- a/internal/scenario/conditions.go
+++ b/internal/scenario/conditions.go
@@ -114,10 +114,10 @@
 
 func last(words []string) string { return words[len(words)-1] }
 
-func starts(w *world, words []string) int         { return w.checker.TaskStarts(words[0]) }
+func starts(w *world, words []string) int         { return w.checker.TaskStarts(wire.JobID(words[0])) }
 func lateStarts(w *world, _ []string) int         { return w.checker.StartsAfterCancel() }
-func runs(w *world, words []string) int           { return w.checker.GangRuns(words[0]) }
-func running(w *world, words []string) int        { return len(w.checker.Placements(words[0])) }
+func runs(w *world, words []string) int           { return w.checker.GangRuns(wire.JobID(words[0])) }
+func running(w *world, words []string) int        { return len(w.checker.Placements(wire.JobID(words[0]))) }
 func machinesUp(w *world, _ []string) int         { return w.cloud.MachineCount() }
 func machinesInZone(w *world, words []string) int { return w.cloud.MachinesInZone(words[0]) }
 func rented(w *world, _ []string) int             { return w.cloud.ScaledOut() }
@@ -128,7 +128,7 @@
 func mostOnOneMachine(w *world, words []string) int {
 	tasks := map[wire.MachineID]int{}
 	most := 0
-	for _, machine := range w.checker.Placements(words[0]) {
+	for _, machine := range w.checker.Placements(wire.JobID(words[0])) {
 		tasks[machine]++
 		most = max(most, tasks[machine])
 	}
@@ -152,14 +152,14 @@
 }
 
 func machineOfTask(_ context.Context, w *world, words []string) (string, error) {
-	return string(w.checker.Placements(words[0])[integer(words[1])]), nil
+	return string(w.checker.Placements(wire.JobID(words[0]))[integer(words[1])]), nil
 }
 
 // jobStatus returns the status that a controller answers with; if none does, that of the last one asked.
 func jobStatus(ctx context.Context, w *world, words []string) (status string, err error) {
 	for _, member := range w.members {
 		var code int
-		code, status, err = w.poll(ctx, member, words[0])
+		code, status, err = w.poll(ctx, member, wire.JobID(words[0]))
 		if err != nil || code == http.StatusOK {
 			return status, err
 		}
@@ -173,7 +173,7 @@
 		if !w.nodes[member].running() {
 			continue
 		}
-		if code, _, err := w.poll(ctx, member, words[0]); err != nil || code != http.StatusOK {
+		if code, _, err := w.poll(ctx, member, wire.JobID(words[0])); err != nil || code != http.StatusOK {
 			got = "not by " + member
 		}
 	}
@@ -207,7 +207,7 @@
 }
 
 func savedAtLeast(_ context.Context, w *world, words []string) error {
-	if saved := w.workers.Gangs.SavedProgress(words[0]); saved < secondsOf(words[1]) {
+	if saved := w.workers.Gangs.SavedProgress(wire.JobID(words[0])); saved < secondsOf(words[1]) {
 		return fmt.Errorf("it is %s", saved)
 	}
 	return nil
--- a/internal/scenario/expectations.go
+++ b/internal/scenario/expectations.go
@@ -6,6 +6,8 @@
 	"fmt"
 	"net/http"
 	"time"
+
+	"saffronbend/wire"
 )
 
 const (
@@ -70,7 +72,7 @@
 		forgotten = 75 * time.Second
 	)
 	begun := time.Now()
-	answered := map[string]time.Time{} // when a job was last answered for, by its id
+	answered := map[wire.JobID]time.Time{} // when a job was last answered for, by its id
 	for end := begun.Add(secondsOf(args.words[0])); time.Now().Before(end); time.Sleep(interval) {
 		for _, id := range w.checker.AcceptedJobs() {
 			everywhere, err := w.answeredEverywhere(ctx, id)
@@ -93,7 +95,7 @@
 }
 
 // answeredEverywhere reports whether every controller that runs answers for a job.
-func (w *world) answeredEverywhere(ctx context.Context, id string) (bool, error) {
+func (w *world) answeredEverywhere(ctx context.Context, id wire.JobID) (bool, error) {
 	everywhere := true
 	for _, member := range w.members {
 		code, _, err := w.poll(ctx, member, id)
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -184,7 +184,7 @@
 // certain beforehand which of the machines that are drained will be empty by a step.
 func (w *world) pick(_ context.Context, args arguments) error {
 	name, job, machines := args.words[0], args.words[1], strings.Split(args.words[2], ",")
-	busy := slices.Collect(maps.Values(w.checker.Placements(job)))
+	busy := slices.Collect(maps.Values(w.checker.Placements(wire.JobID(job))))
 	for _, machine := range slices.Backward(machines) {
 		id := wire.MachineID(machine)
 		if slices.Contains(busy, id) {
--- a/internal/scenario/jobs.go
+++ b/internal/scenario/jobs.go
@@ -69,7 +69,7 @@
 // parseJob parses the id and the fields of a job.
 func (w *world) parseJob(words []string) (submission, error) {
 	s := submission{run: defaultRun, job: wire.Job{
-		ID: words[0], Class: "work", Team: defaultTeam, Kind: wire.KindArray, PriorityName: "normal",
+		ID: wire.JobID(words[0]), Class: "work", Team: defaultTeam, Kind: wire.KindArray, PriorityName: "normal",
 		Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, AllowSpot: true, EstimateS: defaultRun.Seconds(),
 	}}
 	for _, field := range words[1:] {
@@ -113,7 +113,7 @@
 
 func (w *world) pollJob(ctx context.Context, args arguments) error {
 	_, member := w.cutMember(args.words)
-	code, status, err := w.poll(ctx, member, args.words[0])
+	code, status, err := w.poll(ctx, member, wire.JobID(args.words[0]))
 	if err != nil {
 		return err
 	}
@@ -122,7 +122,7 @@
 
 func (w *world) withdraw(ctx context.Context, args arguments) error {
 	_, member := w.cutMember(args.words)
-	id := args.words[0]
+	id := wire.JobID(args.words[0])
 	w.checker.CancelRequested(id)
 	code, status, err := w.askToCancel(ctx, member, id)
 	if err != nil {
@@ -132,13 +132,13 @@
 }
 
 func (w *world) accept(ctx context.Context, args arguments) error {
-	return w.retry(args.words[0], func(member string) error {
+	return w.retry(wire.JobID(args.words[0]), func(member string) error {
 		return w.submit(ctx, arguments{words: append(slices.Clone(args.words), "at", member)})
 	})
 }
 
 func (w *world) cancelJob(ctx context.Context, args arguments) error {
-	id := args.words[0]
+	id := wire.JobID(args.words[0])
 	w.checker.CancelRequested(id)
 	return w.retry(id, func(member string) error {
 		code, status, err := w.askToCancel(ctx, member, id)
@@ -150,7 +150,7 @@
 }
 
 // retry repeats a request at one controller after another until it is carried out.
-func (w *world) retry(id string, request func(member string) error) (err error) {
+func (w *world) retry(id wire.JobID, request func(member string) error) (err error) {
 	const tries = 60
 	for try := range tries {
 		err = request(w.members[try%len(w.members)])
@@ -170,7 +170,7 @@
 	for _, id := range args.words[1:] {
 		go func() {
 			for round := 0; time.Now().Before(end) && ctx.Err() == nil; round++ {
-				w.pollEverywhere(ctx, id, round%len(w.members))
+				w.pollEverywhere(ctx, wire.JobID(id), round%len(w.members))
 				time.Sleep(interval)
 			}
 		}()
@@ -180,7 +180,7 @@
 
 // pollEverywhere asks for a job at every controller; at one of them the user submits it again instead, once it is
 // accepted. The checker hears the responses; which they are does not matter here.
-func (w *world) pollEverywhere(ctx context.Context, id string, submitAt int) {
+func (w *world) pollEverywhere(ctx context.Context, id wire.JobID, submitAt int) {
 	for i, member := range w.members {
 		job, known := w.checker.Job(id)
 		if !known {
@@ -204,8 +204,8 @@
 	every := secondsOf(args.words[0])
 	end := time.Now().Add(secondsOf(args.words[1]))
 	for i := 0; time.Now().Before(end); i++ {
-		id := fmt.Sprintf("run-%06d", firstID+i)
-		job, err := w.submitted(append([]string{id}, args.words[2:]...))
+		id := wire.JobID(fmt.Sprintf("run-%06d", firstID+i))
+		job, err := w.submitted(append([]string{string(id)}, args.words[2:]...))
 		if err != nil {
 			return err
 		}
@@ -224,7 +224,7 @@
 }
 
 // cancelUntilConfirmed asks for a cancellation at one controller after another, from that with the index first on.
-func (w *world) cancelUntilConfirmed(ctx context.Context, id string, first int) {
+func (w *world) cancelUntilConfirmed(ctx context.Context, id wire.JobID, first int) {
 	const tries = 60
 	for try := 0; try < tries && ctx.Err() == nil; try++ {
 		member := w.members[(first+try)%len(w.members)]
@@ -239,13 +239,13 @@
 type userRequest struct {
 	method string
 	path   string
-	job    string // its id
-	body   any    // nil: none
+	job    wire.JobID // its id
+	body   any        // nil: none
 }
 
 // poll asks for a job at a controller.
-func (w *world) poll(ctx context.Context, member, id string) (code int, status string, err error) {
-	return w.ask(ctx, member, userRequest{method: http.MethodGet, path: wire.PathJobs + "/" + id, job: id})
+func (w *world) poll(ctx context.Context, member string, id wire.JobID) (code int, status string, err error) {
+	return w.ask(ctx, member, userRequest{method: http.MethodGet, path: wire.PathJobs + "/" + string(id), job: id})
 }
 
 // askToSubmit submits a job at a controller.
@@ -254,8 +254,8 @@
 }
 
 // askToCancel asks a controller to cancel a job.
-func (w *world) askToCancel(ctx context.Context, member, id string) (code int, status string, err error) {
-	path := wire.PathJobs + "/" + id + "/" + wire.ActionCancel
+func (w *world) askToCancel(ctx context.Context, member string, id wire.JobID) (code int, status string, err error) {
+	path := wire.PathJobs + "/" + string(id) + "/" + wire.ActionCancel
 	return w.ask(ctx, member, userRequest{method: http.MethodPost, path: path, job: id})
 }
 
--- a/internal/scheduler/candidates_test.go
+++ b/internal/scheduler/candidates_test.go
@@ -18,7 +18,7 @@
 	for _, c := range []struct {
 		name    string
 		machine *snapshot.Machine // beside a busy one
-		job     string
+		job     wire.JobID
 		want    []string
 	}{
 		{"for the job", reserved, "run-1", []string{"run-1 n-2 x1"}},
--- a/internal/scheduler/estimate.go
+++ b/internal/scheduler/estimate.go
@@ -12,7 +12,7 @@
 // job are similar.
 type runHistories struct {
 	size  int // the paper's k: how many run times are kept for each machine
-	byJob map[string]*runHistory
+	byJob map[wire.JobID]*runHistory
 }
 
 // runHistory holds the newest run times of one job's tasks.
@@ -23,7 +23,7 @@
 
 // newRunHistories returns histories of so many run times for each machine.
 func newRunHistories(size int) runHistories {
-	return runHistories{size: size, byJob: map[string]*runHistory{}}
+	return runHistories{size: size, byJob: map[wire.JobID]*runHistory{}}
 }
 
 // record adds a completed run to its job's history.
@@ -44,7 +44,7 @@
 }
 
 // forgetAllBut drops the histories of all jobs that are not in the set.
-func (h *runHistories) forgetAllBut(jobs map[string]bool) {
+func (h *runHistories) forgetAllBut(jobs map[wire.JobID]bool) {
 	for id := range h.byJob {
 		if !jobs[id] {
 			delete(h.byJob, id)
@@ -53,11 +53,11 @@
 }
 
 // any reports whether a task of the job has run.
-func (h *runHistories) any(job string) bool { return h.byJob[job] != nil }
+func (h *runHistories) any(job wire.JobID) bool { return h.byJob[job] != nil }
 
 // expected returns the mean of the newest run times of the job's tasks on the machine, or else on any machine; where
 // none has run, unknown.
-func (h *runHistories) expected(job string, machine wire.MachineID, unknown micros.Duration) micros.Duration {
+func (h *runHistories) expected(job wire.JobID, machine wire.MachineID, unknown micros.Duration) micros.Duration {
 	history := h.byJob[job]
 	if history == nil {
 		return unknown
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -7,6 +7,7 @@
 
 	"saffronbend/internal/micros"
 	"saffronbend/internal/snapshot"
+	"saffronbend/wire"
 )
 
 // This file is the order in which jobs are decided on. The paper leaves it to each framework's priorities (II.B);
@@ -30,7 +31,7 @@
 
 // buildQueue queues the snapshot's jobs that have tasks to place, of our teams. A round that ran out of time continues
 // with the job that it stopped at, if that is still queued.
-func (s *Scheduler) buildQueue(resumeAt string) {
+func (s *Scheduler) buildQueue(resumeAt wire.JobID) {
 	s.queue, s.next = nil, 0
 	for _, job := range s.snapshot.Jobs {
 		placeable := s.snapshot.PlaceableTasks(job)
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -32,7 +32,7 @@
 // Of two jobs for one machine, the one that goes first gets it.
 func TestJobOrder(t *testing.T) {
 	const soon, later, passed = now + 60*1e6, now + 600*1e6, now - 60*1e6
-	job := func(id string, priority wire.Priority, gang bool, deadline micros.Timestamp) *snapshot.Job {
+	job := func(id wire.JobID, priority wire.Priority, gang bool, deadline micros.Timestamp) *snapshot.Job {
 		job := testJob(id, 1)
 		job.Priority, job.Gang, job.Deadline = priority, gang, deadline
 		return job
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -39,13 +39,13 @@
 	machines     []*machineState // in the snapshot's order
 	machinesByID map[wire.MachineID]*machineState
 	queue        []*queuedJob
-	next         int               // index in the queue of the job that is decided on next
-	teamOfJob    map[string]string // with rebalancing
-	waitingTeams map[string]bool   // teams that have tasks to place, with rebalancing
+	next         int                   // index in the queue of the job that is decided on next
+	teamOfJob    map[wire.JobID]string // with rebalancing
+	waitingTeams map[string]bool       // teams that have tasks to place, with rebalancing
 
 	// Kept from one snapshot to the next.
-	requiredVersion uint64                      // snapshots of a lower version don't show what was granted to us
-	skippedSince    map[string]micros.Timestamp // by job; on our clock
+	requiredVersion uint64                          // snapshots of a lower version don't show what was granted to us
+	skippedSince    map[wire.JobID]micros.Timestamp // by job; on our clock
 	runs            runHistories
 }
 
@@ -55,7 +55,7 @@
 		member:       member,
 		tuning:       tuning,
 		machinesByID: map[wire.MachineID]*machineState{},
-		skippedSince: map[string]micros.Timestamp{},
+		skippedSince: map[wire.JobID]micros.Timestamp{},
 		runs:         newRunHistories(tuning.RunHistory),
 	}
 }
@@ -104,7 +104,7 @@
 	if latest.Version < s.requiredVersion {
 		return
 	}
-	var resumeAt string
+	var resumeAt wire.JobID
 	if s.Unfinished() {
 		resumeAt = s.queue[s.next].ID
 	}
@@ -117,7 +117,7 @@
 
 // forgetFinishedJobs drops what is kept of jobs that the snapshot no longer has.
 func (s *Scheduler) forgetFinishedJobs() {
-	open := make(map[string]bool, len(s.snapshot.Jobs))
+	open := make(map[wire.JobID]bool, len(s.snapshot.Jobs))
 	for _, job := range s.snapshot.Jobs {
 		open[job.ID] = true
 	}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -42,7 +42,7 @@
 }
 
 // testJob returns a job with so many waiting tasks, each of which fills a machine.
-func testJob(id string, waiting int) *snapshot.Job {
+func testJob(id wire.JobID, waiting int) *snapshot.Job {
 	return &snapshot.Job{ID: id, Team: "red", Vector: testTask, Image: "img", ImageGB: 1, Waiting: waiting, Priority: 1,
 		Estimate: 10 * micros.Second, AcceptedAt: now, WaitingSince: now}
 }
@@ -98,7 +98,7 @@
 	for range 3 {
 		jobs := 0
 		for _, transaction := range s.Round(now, func() bool { jobs++; return jobs > 1 }) {
-			got = append(got, transaction.Requests[0].Job)
+			got = append(got, string(transaction.Requests[0].Job))
 		}
 	}
 	requireRequests(t, got, "run-1", "run-2", "run-3")
--- a/internal/scheduler/team_cap.go
+++ b/internal/scheduler/team_cap.go
@@ -1,6 +1,9 @@
 package scheduler
 
-import "saffronbend/internal/resources"
+import (
+	"saffronbend/internal/resources"
+	"saffronbend/wire"
+)
 
 // This file keeps a team from filling a machine while other teams wait, where other candidates are as good by the
 // ordinary path (docs/design.md, "Spread"). It is an order among candidates and nothing more: no room stays empty for
@@ -11,7 +14,7 @@
 	if !s.tuning.Rebalancing.Enabled {
 		return
 	}
-	s.teamOfJob, s.waitingTeams = make(map[string]string, len(s.snapshot.Jobs)), map[string]bool{}
+	s.teamOfJob, s.waitingTeams = make(map[wire.JobID]string, len(s.snapshot.Jobs)), map[string]bool{}
 	for _, job := range s.snapshot.Jobs {
 		s.teamOfJob[job.ID] = job.Team
 		if s.snapshot.PlaceableTasks(job) > 0 {
--- a/internal/scheduler/waiting.go
+++ b/internal/scheduler/waiting.go
@@ -6,6 +6,7 @@
 
 	"saffronbend/internal/micros"
 	"saffronbend/internal/snapshot"
+	"saffronbend/wire"
 )
 
 // This file is the paper's waiting for a busy machine (III.C): leases show when it will be free, and a task waits for
@@ -57,7 +58,7 @@
 }
 
 // waiter returns the job that waits for a lease's end; "": none, or no longer.
-func (s *Scheduler) waiter(lease *snapshot.Lease) string {
+func (s *Scheduler) waiter(lease *snapshot.Lease) wire.JobID {
 	if s.snapshot.Now >= lease.WaiterUntil {
 		return ""
 	}
--- a/internal/scheduler/waiting_test.go
+++ b/internal/scheduler/waiting_test.go
@@ -5,6 +5,7 @@
 
 	"saffronbend/internal/micros"
 	"saffronbend/internal/snapshot"
+	"saffronbend/wire"
 )
 
 // The paper's order: a free machine with the image, then the place after a lease that ends before a fetch would, which
@@ -53,9 +54,10 @@
 // over.
 func TestOneWaiterForALease(t *testing.T) {
 	for _, c := range []struct {
-		name, waiter string
-		waiterUntil  micros.Timestamp
-		want         []string
+		name        string
+		waiter      wire.JobID
+		waiterUntil micros.Timestamp
+		want        []string
 	}{
 		{"the job waits already", "run-1", now.Add(25 * micros.Second), nil},
 		{"another job waits", "run-8", now.Add(25 * micros.Second), []string{"run-1 n-3 x1"}},
--- a/internal/snapshot/job.go
+++ b/internal/snapshot/job.go
@@ -8,7 +8,7 @@
 
 // Job is a job with tasks that wait or that may run, as schedulers and the fleet see it.
 type Job struct {
-	ID       string        `json:"id"`
+	ID       wire.JobID    `json:"id"`
 	Class    string        `json:"class"`
 	Team     string        `json:"team"`
 	Priority wire.Priority `json:"prio"`
@@ -57,7 +57,7 @@
 
 // CompletedRun is a run with a result, from which schedulers learn how long tasks take on which machines.
 type CompletedRun struct {
-	Job     string          `json:"job"`
+	Job     wire.JobID      `json:"job"`
 	Class   string          `json:"class"`
 	Team    string          `json:"team"`
 	Machine wire.MachineID  `json:"machine"`
--- a/internal/snapshot/machine.go
+++ b/internal/snapshot/machine.go
@@ -23,7 +23,7 @@
 	// Reserved is room that is reserved for tasks of jobs. It is not part of the free resources.
 	Reserved []Reservation `json:"r,omitempty"`
 	// ReservedForJob names the job that has waited long and that alone gets new room here; empty: none.
-	ReservedForJob string `json:"k,omitempty"`
+	ReservedForJob wire.JobID `json:"k,omitempty"`
 	// Images are in the machine's cache, by name.
 	Images []string `json:"i,omitempty"`
 	// Fetching holds images that are being fetched, by name: tasks that need them share the fetch.
@@ -54,15 +54,15 @@
 
 // Reservation is room on a machine that is reserved for tasks of a job.
 type Reservation struct {
-	Job string `json:"j"`
+	Job wire.JobID `json:"j"`
 	resources.Vector
 }
 
 // JobLeases holds the leases of a job's tasks on a machine.
 type JobLeases struct {
-	Job              string  `json:"j"`
-	resources.Vector         // of each task
-	Leases           []Lease `json:"l"`
+	Job              wire.JobID `json:"j"`
+	resources.Vector            // of each task
+	Leases           []Lease    `json:"l"`
 }
 
 // Lease is the lease of one attempt.
@@ -71,7 +71,7 @@
 	// Expiry is when the scheduler expects the attempt to have ended. Nothing is stopped then.
 	Expiry micros.Timestamp `json:"e"`
 	// Waiter is the job that waits for the lease's end, until WaiterUntil at the latest; empty: none.
-	Waiter      string           `json:"w,omitempty"`
+	Waiter      wire.JobID       `json:"w,omitempty"`
 	WaiterUntil micros.Timestamp `json:"u,omitempty"`
 	// ExpectedEnd is, for the fleet, when the run should end by the owner's estimate.
 	ExpectedEnd micros.Timestamp `json:"-"`
--- a/internal/snapshot/update.go
+++ b/internal/snapshot/update.go
@@ -44,7 +44,7 @@
 		next.Machines, next.Jobs = base.Machines, base.Jobs
 	}
 	next.Machines = merge(next.Machines, update.Machines, update.Removed, func(m *Machine) string { return string(m.ID) })
-	next.Jobs = merge(next.Jobs, update.Jobs, update.Removed, func(j *Job) string { return j.ID })
+	next.Jobs = merge(next.Jobs, update.Jobs, update.Removed, func(j *Job) string { return string(j.ID) })
 	r.snapshot = next
 	return next
 }
--- a/internal/snapshot/update_test.go
+++ b/internal/snapshot/update_test.go
@@ -19,7 +19,7 @@
 		ids = append(ids, string(machine.ID))
 	}
 	for _, job := range s.Jobs {
-		ids = append(ids, job.ID)
+		ids = append(ids, string(job.ID))
 	}
 	return strings.Join(ids, " ")
 }
--- a/internal/state/keys.go
+++ b/internal/state/keys.go
@@ -38,31 +38,33 @@
 )
 
 // JobStatusKey returns the key of a job's JobStatusRecord.
-func JobStatusKey(jobID string) string { return jobStatusPrefix + jobID }
+func JobStatusKey(jobID wire.JobID) string { return jobStatusPrefix + string(jobID) }
 
 // OpenJobKey returns the key of a job's OpenJobRecord.
-func OpenJobKey(jobID string) string { return OpenJobPrefix + jobID }
+func OpenJobKey(jobID wire.JobID) string { return OpenJobPrefix + string(jobID) }
 
 // ProgressKey returns the key of the ProgressRecord of a shard of a job's tasks.
-func ProgressKey(jobID string, shard int) string { return ProgressPrefix + shardName(jobID, shard) }
+func ProgressKey(jobID wire.JobID, shard int) string { return ProgressPrefix + shardName(jobID, shard) }
 
 // ParseProgressKey is the inverse of ProgressKey. ok is false for any other key.
-func ParseProgressKey(key string) (jobID string, shard int, ok bool) {
+func ParseProgressKey(key string) (jobID wire.JobID, shard int, ok bool) {
 	return parseShardKey(ProgressPrefix, key)
 }
 
 // DisruptionKey returns the key of the DisruptionRecord of a shard of a job's tasks.
-func DisruptionKey(jobID string, shard int) string { return DisruptionPrefix + shardName(jobID, shard) }
+func DisruptionKey(jobID wire.JobID, shard int) string {
+	return DisruptionPrefix + shardName(jobID, shard)
+}
 
 // ParseDisruptionKey is the inverse of DisruptionKey. ok is false for any other key.
-func ParseDisruptionKey(key string) (jobID string, shard int, ok bool) {
+func ParseDisruptionKey(key string) (jobID wire.JobID, shard int, ok bool) {
 	return parseShardKey(DisruptionPrefix, key)
 }
 
 // shardName names a shard of a job's tasks as a task is named: there are no more shards than tasks.
-func shardName(jobID string, shard int) string { return wire.TaskName(jobID, shard) }
+func shardName(jobID wire.JobID, shard int) string { return wire.TaskName(jobID, shard) }
 
-func parseShardKey(prefix, key string) (jobID string, shard int, ok bool) {
+func parseShardKey(prefix, key string) (jobID wire.JobID, shard int, ok bool) {
 	name, found := strings.CutPrefix(key, prefix)
 	if !found {
 		return "", 0, false
--- a/internal/state/keys_test.go
+++ b/internal/state/keys_test.go
@@ -24,9 +24,18 @@
 	}
 }
 
+// asText returns a parser whose result can be compared with those of the others.
+func asText[T ~string](parse func(string) (T, int, bool)) func(string) (string, int, bool) {
+	return func(key string) (string, int, bool) {
+		name, number, ok := parse(key)
+		return string(name), number, ok
+	}
+}
+
 func TestParseKeys(t *testing.T) {
 	parsers := map[string]func(string) (string, int, bool){
-		"progress": ParseProgressKey, "disruption": ParseDisruptionKey, "drain's machines": ParseDrainMachinesKey,
+		"progress": asText(ParseProgressKey), "disruption": asText(ParseDisruptionKey),
+		"drain's machines": ParseDrainMachinesKey,
 	}
 	cases := []struct {
 		parser, key string
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -127,12 +127,12 @@
 	for _, e := range production(t) {
 		switch e.Kind {
 		case "status", "open", "chunk":
-			var id string
+			var id wire.JobID
 			n := 0
 			if e.Kind == "chunk" {
 				id, n, _ = state.ParseProgressKey(e.Key)
 			} else {
-				id = e.Key[len(e.Key)-len("run-000001"):]
+				id = wire.JobID(e.Key[len(e.Key)-len("run-000001"):])
 			}
 			want := map[string]string{
 				"status": state.JobStatusKey(id),
@@ -292,7 +292,7 @@
 }
 
 // grant requests leases on a machine and returns how many are granted.
-func (o *takeover) grant(job string, machine wire.MachineID, n int) int {
+func (o *takeover) grant(job wire.JobID, machine wire.MachineID, n int) int {
 	request := lease.Request{Job: job, Machine: machine, Count: n}
 	return o.manager.Grant(now, lease.Transaction{Requests: []lease.Request{request}}).Granted[0]
 }
@@ -322,7 +322,7 @@
 // checkJobs checks the jobs that the new leader knows.
 func checkJobs(t *testing.T, leader *takeover) {
 	t.Helper()
-	jobs := map[string]*snapshot.Job{}
+	jobs := map[wire.JobID]*snapshot.Job{}
 	for _, j := range leader.manager.Snapshot(now).Jobs {
 		jobs[j.ID] = j
 	}
--- a/services.go
+++ b/services.go
@@ -96,7 +96,7 @@
 }
 
 // Progress implements api.Info.
-func (i *info) Progress(job string) (done, running int) { return i.health.Progress(job) }
+func (i *info) Progress(job wire.JobID) (done, running int) { return i.health.Progress(job) }
 
 // Healthy implements api.Info. A controller that the store refuses alone is unhealthy, unless it leads.
 func (i *info) Healthy() bool {
--- a/wire/identifiers.go
+++ b/wire/identifiers.go
@@ -26,3 +26,8 @@
 // MachineID identifies a machine, such as n-000231. The cloud issues it with the rental and never again. Where machines
 // are sorted it is by the identifier's bytes, which says nothing of their age. Empty: none.
 type MachineID string
+
+// JobID identifies a job, such as run-000412. The user who submits the job chooses it, and one that was used is never
+// another job's: a repeated submission is recognized by it. Where jobs are sorted it is by the identifier's bytes,
+// which says nothing of their age. Empty: none.
+type JobID string
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -46,7 +46,7 @@
 
 // Job is a submission: the body of a request to PathJobs. Amounts are per task.
 type Job struct {
-	ID           string   `json:"id"`
+	ID           JobID    `json:"id"`
 	Class        string   `json:"lane"`  // its service-level objective is in the settings
 	Team         string   `json:"owner"` // whose quota applies
 	Kind         JobKind  `json:"shape"`
@@ -93,7 +93,7 @@
 
 // JobStatus is the response to a submission, a poll or a cancellation.
 type JobStatus struct {
-	ID    string   `json:"id"`
+	ID    JobID    `json:"id"`
 	State JobState `json:"status"`
 	// Counts of tasks, for display; nil for a job in a final state.
 	DoneTasks    *int `json:"done,omitempty"`
@@ -101,9 +101,9 @@
 }
 
 // ValidJobID reports whether an ID has the form run-000412.
-func ValidJobID(id string) bool {
+func ValidJobID(id JobID) bool {
 	const maxDigits = 18
-	digits, ok := strings.CutPrefix(id, "run-")
+	digits, ok := strings.CutPrefix(string(id), "run-")
 	if !ok || len(digits) < 1 || len(digits) > maxDigits {
 		return false
 	}
@@ -116,11 +116,12 @@
 }
 
 // TaskName returns the name of a job's task, such as run-000412/3. Indexes begin at 0.
-func TaskName(jobID string, index int) string { return jobID + "/" + strconv.Itoa(index) }
+func TaskName(jobID JobID, index int) string { return string(jobID) + "/" + strconv.Itoa(index) }
 
 // ParseTaskName is the inverse of TaskName. ok is false for what no task can be called.
-func ParseTaskName(name string) (jobID string, index int, ok bool) {
-	jobID, digits, found := strings.Cut(name, "/")
+func ParseTaskName(name string) (jobID JobID, index int, ok bool) {
+	job, digits, found := strings.Cut(name, "/")
+	jobID = JobID(job)
 	if !found || !ValidJobID(jobID) {
 		return "", 0, false
 	}
--- a/wire/jobs_test.go
+++ b/wire/jobs_test.go
@@ -18,8 +18,8 @@
 }
 
 func TestValidJobID(t *testing.T) {
-	cases := map[string]bool{
-		"run-0": true, "run-" + strings.Repeat("9", 18): true, "run-" + strings.Repeat("9", 19): false,
+	cases := map[JobID]bool{
+		"run-0": true, JobID("run-" + strings.Repeat("9", 18)): true, JobID("run-" + strings.Repeat("9", 19)): false,
 		"": false, "run-": false, "run--1": false, "run-1 ": false, "Run-1": false, "run-٣": false,
 	}
 	for id, want := range cases {
