--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -65,7 +65,7 @@
 			return
 		}
 		if err := a.writeCancellation(ctx, job); err != nil {
-			a.log.Debug("cancellation not carried out yet", "job", job, "err", err)
+			a.log.Debug("cancellation not carried out yet", "job", job, "error", err)
 		}
 	}
 	refuseForNow(w, outcomeUnknown)
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -69,7 +69,7 @@
 		Job: *job, AcceptedAt: a.unixMicro(), ShardSize: state.ProgressShardSize(job.Kind, maxValueKB),
 	}, wire.JobPending)
 	if err != nil {
-		a.log.Error("a record can't be encoded", "job", job.ID, "err", err)
+		a.log.Error("a record can't be encoded", "job", job.ID, "error", err)
 		refuseForNow(w, "internal error")
 		return
 	}
@@ -86,7 +86,7 @@
 	case errors.Is(err, state.ErrRefused):
 		// The store's limit has been lowered to less than the settings say.
 		a.log.Error("the key-value store refuses a job description",
-			"key", state.OpenJobKey(job.ID), "bytes", len(records.openJob), "err", err)
+			"key", state.OpenJobKey(job.ID), "bytes", len(records.openJob), "error", err)
 		a.refuseTooLong(ctx, w, job.ID)
 	default:
 		// The job has been accepted before, or the outcome is unknown: what is stored decides.
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -77,7 +77,7 @@
 	return false
 }
 
-// Go runs f in a goroutine that Stop waits for. f must end with the loop's context.
+// Go runs f in a goroutine that Stop waits for. f must end soon after the loop's context, whatever becomes of the loop.
 func (l *Loop) Go(f func()) { l.background.Go(f) }
 
 // Background runs f in a goroutine that Stop waits for, with the context that ends with the loop: for work that
--- a/internal/ingress/connlimiter_test.go
+++ b/internal/ingress/connlimiter_test.go
@@ -93,6 +93,25 @@
 	}
 }
 
+// A connection that was closed to make way for another does not count any more.
+func TestConnLimiterForgetsTheConnectionThatItClosed(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		limiter := NewConnLimiter(2)
+		first, second := openIdle(limiter), openIdle(limiter)
+		third, fourth := &closableConn{}, &closableConn{}
+		limiter.ConnState(third, http.StateNew)
+		if !first.closed || second.closed || third.closed {
+			t.Fatalf("closed: %v %v %v, want the first alone", first.closed, second.closed, third.closed)
+		}
+		limiter.ConnState(second, http.StateActive)
+		limiter.ConnState(fourth, http.StateNew)
+		if second.closed || third.closed || !fourth.closed {
+			t.Errorf("closed: %v %v %v, want the newest alone as none is idle",
+				second.closed, third.closed, fourth.closed)
+		}
+	})
+}
+
 // A connection that has carried no request yet is not idle: its first request is on its way.
 func TestConnLimiterKeepsConnectionsWithoutARequest(t *testing.T) {
 	limiter := NewConnLimiter(1)
--- a/internal/leader/drains/records.go
+++ b/internal/leader/drains/records.go
@@ -162,8 +162,8 @@
 	return e.cfg.Writer.CommitAll(ctx, changes)
 }
 
-// prune deletes the pages of a drain that has ended, and the records of the oldest such drains. What can't be deleted
-// now is deleted when a next drain or term ends.
+// prune deletes the pages of a drain that has ended, and the records of the oldest such drains. Records that
+// can't be deleted now are deleted when the next drain ends, pages when the next term begins.
 func (e *Executor) prune(ctx context.Context, record state.DrainRecord) {
 	if drain.State(record.State).Active() {
 		return
--- a/internal/leader/followers.go
+++ b/internal/leader/followers.go
@@ -11,7 +11,7 @@
 	"saffronbend/internal/snapshot"
 )
 
-// followerTimeout is how long after its last lease request a controller that follows keeps its teams.
+// followerTimeout is how long after its last lease request or subscription a follower keeps its teams.
 const followerTimeout = 1500 * micros.Millisecond
 
 // followers are the other controllers as a term knows them: who follows, and which teams each places tasks for. Owned
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -4,7 +4,7 @@
 // scaling. All of these belong to the goroutine of Term.Run; everything else reaches them by the term's event loop.
 // Package leadership starts and ends terms; the controller's services call a term with heartbeats, lease requests,
 // subscriptions and operators' commands, from any goroutine. A term never decides whether it leads: when it finds out
-// that it does not, it calls StepDown of its Config and goes on until its context ends.
+// that it does not, it calls the stepDown function of NewTerm and goes on until its context ends.
 package leader
 
 import (
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -47,9 +47,9 @@
 	RenewLease(ctx context.Context, lease uint64) error
 }
 
-// RateLimits are what this controller may request of the store and the cloud. The leader may request more. They are
-// set by the Driver's goroutine alone: a term that ends while the next has begun must not change the limits of that
-// one.
+// RateLimits are what this controller may request of the store and the cloud. The leader may request more. Once Run
+// runs, the Driver's goroutine alone sets them: a term that ends while the next has begun must not change the limits
+// of that one.
 type RateLimits interface {
 	SetLeading(leading bool)
 }
--- a/internal/openjobs/openjobs.go
+++ b/internal/openjobs/openjobs.go
@@ -1,6 +1,6 @@
 // Package openjobs follows the records of open jobs in the key-value store, and holds the resolved timestamp up to
 // which a controller knows all cancellations. The leader's term and the lease renewer of a follower use it; each runs
-// Watch in a goroutine of its own and owns its ResolvedTimestamp. The package writes nothing.
+// a Watcher in a goroutine of its own and owns its ResolvedTimestamp. The package writes nothing.
 package openjobs
 
 import (
@@ -41,7 +41,7 @@
 	Removed    []wire.JobID // jobs whose record was deleted
 }
 
-// Store is the part of the key-value store that Watch reads.
+// Store is the part of the key-value store that a Watcher reads.
 type Store interface {
 	List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error)
 	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (*wire.WatchResponse, error)
