--- a/internal/api/feasibility.go
+++ b/internal/api/feasibility.go
@@ -46,9 +46,9 @@
 	return nil
 }
 
-func teamNamed(teams []settings.Team, name string) *settings.Team {
+func teamNamed(teams []settings.Team, name wire.TeamName) *settings.Team {
 	for i := range teams {
-		if teams[i].Name == name {
+		if wire.TeamName(teams[i].Name) == name {
 			return &teams[i]
 		}
 	}
--- a/internal/disruption/ledger.go
+++ b/internal/disruption/ledger.go
@@ -42,7 +42,7 @@
 // Disruption is a task whose running attempt was stopped or lost and whose successor doesn't run yet.
 type Disruption struct {
 	Task    Task
-	Team    string
+	Team    wire.TeamName
 	Attempt wire.AttemptID // the attempt that was stopped or lost
 	Cause   Cause
 	Since   micros.Timestamp
@@ -51,13 +51,13 @@
 // Ledger holds the open disruptions. A nil *Ledger is valid: it records nothing and counts nothing.
 type Ledger struct {
 	open   map[Task]Disruption
-	byTeam map[string]int
+	byTeam map[wire.TeamName]int
 	byJob  map[wire.JobID]map[int]bool
 }
 
 // NewLedger returns a ledger without disruptions.
 func NewLedger() *Ledger {
-	return &Ledger{open: map[Task]Disruption{}, byTeam: map[string]int{}, byJob: map[wire.JobID]map[int]bool{}}
+	return &Ledger{open: map[Task]Disruption{}, byTeam: map[wire.TeamName]int{}, byJob: map[wire.JobID]map[int]bool{}}
 }
 
 // Begin opens a disruption and reports whether it did. It does nothing if the task is disrupted already: whatever
@@ -124,7 +124,7 @@
 }
 
 // CountForTeam returns how many of a team's tasks are disrupted.
-func (l *Ledger) CountForTeam(team string) int {
+func (l *Ledger) CountForTeam(team wire.TeamName) int {
 	if l == nil {
 		return 0
 	}
--- a/internal/disruption/ledger_test.go
+++ b/internal/disruption/ledger_test.go
@@ -12,7 +12,7 @@
 // ledgerModel is what a ledger should hold: the attempt of each disrupted task.
 type ledgerModel map[Task]wire.AttemptID
 
-var teamOfJob = map[wire.JobID]string{"run-1": "red", "run-2": "red", "run-3": "blue"}
+var teamOfJob = map[wire.JobID]wire.TeamName{"run-1": "red", "run-2": "red", "run-3": "blue"}
 
 // Whatever begins and ends, in whatever order and however often: each task counts once, and the counts match the
 // entries.
@@ -58,7 +58,7 @@
 
 // check compares the ledger's entries and counts with the model's, and the entries of one job.
 func (m ledgerModel) check(t *rapid.T, ledger *Ledger, job wire.JobID) {
-	byTeam := map[string]int{}
+	byTeam := map[wire.TeamName]int{}
 	tasksOfJob := 0
 	for task, attempt := range m {
 		byTeam[teamOfJob[task.Job]]++
@@ -69,7 +69,7 @@
 			t.Fatalf("%v: %v, %v", task, disrupted, ok)
 		}
 	}
-	for _, team := range []string{"red", "blue"} {
+	for _, team := range []wire.TeamName{"red", "blue"} {
 		if got := ledger.CountForTeam(team); got != byTeam[team] {
 			t.Fatalf("%d disrupted tasks of %s, want %d", got, team, byTeam[team])
 		}
--- a/internal/drain/budgets.go
+++ b/internal/drain/budgets.go
@@ -1,6 +1,10 @@
 package drain
 
-import "maps"
+import (
+	"maps"
+
+	"saffronbend/wire"
+)
 
 // TeamUsage counts a team's tasks.
 type TeamUsage struct {
@@ -10,13 +14,13 @@
 
 // RemainingBudgets returns by team how many more tasks may be disrupted now. The given usage replaces that of the
 // last round.
-func (p *Planner) RemainingBudgets(usage map[string]TeamUsage) map[string]int {
+func (p *Planner) RemainingBudgets(usage map[wire.TeamName]TeamUsage) map[wire.TeamName]int {
 	p.teamUsage = maps.Clone(usage)
 	return p.remainingBudgets()
 }
 
-func (p *Planner) remainingBudgets() map[string]int {
-	remaining := make(map[string]int, len(p.teamUsage))
+func (p *Planner) remainingBudgets() map[wire.TeamName]int {
+	remaining := make(map[wire.TeamName]int, len(p.teamUsage))
 	for team, usage := range p.teamUsage {
 		remaining[team] = max(0, p.allowedDisruptions(team)-usage.Disrupted)
 	}
@@ -25,7 +29,7 @@
 
 // allowedDisruptions returns how many of a team's tasks may be disrupted at once: the smallest of the configured
 // budget and those of all active drains.
-func (p *Planner) allowedDisruptions(team string) int {
+func (p *Planner) allowedDisruptions(team wire.TeamName) int {
 	budget, configured := p.cfg.TeamBudgets[team]
 	if !configured {
 		budget = p.cfg.DefaultBudget
--- a/internal/drain/helpers_test.go
+++ b/internal/drain/helpers_test.go
@@ -26,7 +26,7 @@
 // newPlanner returns a planner for two teams with the same budget and a step of two machines.
 func newPlanner(tb testing.TB, budget string) *Planner {
 	tb.Helper()
-	return New(Config{Teams: []string{"red", "blue"}, DefaultBudget: parseBudget(tb, budget), StepSize: 2})
+	return New(Config{Teams: []wire.TeamName{"red", "blue"}, DefaultBudget: parseBudget(tb, budget), StepSize: 2})
 }
 
 // begin prepares a drain and applies it as if its record had become durable.
@@ -42,7 +42,7 @@
 }
 
 // newAttempt returns an attempt that can be evicted.
-func newAttempt(job wire.JobID, index int, team string) Attempt {
+func newAttempt(job wire.JobID, index int, team wire.TeamName) Attempt {
 	return Attempt{
 		Task:           disruption.Task{Job: job, Index: index},
 		Team:           team,
--- a/internal/drain/planner.go
+++ b/internal/drain/planner.go
@@ -39,17 +39,17 @@
 
 // Config holds the settings of the planner.
 type Config struct {
-	Teams         []string                     // all teams of the deployment
-	DefaultBudget disruption.Budget            // of a team without an entry in TeamBudgets
-	TeamBudgets   map[string]disruption.Budget // by team
-	StepSize      int                          // machines emptied at the same time, unless a request says otherwise
+	Teams         []wire.TeamName                     // all teams of the deployment
+	DefaultBudget disruption.Budget                   // of a team without an entry in TeamBudgets
+	TeamBudgets   map[wire.TeamName]disruption.Budget // by team
+	StepSize      int                                 // machines emptied at the same time, unless a request says otherwise
 }
 
 // Planner holds the drains of a leader's term and decides on evictions.
 type Planner struct {
 	cfg       Config
-	drains    map[string]*trackedDrain // by name, the ended ones that are still listed included
-	teamUsage map[string]TeamUsage     // as of the last round, with the evictions since
+	drains    map[string]*trackedDrain    // by name, the ended ones that are still listed included
+	teamUsage map[wire.TeamName]TeamUsage // as of the last round, with the evictions since
 	cordons   map[wire.MachineID]bool
 	shortage  string // why there is no room for replacements, as operators see it
 }
@@ -59,9 +59,9 @@
 	record   state.DrainRecord
 	version  uint64 // of the record, for its next compare-and-swap
 	machines []wire.MachineID
-	budgets  map[string]disruption.Budget // by team
-	emptying map[wire.MachineID]bool      // machines of the present step
-	gone     map[wire.MachineID]bool      // machines that no longer exist
+	budgets  map[wire.TeamName]disruption.Budget // by team
+	emptying map[wire.MachineID]bool             // machines of the present step
+	gone     map[wire.MachineID]bool             // machines that no longer exist
 	// The remaining fields are those of the last round, for the status.
 	blocked   []BlockedEviction
 	tasksLeft int
@@ -80,7 +80,7 @@
 	return &Planner{
 		cfg:       cfg,
 		drains:    map[string]*trackedDrain{},
-		teamUsage: map[string]TeamUsage{},
+		teamUsage: map[wire.TeamName]TeamUsage{},
 		cordons:   map[wire.MachineID]bool{},
 	}
 }
@@ -88,7 +88,7 @@
 // Apply applies a drain's durable record of the given version. The machines are nil if they haven't changed since the
 // last record. An error says that a budget in the record can't be parsed; it wraps disruption.ErrInvalidBudget.
 func (p *Planner) Apply(record state.DrainRecord, machines []wire.MachineID, version uint64) error {
-	budgets := map[string]disruption.Budget{}
+	budgets := map[wire.TeamName]disruption.Budget{}
 	for team, text := range record.Budgets {
 		budget, err := disruption.ParseBudget(text)
 		if err != nil {
--- a/internal/drain/property_test.go
+++ b/internal/drain/property_test.go
@@ -12,20 +12,20 @@
 	"saffronbend/wire"
 )
 
-var modelTeams = []string{"red", "blue"}
+var modelTeams = []wire.TeamName{"red", "blue"}
 
 // fleetModel is a model of machines whose tasks are evicted, lost and started again elsewhere.
 type fleetModel struct {
-	machines  map[wire.MachineID]map[disruption.Task]string // team by task, by machine
-	disrupted map[disruption.Task]string                    // team by task
-	running   map[string]int                                // tasks by team
+	machines  map[wire.MachineID]map[disruption.Task]wire.TeamName // team by task, by machine
+	disrupted map[disruption.Task]wire.TeamName                    // team by task
+	running   map[wire.TeamName]int                                // tasks by team
 }
 
 // For any fleet, budgets and losses: no eviction exceeds a budget, no machine is deleted before it is empty, and
 // every drain whose budgets allow a task of each team finishes.
 func TestNoBudgetIsBroken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limits := map[string]int{
+		limits := map[wire.TeamName]int{
 			"red":  rapid.IntRange(0, 4).Draw(t, "red"),
 			"blue": rapid.IntRange(1, 4).Draw(t, "blue"),
 		}
@@ -53,8 +53,8 @@
 	})
 }
 
-func budgetsOf(t *rapid.T, limits map[string]int) map[string]disruption.Budget {
-	budgets := map[string]disruption.Budget{}
+func budgetsOf(t *rapid.T, limits map[wire.TeamName]int) map[wire.TeamName]disruption.Budget {
+	budgets := map[wire.TeamName]disruption.Budget{}
 	for team, limit := range limits {
 		budget, err := disruption.ParseBudget(fmt.Sprint(limit))
 		if err != nil {
@@ -68,15 +68,15 @@
 // drawFleet draws machines with tasks of both teams.
 func drawFleet(t *rapid.T) (*fleetModel, []KnownMachine) {
 	model := &fleetModel{
-		machines:  map[wire.MachineID]map[disruption.Task]string{},
-		disrupted: map[disruption.Task]string{},
-		running:   map[string]int{},
+		machines:  map[wire.MachineID]map[disruption.Task]wire.TeamName{},
+		disrupted: map[disruption.Task]wire.TeamName{},
+		running:   map[wire.TeamName]int{},
 	}
 	var known []KnownMachine
 	for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
 		id := wire.MachineID(fmt.Sprintf("n-%02d", i))
 		known = append(known, KnownMachine{ID: id, Zone: "a"})
-		model.machines[id] = map[disruption.Task]string{}
+		model.machines[id] = map[disruption.Task]wire.TeamName{}
 		for k := range rapid.IntRange(0, 5).Draw(t, "tasks") {
 			team := rapid.SampledFrom(modelTeams).Draw(t, "team")
 			model.machines[id][disruption.Task{Job: "run-1", Index: i*10 + k}] = team
@@ -88,7 +88,7 @@
 
 func (f *fleetModel) snapshot(now micros.Timestamp) Snapshot {
 	snapshot := Snapshot{
-		Now: now, Machines: map[wire.MachineID]Machine{}, Teams: map[string]TeamUsage{}, MachinesListed: true,
+		Now: now, Machines: map[wire.MachineID]Machine{}, Teams: map[wire.TeamName]TeamUsage{}, MachinesListed: true,
 	}
 	for _, team := range modelTeams {
 		disrupted := f.disruptedOf(team)
@@ -107,7 +107,7 @@
 	return snapshot
 }
 
-func (f *fleetModel) disruptedOf(team string) int {
+func (f *fleetModel) disruptedOf(team wire.TeamName) int {
 	count := 0
 	for _, other := range f.disrupted {
 		if other == team {
@@ -126,7 +126,7 @@
 }
 
 // round starts successors, loses the tasks of a machine, and lets the planner decide.
-func (f *fleetModel) round(t *rapid.T, planner *Planner, now micros.Timestamp, limits map[string]int) {
+func (f *fleetModel) round(t *rapid.T, planner *Planner, now micros.Timestamp, limits map[wire.TeamName]int) {
 	for task, team := range f.disrupted {
 		if rapid.IntRange(0, 2).Draw(t, "starts") == 0 {
 			delete(f.disrupted, task)
@@ -156,7 +156,7 @@
 }
 
 // evict carries out an eviction, which must be within the budget, and of a task that runs.
-func (f *fleetModel) evict(t *rapid.T, task disruption.Task, limits map[string]int) EvictionOutcome {
+func (f *fleetModel) evict(t *rapid.T, task disruption.Task, limits map[wire.TeamName]int) EvictionOutcome {
 	for id, tasks := range f.machines {
 		team, on := tasks[task]
 		if !on {
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -53,10 +53,10 @@
 	Machines        []wire.MachineID
 	Zone, Type      string
 	OlderThan       micros.Duration
-	Step            int               // machines emptied at the same time, at most MaxStep; 0: the configured size
-	Deadline        micros.Duration   // from the start of the drain; 0: none
-	EvictAtDeadline bool              // after the deadline, evict tasks that can't save their progress, too
-	Budgets         map[string]string // disruption budgets by team, as disruption.ParseBudget parses them
+	Step            int                      // machines emptied at the same time, at most MaxStep; 0: the configured size
+	Deadline        micros.Duration          // from the start of the drain; 0: none
+	EvictAtDeadline bool                     // after the deadline, evict tasks that can't save their progress, too
+	Budgets         map[wire.TeamName]string // disruption budgets by team, as disruption.ParseBudget parses them
 }
 
 // fingerprint identifies what a request asks for, so that a repeated one is recognized as idempotent. It is part of
--- a/internal/drain/request_test.go
+++ b/internal/drain/request_test.go
@@ -33,9 +33,10 @@
 		{name: "a negative deadline", request: Request{Name: "x", Zone: "a", Deadline: -1}, err: ErrNegativeDuration},
 		{name: "a negative age", request: Request{Name: "x", Zone: "a", OlderThan: -1}, err: ErrNegativeDuration},
 		{name: "a budget of an unknown team",
-			request: Request{Name: "x", Zone: "a", Budgets: map[string]string{"green": "1"}}, err: ErrUnknownTeam},
+			request: Request{Name: "x", Zone: "a", Budgets: map[wire.TeamName]string{"green": "1"}}, err: ErrUnknownTeam},
 		{name: "an invalid budget",
-			request: Request{Name: "x", Zone: "a", Budgets: map[string]string{"red": "-1"}}, err: disruption.ErrInvalidBudget},
+			request: Request{Name: "x", Zone: "a", Budgets: map[wire.TeamName]string{"red": "-1"}},
+			err:     disruption.ErrInvalidBudget},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			prepared, err := planner.Prepare(test.request, 0, knownMachines)
@@ -78,7 +79,7 @@
 			Step:            3,
 			Deadline:        1000,
 			EvictAtDeadline: true,
-			Budgets:         map[string]string{"red": "3", "blue": "10%"},
+			Budgets:         map[wire.TeamName]string{"red": "3", "blue": "10%"},
 		}, want: "34ebffab8eb80a552e2bb86d"},
 	} {
 		if got := test.request.fingerprint(); got != test.want {
--- a/internal/drain/round.go
+++ b/internal/drain/round.go
@@ -27,7 +27,7 @@
 	timedOut func() bool // the time budget of the round is spent
 	actions  Actions
 	// needReplacement counts, by team, the tasks in actions.NeedReplacement.
-	needReplacement map[string]int
+	needReplacement map[wire.TeamName]int
 	// tries counts how often room was looked for the tasks of the present machine, of at most triesPerMachine.
 	tries, triesPerMachine int
 }
@@ -35,7 +35,7 @@
 // Plan decides on one round of evictions and scale-in, until timedOut reports that the round's time budget is spent.
 func (p *Planner) Plan(snapshot Snapshot, evict Evictor, timedOut func() bool) Actions {
 	p.teamUsage = maps.Clone(snapshot.Teams)
-	r := round{planner: p, snapshot: snapshot, evict: evict, timedOut: timedOut, needReplacement: map[string]int{}}
+	r := round{planner: p, snapshot: snapshot, evict: evict, timedOut: timedOut, needReplacement: map[wire.TeamName]int{}}
 	for _, d := range p.activeDrains() {
 		occupied := r.observe(d)
 		if d.state() == Running {
--- a/internal/drain/round_test.go
+++ b/internal/drain/round_test.go
@@ -14,7 +14,7 @@
 		Now:            1,
 		WallClock:      wallClock,
 		Machines:       map[wire.MachineID]Machine{machine.ID: machine},
-		Teams:          map[string]TeamUsage{"red": {Running: 10}},
+		Teams:          map[wire.TeamName]TeamUsage{"red": {Running: 10}},
 		MachinesListed: true,
 	}
 	planner.Plan(snapshot, evictWith(outcome), noTimeout)
@@ -86,7 +86,7 @@
 	snapshot := Snapshot{
 		Now:            1,
 		Machines:       map[wire.MachineID]Machine{machine.ID: machine},
-		Teams:          map[string]TeamUsage{"red": {Running: 9, Disrupted: 1}},
+		Teams:          map[wire.TeamName]TeamUsage{"red": {Running: 9, Disrupted: 1}},
 		MachinesListed: true,
 	}
 	actions := planner.Plan(snapshot, evictWith(NoCapacity), noTimeout)
--- a/internal/drain/snapshot.go
+++ b/internal/drain/snapshot.go
@@ -11,7 +11,7 @@
 	Now       micros.Timestamp
 	WallClock int64 // time of day, microseconds
 	Machines  map[wire.MachineID]Machine
-	Teams     map[string]TeamUsage
+	Teams     map[wire.TeamName]TeamUsage
 	// MachinesListed says that the cloud has listed its machines in this term: one that isn't in Machines is gone.
 	MachinesListed bool
 }
@@ -28,7 +28,7 @@
 // Attempt is an attempt that may exist on a machine.
 type Attempt struct {
 	Task           disruption.Task
-	Team           string
+	Team           wire.TeamName
 	DisruptedTasks int  // how many tasks its eviction disrupts: 1, or all of its gang
 	Gang           bool // it belongs to a gang
 	Stopping       bool // it is being stopped, or its job has ended
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -21,13 +21,14 @@
 
 // BlockedEviction says why a task isn't evicted yet.
 type BlockedEviction struct {
-	Machine            wire.MachineID
-	Team, Task, Reason string
+	Machine      wire.MachineID
+	Team         wire.TeamName
+	Task, Reason string
 }
 
 // TeamBudget is how much of a team's disruption budget is used, in tasks.
 type TeamBudget struct {
-	Team               string
+	Team               wire.TeamName
 	Disrupted, Allowed int
 }
 
--- a/internal/drain/step.go
+++ b/internal/drain/step.go
@@ -33,14 +33,14 @@
 // candidate is a machine that may be emptied next.
 type candidate struct {
 	id          wire.MachineID
-	disruptions map[string]int // by team
-	weight      float64        // largest share that it takes of what remains of a team's budget
+	disruptions map[wire.TeamName]int // by team
+	weight      float64               // largest share that it takes of what remains of a team's budget
 }
 
 // chooseMachines returns up to limit machines to be emptied next: as many as can be emptied within the remaining
 // budgets, those first that take the smallest share of them. If none fits, it is the one that exceeds them least, to
 // be emptied bit by bit. The choice is greedy; docs/drains.md compares it with a solver's.
-func chooseMachines(machines []Machine, remainingBudgets map[string]int, limit int) []wire.MachineID {
+func chooseMachines(machines []Machine, remainingBudgets map[wire.TeamName]int, limit int) []wire.MachineID {
 	candidates := rankCandidates(machines, remainingBudgets)
 	remaining := maps.Clone(remainingBudgets)
 	var chosen []wire.MachineID
@@ -66,7 +66,7 @@
 const exhaustedBudget = 0.5
 
 // rankCandidates returns machines by weight, the lightest first.
-func rankCandidates(machines []Machine, remainingBudgets map[string]int) []candidate {
+func rankCandidates(machines []Machine, remainingBudgets map[wire.TeamName]int) []candidate {
 	candidates := make([]candidate, 0, len(machines))
 	for i := range machines {
 		c := candidate{id: machines[i].ID, disruptions: machines[i].disruptionsByTeam()}
@@ -83,7 +83,7 @@
 }
 
 // fitsBudgets reports whether the disruptions of each team are within what remains of its budget.
-func fitsBudgets(disruptions, remaining map[string]int) bool {
+func fitsBudgets(disruptions, remaining map[wire.TeamName]int) bool {
 	for team, count := range disruptions {
 		if count > remaining[team] {
 			return false
@@ -93,8 +93,8 @@
 }
 
 // disruptionsByTeam returns how many tasks of each team are disrupted when the machine is emptied.
-func (m *Machine) disruptionsByTeam() map[string]int {
-	disruptions := map[string]int{}
+func (m *Machine) disruptionsByTeam() map[wire.TeamName]int {
+	disruptions := map[wire.TeamName]int{}
 	counted := map[wire.JobID]bool{} // gangs, by job
 	for i := range m.Attempts {
 		attempt := &m.Attempts[i]
--- a/internal/drain/step_test.go
+++ b/internal/drain/step_test.go
@@ -13,24 +13,25 @@
 )
 
 // randomMachines draws machines with tasks of several teams, and what remains of the teams' budgets.
-func randomMachines(r *rand.Rand, machines, teams, tasks, budget int) ([]Machine, map[string]int) {
-	remaining := map[string]int{}
+func randomMachines(r *rand.Rand, machines, teams, tasks, budget int) ([]Machine, map[wire.TeamName]int) {
+	remaining := map[wire.TeamName]int{}
 	for t := range teams {
-		remaining[fmt.Sprint("team", t)] = r.IntN(budget + 1)
+		remaining[wire.TeamName(fmt.Sprint("team", t))] = r.IntN(budget + 1)
 	}
 	out := make([]Machine, machines)
 	for i := range out {
 		out[i].ID = wire.MachineID(fmt.Sprintf("n-%05d", i))
 		out[i].Heartbeating = true
 		for k := range r.IntN(tasks + 1) {
-			out[i].Attempts = append(out[i].Attempts, newAttempt("run-1", i*tasks+k, fmt.Sprint("team", r.IntN(teams))))
+			team := wire.TeamName(fmt.Sprint("team", r.IntN(teams)))
+			out[i].Attempts = append(out[i].Attempts, newAttempt("run-1", i*tasks+k, team))
 		}
 	}
 	return out, remaining
 }
 
 // countEmptied counts the chosen machines that can be emptied within what remains of the budgets.
-func countEmptied(machines []Machine, chosen []wire.MachineID, remainingBudgets map[string]int) int {
+func countEmptied(machines []Machine, chosen []wire.MachineID, remainingBudgets map[wire.TeamName]int) int {
 	remaining := maps.Clone(remainingBudgets)
 	emptied := 0
 	for _, id := range chosen {
@@ -49,9 +50,9 @@
 
 // optimalCount returns the largest number of machines that can be emptied within what remains of the budgets, by a
 // pseudo-Boolean solver.
-func optimalCount(machines []Machine, remaining map[string]int) int {
+func optimalCount(machines []Machine, remaining map[wire.TeamName]int) int {
 	type weightedSum struct{ variables, weights []int }
-	sums := map[string]weightedSum{} // by team
+	sums := map[wire.TeamName]weightedSum{} // by team
 	var excluded []solver.Lit
 	var costs []int
 	empty := 0
@@ -122,12 +123,12 @@
 	for _, machines := range []int{500, 1000, 2000, 4000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
 			cordoned, _ := randomMachines(rand.New(rand.NewPCG(1, 2)), machines, 8, 16, 1)
-			teams := make([]string, 8)
+			teams := make([]wire.TeamName, 8)
 			snapshot := Snapshot{
-				Now: 1, Machines: map[wire.MachineID]Machine{}, Teams: map[string]TeamUsage{}, MachinesListed: true,
+				Now: 1, Machines: map[wire.MachineID]Machine{}, Teams: map[wire.TeamName]TeamUsage{}, MachinesListed: true,
 			}
 			for t := range teams {
-				teams[t] = fmt.Sprint("team", t)
+				teams[t] = wire.TeamName(fmt.Sprint("team", t))
 				snapshot.Teams[teams[t]] = TeamUsage{Running: machines}
 			}
 			var known []KnownMachine
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -49,7 +49,7 @@
 // first.
 type Checker struct {
 	cancelDeadline time.Duration
-	cpuLimits      map[string]float64 // by team; 0: none
+	cpuLimits      map[wire.TeamName]float64 // by team; 0: none
 	machineTypes   map[string]*wire.MachineType
 
 	mu         sync.Mutex
@@ -57,8 +57,8 @@
 	taskStarts map[wire.JobID]int // by job
 	gangRuns   map[wire.JobID]int // by job
 	gangTasks  map[gangAttempt]map[int]bool
-	cpusInUse  map[string]float64      // by team
-	reclaimed  map[wire.MachineID]bool // machines whose reclaim is announced
+	cpusInUse  map[wire.TeamName]float64 // by team
+	reclaimed  map[wire.MachineID]bool   // machines whose reclaim is announced
 	violations []Violation
 	events     []worklog.Event
 	// startsAfterCancel counts the starts of tasks after their user has seen that the job is cancelled.
@@ -86,19 +86,19 @@
 // NewChecker returns a checker that knows of no job.
 func NewChecker() *Checker {
 	return &Checker{
-		cpuLimits:    map[string]float64{},
+		cpuLimits:    map[wire.TeamName]float64{},
 		machineTypes: map[string]*wire.MachineType{},
 		jobs:         map[wire.JobID]*jobRecord{},
 		taskStarts:   map[wire.JobID]int{},
 		gangRuns:     map[wire.JobID]int{},
 		gangTasks:    map[gangAttempt]map[int]bool{},
-		cpusInUse:    map[string]float64{},
+		cpusInUse:    map[wire.TeamName]float64{},
 		reclaimed:    map[wire.MachineID]bool{},
 	}
 }
 
 // SetTeamLimit sets the processors that a team's tasks may use at once; 0: any number.
-func (c *Checker) SetTeamLimit(team string, cpus float64) { c.cpuLimits[team] = cpus }
+func (c *Checker) SetTeamLimit(team wire.TeamName, cpus float64) { c.cpuLimits[team] = cpus }
 
 // SetCancelDeadline sets how long after the confirmation of a cancellation all tasks of the job must be gone.
 func (c *Checker) SetCancelDeadline(deadline time.Duration) { c.cancelDeadline = deadline }
--- a/internal/invariant/disruption.go
+++ b/internal/invariant/disruption.go
@@ -5,11 +5,13 @@
 	"time"
 
 	"saffronbend/internal/worklog"
+	"saffronbend/wire"
 )
 
 // Disruption is a time in which a task that had run did not, as the workers' logs show it.
 type Disruption struct {
-	Team, Task string
+	Team wire.TeamName
+	Task string
 	// Begin and End bound it; End is zero while it lasts.
 	Begin, End time.Time
 	// Commanded disruptions began with a command to stop the task; in others the task was lost.
@@ -21,7 +23,7 @@
 // budgets has no bound. A commanded disruption counts at once; a loss counts after the detection time, when the
 // controllers can know of it.
 func AuditDisruptions(
-	events []worklog.Event, budgets map[string]int, detection time.Duration,
+	events []worklog.Event, budgets map[wire.TeamName]int, detection time.Duration,
 ) (all []Disruption, violations []Violation) {
 	audit := disruptionAudit{open: map[string]*Disruption{}, running: map[string]bool{}}
 	for _, event := range events {
--- a/internal/invariant/disruption_test.go
+++ b/internal/invariant/disruption_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"saffronbend/internal/worklog"
+	"saffronbend/wire"
 )
 
 // eventKinds are the words for kinds of events in the tests' logs.
@@ -63,7 +64,7 @@
 		{"nothing at all may be disrupted", three + "1 stop a", 1, 1, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			budgets := map[string]int{"red": c.budget}
+			budgets := map[wire.TeamName]int{"red": c.budget}
 			all, violations := AuditDisruptions(parseEvents(t, c.log), budgets, 10*time.Second)
 			if len(all) != c.disruptions || len(violations) != c.violations {
 				t.Errorf("%v, %v", all, violations)
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -28,7 +28,7 @@
 }
 
 // checkQuota: a team's tasks use more than its limit.
-func (c *Checker) checkQuota(team string) {
+func (c *Checker) checkQuota(team wire.TeamName) {
 	if limit := c.cpuLimits[team]; limit > 0 && c.cpusInUse[team] > limit+rounding {
 		c.violate(Quota, "%s uses %g of %g", team, c.cpusInUse[team], limit)
 	}
--- a/internal/leader/drains/drains.go
+++ b/internal/leader/drains/drains.go
@@ -65,9 +65,9 @@
 
 // New returns an executor without drains.
 func New(cfg Config) *Executor {
-	teams := make([]string, len(cfg.Teams))
+	teams := make([]wire.TeamName, len(cfg.Teams))
 	for i, team := range cfg.Teams {
-		teams[i] = team.Name
+		teams[i] = wire.TeamName(team.Name)
 	}
 	options := cfg.Tuning.Drains
 	executor := &Executor{cfg: cfg, ending: map[string]bool{}, planner: drain.New(drain.Config{
@@ -119,7 +119,7 @@
 func (e *Executor) SetShortage(reason string) { e.planner.SetShortage(reason) }
 
 // RemainingBudgets returns how many more tasks of each team may be disrupted now.
-func (e *Executor) RemainingBudgets(usage map[string]drain.TeamUsage) map[string]int {
+func (e *Executor) RemainingBudgets(usage map[wire.TeamName]drain.TeamUsage) map[wire.TeamName]int {
 	return e.planner.RemainingBudgets(usage)
 }
 
--- a/internal/leader/followers.go
+++ b/internal/leader/followers.go
@@ -9,6 +9,7 @@
 	"saffronbend/internal/micros"
 	"saffronbend/internal/settings"
 	"saffronbend/internal/snapshot"
+	"saffronbend/wire"
 )
 
 // followerTimeout is how long after its last lease request or subscription a follower keeps its teams.
@@ -18,10 +19,10 @@
 // by the loop's goroutine.
 type followers struct {
 	controller    string // this one
-	teams         []string
+	teams         []wire.TeamName
 	subscriptions map[*subscription]bool
 	lastContact   map[string]micros.Timestamp
-	assignments   map[string]string // controller by team
+	assignments   map[wire.TeamName]string // controller by team
 }
 
 // subscription is that of a controller that follows.
@@ -31,9 +32,9 @@
 }
 
 func newFollowers(set *settings.Settings) *followers {
-	var teams []string
+	var teams []wire.TeamName
 	for _, team := range set.Deployment.Teams {
-		teams = append(teams, team.Name)
+		teams = append(teams, wire.TeamName(team.Name))
 	}
 	return &followers{
 		controller:    set.Member,
@@ -60,7 +61,7 @@
 
 // assign divides the teams among this controller and those that follow and were in contact recently. It returns the
 // controller of each team.
-func (f *followers) assign(now micros.Timestamp) map[string]string {
+func (f *followers) assign(now micros.Timestamp) map[wire.TeamName]string {
 	controllers := []string{f.controller}
 	for subscribed := range f.subscriptions {
 		recent := now.Sub(f.lastContact[subscribed.controller]) < followerTimeout
--- a/internal/leader/rebalancing/rebalancing.go
+++ b/internal/leader/rebalancing/rebalancing.go
@@ -31,14 +31,14 @@
 
 // Manager is the part of the term's manager that moves need. It is called on the term's goroutine only.
 type Manager interface {
-	TeamUsage(now micros.Timestamp) map[string]drain.TeamUsage
-	RebalanceSnapshot(now micros.Timestamp, remainingBudgets map[string]int) rebalance.Snapshot
+	TeamUsage(now micros.Timestamp) map[wire.TeamName]drain.TeamUsage
+	RebalanceSnapshot(now micros.Timestamp, remainingBudgets map[wire.TeamName]int) rebalance.Snapshot
 	MoveExecutor(now micros.Timestamp) rebalance.MoveExecutor
 }
 
 // Budgets are the disruption budgets that moves share with drains. They are used on the term's goroutine only.
 type Budgets interface {
-	RemainingBudgets(usage map[string]drain.TeamUsage) map[string]int
+	RemainingBudgets(usage map[wire.TeamName]drain.TeamUsage) map[wire.TeamName]int
 }
 
 // Record says whether operators have paused moves, as stored. Version is 0 if nothing is stored.
--- a/internal/leader/rebalancing/rebalancing_test.go
+++ b/internal/leader/rebalancing/rebalancing_test.go
@@ -64,9 +64,9 @@
 // fakeManager counts the rounds that it is asked to take part in.
 type fakeManager struct{ rounds int }
 
-func (m *fakeManager) TeamUsage(micros.Timestamp) map[string]drain.TeamUsage { return nil }
+func (m *fakeManager) TeamUsage(micros.Timestamp) map[wire.TeamName]drain.TeamUsage { return nil }
 
-func (m *fakeManager) RebalanceSnapshot(now micros.Timestamp, _ map[string]int) rebalance.Snapshot {
+func (m *fakeManager) RebalanceSnapshot(now micros.Timestamp, _ map[wire.TeamName]int) rebalance.Snapshot {
 	m.rounds++
 	return rebalance.Snapshot{Now: now}
 }
@@ -74,7 +74,9 @@
 func (m *fakeManager) MoveExecutor(micros.Timestamp) rebalance.MoveExecutor { return nil }
 
 // RemainingBudgets implements Budgets.
-func (m *fakeManager) RemainingBudgets(map[string]drain.TeamUsage) map[string]int { return nil }
+func (m *fakeManager) RemainingBudgets(map[wire.TeamName]drain.TeamUsage) map[wire.TeamName]int {
+	return nil
+}
 
 func newTestExecutor(store *fakeStore, loop *eventloop.Loop, record Record) (*Executor, *fakeManager) {
 	manager := &fakeManager{}
--- a/internal/manager/assignments_test.go
+++ b/internal/manager/assignments_test.go
@@ -3,26 +3,28 @@
 import (
 	"maps"
 	"testing"
+
+	"saffronbend/wire"
 )
 
 func TestAssignTeams(t *testing.T) {
-	type assignments = map[string]string
+	type assignments = map[wire.TeamName]string
 	for _, c := range []struct {
 		name        string
 		before      assignments
-		teams       []string
+		teams       []wire.TeamName
 		controllers []string
 		want        assignments
 	}{
-		{"no controllers", nil, []string{"red"}, nil, nil},
-		{"teams are spread", nil, []string{"red", "blue", "green"}, []string{"c0", "c1"},
+		{"no controllers", nil, []wire.TeamName{"red"}, nil, nil},
+		{"teams are spread", nil, []wire.TeamName{"red", "blue", "green"}, []string{"c0", "c1"},
 			assignments{"red": "c0", "blue": "c1", "green": "c0"}},
-		{"teams stay where they are", assignments{"red": "c1", "blue": "c0"}, []string{"red", "blue"},
+		{"teams stay where they are", assignments{"red": "c1", "blue": "c0"}, []wire.TeamName{"red", "blue"},
 			[]string{"c0", "c1"}, assignments{"red": "c1", "blue": "c0"}},
-		{"a controller has ended", assignments{"red": "c1", "blue": "c0"}, []string{"red", "blue"},
+		{"a controller has ended", assignments{"red": "c1", "blue": "c0"}, []wire.TeamName{"red", "blue"},
 			[]string{"c0", "c2"}, assignments{"red": "c2", "blue": "c0"}},
 		{"a controller is new", assignments{"red": "c0", "blue": "c0", "green": "c0"},
-			[]string{"red", "blue", "green"}, []string{"c0", "c1"},
+			[]wire.TeamName{"red", "blue", "green"}, []string{"c0", "c1"},
 			assignments{"red": "c1", "blue": "c0", "green": "c0"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/manager/drains.go
+++ b/internal/manager/drains.go
@@ -134,8 +134,8 @@
 }
 
 // TeamUsage returns how many tasks of each team run and are disrupted, by team.
-func (m *Manager) TeamUsage(now micros.Timestamp) map[string]drain.TeamUsage {
-	usage := map[string]drain.TeamUsage{}
+func (m *Manager) TeamUsage(now micros.Timestamp) map[wire.TeamName]drain.TeamUsage {
+	usage := map[wire.TeamName]drain.TeamUsage{}
 	for name := range m.quota {
 		disrupted := m.ledger.CountForTeam(name)
 		usage[name] = drain.TeamUsage{Disrupted: disrupted, Running: disrupted}
@@ -148,7 +148,7 @@
 
 // addTeamUsage adds the tasks on a machine. What is on a machine that does not report may be lost already, so it
 // counts as disrupted until more is known.
-func (m *Manager) addTeamUsage(now micros.Timestamp, machine *machineState, usage map[string]drain.TeamUsage) {
+func (m *Manager) addTeamUsage(now micros.Timestamp, machine *machineState, usage map[wire.TeamName]drain.TeamUsage) {
 	known := m.known(now, machine)
 	for _, attempt := range machine.attempts {
 		if _, disrupted := m.ledger.Get(attempt.task()); disrupted || !attempt.launched() || attempt.job.final() {
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -80,7 +80,7 @@
 	costs              costAccount
 
 	publisher       snapshotPublisher
-	teamAssignments map[string]string
+	teamAssignments map[wire.TeamName]string
 	storeAvailable  bool
 	events          []Event
 
@@ -109,7 +109,7 @@
 }
 
 // SetTeamAssignments sets which controller places the jobs of which team, by team.
-func (m *Manager) SetTeamAssignments(assignments map[string]string) {
+func (m *Manager) SetTeamAssignments(assignments map[wire.TeamName]string) {
 	if !maps.Equal(assignments, m.teamAssignments) {
 		m.teamAssignments = assignments
 		m.publisher.markStale()
--- a/internal/manager/moves.go
+++ b/internal/manager/moves.go
@@ -14,8 +14,8 @@
 // attempt is never stopped for two reasons.
 
 // RebalanceSnapshot returns the work on all machines. remaining is how many more tasks of each team may be disrupted.
-func (m *Manager) RebalanceSnapshot(now micros.Timestamp, remaining map[string]int) rebalance.Snapshot {
-	published := rebalance.Snapshot{Now: now, Teams: map[string]rebalance.Team{}, MachinesListed: m.machines.listed}
+func (m *Manager) RebalanceSnapshot(now micros.Timestamp, remaining map[wire.TeamName]int) rebalance.Snapshot {
+	published := rebalance.Snapshot{Now: now, Teams: map[wire.TeamName]rebalance.Team{}, MachinesListed: m.machines.listed}
 	for name := range m.quota {
 		published.Teams[name] = rebalance.Team{RemainingBudget: remaining[name]}
 	}
--- a/internal/manager/preemption.go
+++ b/internal/manager/preemption.go
@@ -43,8 +43,8 @@
 	m       *Manager
 	now     micros.Timestamp
 	targets []*preemptionTarget
-	planned map[string]resources.Vector // what this round has found room for, by team
-	budget  int                         // preemptions left
+	planned map[wire.TeamName]resources.Vector // what this round has found room for, by team
+	budget  int                                // preemptions left
 }
 
 // Preempt stops work of lower priority for jobs that have waited longer than the operators allow and find no room.
@@ -60,7 +60,7 @@
 		m:       m,
 		now:     now,
 		targets: m.preemptionTargets(now),
-		planned: map[string]resources.Vector{},
+		planned: map[wire.TeamName]resources.Vector{},
 		budget:  maxPreemptionsPerRound,
 	}
 	for _, job := range jobs {
--- a/internal/manager/pushes_test.go
+++ b/internal/manager/pushes_test.go
@@ -117,7 +117,11 @@
 // Nor is one with a result, as long as its job could be cancelled: the copy would start it again after the
 // cancellation. Where the team has a limit, the second start could break that, and it is never cleared.
 func TestPushedAttemptWithResultIsClearedWithItsJob(t *testing.T) {
-	for _, c := range []struct{ name, team, whenJobIsDone string }{
+	for _, c := range []struct {
+		name          string
+		team          wire.TeamName
+		whenJobIsDone string
+	}{
 		{"a team without a limit", "blue", command("clear", "run-1/0", first)},
 		{"a team with a limit", "red", ""},
 	} {
--- a/internal/manager/quota.go
+++ b/internal/manager/quota.go
@@ -9,7 +9,7 @@
 
 // quotaUsage tracks what each team uses of its guarantee and its limit, by team. It counts every attempt that may
 // exist, also one that is being stopped: what is not provably gone still uses the team's quota.
-type quotaUsage map[string]*teamUsage
+type quotaUsage map[wire.TeamName]*teamUsage
 
 type teamUsage struct {
 	settings.Team
@@ -19,7 +19,7 @@
 func newQuotaUsage(teams []settings.Team) quotaUsage {
 	quota := quotaUsage{}
 	for _, team := range teams {
-		quota[team.Name] = &teamUsage{Team: team}
+		quota[wire.TeamName(team.Name)] = &teamUsage{Team: team}
 	}
 	return quota
 }
@@ -57,7 +57,7 @@
 }
 
 // limited reports whether a team has a limit.
-func (quota quotaUsage) limited(name string) bool {
+func (quota quotaUsage) limited(name wire.TeamName) bool {
 	team := quota[name]
 	return team != nil && team.CPUsMax+team.GPUsMax != 0
 }
@@ -79,8 +79,8 @@
 }
 
 // headrooms returns what the limits leave the teams that have one.
-func (quota quotaUsage) headrooms() map[string]snapshot.QuotaHeadroom {
-	var headrooms map[string]snapshot.QuotaHeadroom
+func (quota quotaUsage) headrooms() map[wire.TeamName]snapshot.QuotaHeadroom {
+	var headrooms map[wire.TeamName]snapshot.QuotaHeadroom
 	for name, team := range quota {
 		if team.CPUsMax <= 0 && team.GPUsMax <= 0 {
 			continue
@@ -95,7 +95,7 @@
 			headroom.GPUs = &left
 		}
 		if headrooms == nil {
-			headrooms = map[string]snapshot.QuotaHeadroom{}
+			headrooms = map[wire.TeamName]snapshot.QuotaHeadroom{}
 		}
 		headrooms[name] = headroom
 	}
--- a/internal/manager/quota_test.go
+++ b/internal/manager/quota_test.go
@@ -26,7 +26,9 @@
 }
 
 func TestQuotaUsage(t *testing.T) {
-	job := func(team string, cpus, gpus float64) *wire.Job { return &wire.Job{Team: team, CPUs: cpus, GPUs: gpus} }
+	job := func(team wire.TeamName, cpus, gpus float64) *wire.Job {
+		return &wire.Job{Team: team, CPUs: cpus, GPUs: gpus}
+	}
 	for _, c := range []struct {
 		name                            string
 		team                            settings.Team
@@ -61,10 +63,10 @@
 			quota.refund(c.job)
 			h := &harness{T: t}
 			h.want(quota.headroom(c.job), c.headroom)
-			h.want(quota.limited(c.team.Name), c.limited)
+			h.want(quota.limited(wire.TeamName(c.team.Name)), c.limited)
 			h.want(quota.withinGuarantee(c.job, resources.Vector{}), c.guaranteed)
 			h.want(quota.beyondGuarantee(c.job), c.beyondIt)
-			published := quota.headrooms()[c.team.Name]
+			published := quota.headrooms()[wire.TeamName(c.team.Name)]
 			h.want(published.CPUs != nil, c.cpusArePublished)
 			h.want(published.GPUs != nil, c.gpusPublished)
 			if published.CPUs != nil {
--- a/internal/manager/recovery.go
+++ b/internal/manager/recovery.go
@@ -47,7 +47,7 @@
 		pushes:          pushQueue{candidates: map[wire.MachineID]bool{}, maxInFlight: cfg.MaxCommandPushes},
 		estimates:       runTimeEstimator{bias: map[string]float64{}},
 		publisher:       newSnapshotPublisher(),
-		teamAssignments: map[string]string{},
+		teamAssignments: map[wire.TeamName]string{},
 		storeAvailable:  true,
 		replacements:    map[wire.JobID]int{},
 	}
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -134,7 +134,7 @@
 		Step:            int(message.Step),
 		Deadline:        micros.Seconds(message.DeadlineS),
 		EvictAtDeadline: message.EvictAtDeadline,
-		Budgets:         message.Budgets,
+		Budgets:         budgetsByTeam(message.Budgets),
 	}, nil
 }
 
@@ -147,6 +147,15 @@
 	return ids
 }
 
+// budgetsByTeam returns the disruption budgets of a message.
+func budgetsByTeam(message map[string]string) map[wire.TeamName]string {
+	budgets := make(map[wire.TeamName]string, len(message))
+	for team, budget := range message {
+		budgets[wire.TeamName(team)] = budget
+	}
+	return budgets
+}
+
 // encodeDrainStatus returns the message for a controller's result.
 func encodeDrainStatus(status drain.Status, err error) (*operatorpb.DrainStatus, error) {
 	if err != nil {
@@ -168,14 +177,14 @@
 	for _, blocked := range status.Blocked {
 		message.Blocked = append(message.Blocked, &operatorpb.BlockedMachine{
 			Machine: string(blocked.Machine),
-			Team:    blocked.Team,
+			Team:    string(blocked.Team),
 			Task:    blocked.Task,
 			Reason:  blocked.Reason,
 		})
 	}
 	for _, budget := range status.Budgets {
 		message.Budgets = append(message.Budgets, &operatorpb.TeamBudget{
-			Team:      budget.Team,
+			Team:      string(budget.Team),
 			Disturbed: uint32(budget.Disrupted),
 			Allowed:   uint32(budget.Allowed),
 		})
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -20,6 +20,7 @@
 	"saffronbend/internal/micros"
 	"saffronbend/internal/operator/operatorpb"
 	"saffronbend/internal/rebalance"
+	"saffronbend/wire"
 )
 
 // fakeController is a controller of drains and rebalancing that records the requests it carries out.
@@ -230,7 +231,7 @@
 	if _, err := client.StartDrain(t.Context(), start); err != nil {
 		t.Fatal(err)
 	}
-	want := []drain.Request{{Name: "x", Zone: "a", Budgets: budgets}}
+	want := []drain.Request{{Name: "x", Zone: "a", Budgets: map[wire.TeamName]string{"red": "4"}}}
 	if !reflect.DeepEqual(leader.started, want) {
 		t.Errorf("started %+v, want %+v", leader.started, want)
 	}
--- a/internal/operator/rebalancing.go
+++ b/internal/operator/rebalancing.go
@@ -110,7 +110,7 @@
 		message.Moves = append(message.Moves, &operatorpb.SpreadMove{
 			AgoS:   status.Now.Sub(move.At).Seconds(),
 			Task:   move.Task.String(),
-			Team:   move.Team,
+			Team:   string(move.Team),
 			From:   string(move.From),
 			To:     string(move.To),
 			Relief: move.Relief,
@@ -121,7 +121,7 @@
 	for _, held := range status.HeldTasks {
 		message.Held = append(message.Held, &operatorpb.HeldTask{
 			Machine: string(held.Machine),
-			Team:    held.Team,
+			Team:    string(held.Team),
 			Task:    held.Task,
 			Reason:  held.Reason,
 		})
@@ -132,7 +132,7 @@
 func machineLoadMessage(load *rebalance.MachineLoad) *operatorpb.MachineLoad {
 	message := &operatorpb.MachineLoad{Machine: string(load.ID), Load: load.Load, Smoothed: load.Smoothed}
 	for _, team := range load.Teams {
-		message.Teams = append(message.Teams, &operatorpb.TeamLoad{Team: team.Team, Load: team.Load})
+		message.Teams = append(message.Teams, &operatorpb.TeamLoad{Team: string(team.Team), Load: team.Load})
 	}
 	return message
 }
--- a/internal/rebalance/cooldowns.go
+++ b/internal/rebalance/cooldowns.go
@@ -26,7 +26,7 @@
 // cooldowns records the moves whose cooldowns haven't passed yet.
 type cooldowns struct {
 	tasks      map[disruption.Task]micros.Timestamp
-	teams      map[string]micros.Timestamp
+	teams      map[wire.TeamName]micros.Timestamp
 	machines   map[machineRole]micros.Timestamp
 	lastMinute []micros.Timestamp // the moves within the last minute
 }
@@ -34,7 +34,7 @@
 func newCooldowns() cooldowns {
 	return cooldowns{
 		tasks:    map[disruption.Task]micros.Timestamp{},
-		teams:    map[string]micros.Timestamp{},
+		teams:    map[wire.TeamName]micros.Timestamp{},
 		machines: map[machineRole]micros.Timestamp{},
 	}
 }
@@ -73,7 +73,7 @@
 }
 
 // coolsTeam reports whether a task of a team was moved within the team's cooldown.
-func (c *cooldowns) coolsTeam(team string) bool {
+func (c *cooldowns) coolsTeam(team wire.TeamName) bool {
 	_, cooling := c.teams[team]
 	return cooling
 }
--- a/internal/rebalance/load.go
+++ b/internal/rebalance/load.go
@@ -5,17 +5,18 @@
 
 	"saffronbend/internal/micros"
 	"saffronbend/internal/resources"
+	"saffronbend/wire"
 )
 
 // usage is what is used of a machine, in total and by team.
 type usage struct {
 	capacity resources.Vector
 	total    resources.Vector
-	teams    map[string]resources.Vector
+	teams    map[wire.TeamName]resources.Vector
 }
 
 func newUsage(capacity resources.Vector) *usage {
-	return &usage{capacity: capacity, teams: map[string]resources.Vector{}}
+	return &usage{capacity: capacity, teams: map[wire.TeamName]resources.Vector{}}
 }
 
 // usageOf returns what is used of a machine by work that will be there for a while: tasks that are being stopped or
@@ -33,12 +34,12 @@
 	return used
 }
 
-func (u *usage) add(team string, task resources.Vector) {
+func (u *usage) add(team wire.TeamName, task resources.Vector) {
 	u.total = u.total.AddTasks(task, 1)
 	u.teams[team] = u.teams[team].AddTasks(task, 1)
 }
 
-func (u *usage) remove(team string, task resources.Vector) {
+func (u *usage) remove(team wire.TeamName, task resources.Vector) {
 	u.total = u.total.AddTasks(task, -1)
 	u.teams[team] = u.teams[team].AddTasks(task, -1)
 }
@@ -47,7 +48,7 @@
 func (u *usage) load() float64 { return u.total.DominantShare(u.capacity) }
 
 // teamLoad is the dominant share of one team's work, 0 to 1.
-func (u *usage) teamLoad(team string) float64 { return u.teams[team].DominantShare(u.capacity) }
+func (u *usage) teamLoad(team wire.TeamName) float64 { return u.teams[team].DominantShare(u.capacity) }
 
 // teamCap is the share of a machine that a team should hold at most; enforced while others compete with it for room.
 type teamCap struct {
@@ -58,7 +59,7 @@
 // potential is the machine's part of what moves are to reduce: half the square of its load and, while teams compete
 // for room, of what a team holds beyond its cap, both weighted by the machine's size. The sum over all machines is
 // smallest when loads are even. Each move reduces it, so moves can't go in a circle while the work stays the same.
-func (u *usage) potential(team string, limit teamCap) float64 {
+func (u *usage) potential(team wire.TeamName, limit teamCap) float64 {
 	load := u.load()
 	squares := load * load
 	if limit.enforced {
--- a/internal/rebalance/model_test.go
+++ b/internal/rebalance/model_test.go
@@ -31,15 +31,15 @@
 // fleetModel is a model of machines in which moves are carried out at once.
 type fleetModel struct {
 	machines []Machine
-	budget   int            // remaining disruption budget of each team, in a round
-	waiting  map[string]int // tasks by team
+	budget   int                   // remaining disruption budget of each team, in a round
+	waiting  map[wire.TeamName]int // tasks by team
 	moves    []Move
 	outcome  MoveOutcome // of every move
 }
 
 // newFleet returns machines of four CPUs with the given tasks of one CPU each; each letter is a task of a team.
 func newFleet(machines ...string) *fleetModel {
-	fleet := &fleetModel{budget: 1000, waiting: map[string]int{}}
+	fleet := &fleetModel{budget: 1000, waiting: map[wire.TeamName]int{}}
 	capacity := resources.Vector{CPUs: 4, MemoryGB: 16}
 	for i, tasks := range machines {
 		machine := Machine{
@@ -53,7 +53,7 @@
 		}
 		for n, team := range tasks {
 			job := wire.JobID(fmt.Sprintf("%c%d", team, i))
-			attempt := newAttempt(job, n, string(team), resources.Vector{CPUs: 1, MemoryGB: 1})
+			attempt := newAttempt(job, n, wire.TeamName(team), resources.Vector{CPUs: 1, MemoryGB: 1})
 			attempt.CheckpointTime, attempt.ImageGB = micros.Second, 1
 			machine.place(attempt)
 		}
@@ -63,7 +63,7 @@
 }
 
 // newAttempt returns an attempt that can be moved.
-func newAttempt(job wire.JobID, index int, team string, needs resources.Vector) Attempt {
+func newAttempt(job wire.JobID, index int, team wire.TeamName, needs resources.Vector) Attempt {
 	return Attempt{
 		Task:        disruption.Task{Job: job, Index: index},
 		Team:        team,
@@ -82,8 +82,8 @@
 }
 
 func (f *fleetModel) snapshot(now micros.Timestamp) Snapshot {
-	snapshot := Snapshot{Now: now, Machines: f.machines, Teams: map[string]Team{}, MachinesListed: true}
-	for _, team := range []string{"r", "b"} {
+	snapshot := Snapshot{Now: now, Machines: f.machines, Teams: map[wire.TeamName]Team{}, MachinesListed: true}
+	for _, team := range []wire.TeamName{"r", "b"} {
 		snapshot.Teams[team] = Team{RemainingBudget: f.budget, Waiting: f.waiting[team]}
 	}
 	return snapshot
--- a/internal/rebalance/observe.go
+++ b/internal/rebalance/observe.go
@@ -39,7 +39,7 @@
 			p.lastWaited[name] = snapshot.Now
 		}
 	}
-	p.contended = map[string]bool{}
+	p.contended = map[wire.TeamName]bool{}
 	for name := range snapshot.Teams {
 		for other, at := range p.lastWaited {
 			if other != name && snapshot.Now.Sub(at) <= contentionMemory*p.cfg.Smoothing {
--- a/internal/rebalance/property_test.go
+++ b/internal/rebalance/property_test.go
@@ -7,6 +7,7 @@
 
 	"saffronbend/internal/micros"
 	"saffronbend/internal/resources"
+	"saffronbend/wire"
 )
 
 // Whatever the work, cooldowns and budgets: every move reduces the imbalance, gains more than it costs, and none
@@ -48,7 +49,7 @@
 
 // checkRound checks a round's moves against budgets, costs and room.
 func checkRound(t *rapid.T, fleet *fleetModel, cfg Config, moves []Move) {
-	byTeam := map[string]int{}
+	byTeam := map[wire.TeamName]int{}
 	for _, move := range moves {
 		byTeam[move.Team]++
 		if byTeam[move.Team] > fleet.budget {
--- a/internal/rebalance/rebalance.go
+++ b/internal/rebalance/rebalance.go
@@ -45,13 +45,13 @@
 	paused    bool
 
 	cooldowns  cooldowns
-	loads      map[wire.MachineID]*average // smoothed loads, by machine
-	lastWaited map[string]micros.Timestamp // when tasks waited last, by team
-	history    []Move                      // the last moves, the oldest first
+	loads      map[wire.MachineID]*average        // smoothed loads, by machine
+	lastWaited map[wire.TeamName]micros.Timestamp // when tasks waited last, by team
+	history    []Move                             // the last moves, the oldest first
 
 	// The remaining fields are those of the last round.
 	usage      map[wire.MachineID]*usage // by machine
-	contended  map[string]bool           // teams with which others compete
+	contended  map[wire.TeamName]bool    // teams with which others compete
 	held       []HeldTask
 	idleReason string // why nothing is moved at all; empty: moves are decided on
 }
@@ -64,7 +64,7 @@
 		startedAt:  now,
 		cooldowns:  newCooldowns(),
 		loads:      map[wire.MachineID]*average{},
-		lastWaited: map[string]micros.Timestamp{},
+		lastWaited: map[wire.TeamName]micros.Timestamp{},
 		idleReason: "the first round",
 	}
 }
--- a/internal/rebalance/round.go
+++ b/internal/rebalance/round.go
@@ -30,10 +30,10 @@
 	// usage and free are what is used and free on each machine once the round's moves are done.
 	usage            map[wire.MachineID]*usage
 	free             map[wire.MachineID]resources.Vector
-	remainingBudgets map[string]int // by team, after the round's moves
-	destinations     []*Machine     // by load, the lowest first
+	remainingBudgets map[wire.TeamName]int // by team, after the round's moves
+	destinations     []*Machine            // by load, the lowest first
 	moves            []Move
-	movedTeams       map[string]bool // in this round: their cooldown hasn't begun yet
+	movedTeams       map[wire.TeamName]bool // in this round: their cooldown hasn't begun yet
 }
 
 // Plan decides on one round of moves and has the executor carry them out, until timedOut reports that the round's
@@ -63,8 +63,8 @@
 		timedOut:         timedOut,
 		usage:            p.usage,
 		free:             map[wire.MachineID]resources.Vector{},
-		remainingBudgets: map[string]int{},
-		movedTeams:       map[string]bool{},
+		remainingBudgets: map[wire.TeamName]int{},
+		movedTeams:       map[wire.TeamName]bool{},
 	}
 	for name, team := range snapshot.Teams {
 		r.remainingBudgets[name] = team.RemainingBudget
--- a/internal/rebalance/snapshot.go
+++ b/internal/rebalance/snapshot.go
@@ -10,8 +10,8 @@
 // Snapshot is what the planner decides on.
 type Snapshot struct {
 	Now      micros.Timestamp
-	Machines []Machine       // in alphabetical order
-	Teams    map[string]Team // by name
+	Machines []Machine              // in alphabetical order
+	Teams    map[wire.TeamName]Team // by name
 	// UnreportedMachines counts the machines that may run work and haven't sent a heartbeat to this leader yet.
 	UnreportedMachines int
 	// MachinesListed says that the cloud has listed its machines in this term.
@@ -36,7 +36,7 @@
 // Attempt is an attempt that may exist on a machine.
 type Attempt struct {
 	Task           disruption.Task
-	Team           string
+	Team           wire.TeamName
 	Resources      resources.Vector
 	Gang           bool // it belongs to a gang
 	Stopping       bool // it is being stopped, or its job has ended
@@ -50,7 +50,7 @@
 
 // Reservation is room on a machine that is reserved for a team's task.
 type Reservation struct {
-	Team      string
+	Team      wire.TeamName
 	Resources resources.Vector
 }
 
@@ -85,7 +85,7 @@
 type Move struct {
 	At       micros.Timestamp
 	Task     disruption.Task
-	Team     string
+	Team     wire.TeamName
 	From, To wire.MachineID // machines
 	// Relief is the reduction of imbalance, as a share of a machine.
 	Relief float64
@@ -95,6 +95,7 @@
 
 // HeldTask says why a task stays where it is.
 type HeldTask struct {
-	Machine            wire.MachineID
-	Team, Task, Reason string
+	Machine      wire.MachineID
+	Team         wire.TeamName
+	Task, Reason string
 }
--- a/internal/rebalance/status.go
+++ b/internal/rebalance/status.go
@@ -29,7 +29,7 @@
 
 // TeamLoad is the load of one team on a machine, as a dominant share of its capacity.
 type TeamLoad struct {
-	Team string
+	Team wire.TeamName
 	Load float64
 }
 
--- a/internal/scale/drain_test.go
+++ b/internal/scale/drain_test.go
@@ -100,7 +100,7 @@
 		tb.Fatal(err)
 	}
 	d = &drainRun{disturbances: newDisturbances(),
-		planner: drain.New(drain.Config{Teams: []string{"red"}, DefaultBudget: budget, StepSize: machines})}
+		planner: drain.New(drain.Config{Teams: []wire.TeamName{"red"}, DefaultBudget: budget, StepSize: machines})}
 	c := newCluster(tb, machines)
 	c.disturbed, c.decide = d.disturbances, func() { d.round(c) }
 	c.load(machines * each)
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -133,7 +133,7 @@
 	types := []wire.MachineType{machineType}
 	c.manager = m
 	c.manager.SetTypes(types)
-	c.manager.SetTeamAssignments(map[string]string{"red": member})
+	c.manager.SetTeamAssignments(map[wire.TeamName]string{"red": member})
 	c.scheduler = scheduler.New(member, c.tuning())
 	c.scheduler.SetTypes(types)
 	c.fleet = fleet.New(c.now, fleet.Config{
--- a/internal/scale/spread_test.go
+++ b/internal/scale/spread_test.go
@@ -7,6 +7,7 @@
 	"saffronbend/internal/disruption"
 	"saffronbend/internal/micros"
 	"saffronbend/internal/rebalance"
+	"saffronbend/wire"
 )
 
 // spreadRun are moves in a cluster, and what the workers show of them.
@@ -29,7 +30,7 @@
 		return
 	}
 	s.decided = s.c.now
-	remaining := map[string]int{"red": s.budget - s.c.manager.TeamUsage(s.c.now)["red"].Disrupted}
+	remaining := map[wire.TeamName]int{"red": s.budget - s.c.manager.TeamUsage(s.c.now)["red"].Disrupted}
 	observed, executor := s.c.manager.RebalanceSnapshot(s.c.now, remaining), s.c.manager.MoveExecutor(s.c.now)
 	moves := s.planner.Plan(observed, executor, func() bool { return false })
 	for _, m := range moves {
--- a/internal/scenario/declarations.go
+++ b/internal/scenario/declarations.go
@@ -68,7 +68,7 @@
 			}
 		})
 	case "budget": // TEAM N
-		w.budgets[words[1]] = integer(words[2])
+		w.budgets[wire.TeamName(words[1])] = integer(words[2])
 	case "set": // NAME VALUE
 		if _, ok := defaultValues[words[1]]; !ok {
 			return fmt.Errorf("unknown value %q", words[1])
@@ -84,7 +84,7 @@
 	team := settings.Team{Name: words[0]}
 	if len(words) > 1 {
 		team.CPUsMax = number(words[1])
-		w.checker.SetTeamLimit(team.Name, team.CPUsMax)
+		w.checker.SetTeamLimit(wire.TeamName(team.Name), team.CPUsMax)
 	}
 	w.teams = append(w.teams, team)
 }
--- a/internal/scenario/loopback/drain_test.go
+++ b/internal/scenario/loopback/drain_test.go
@@ -12,6 +12,7 @@
 
 	"saffronbend/internal/invariant"
 	"saffronbend/internal/scenario"
+	"saffronbend/wire"
 )
 
 // Words of the controllers' logs: a term begins, a disturbance begins, it ends.
@@ -98,7 +99,7 @@
 		t.Errorf("the disturbance of %s is counted twice", attempt)
 	}
 	all, _ := invariant.AuditDisruptions(events, nil, 0)
-	lasted := map[string]*hdrhistogram.Histogram{}
+	lasted := map[wire.TeamName]*hdrhistogram.Histogram{}
 	for _, d := range all {
 		if lasted[d.Team] == nil {
 			lasted[d.Team] = hdrhistogram.New(1, time.Minute.Milliseconds(), 3)
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -64,7 +64,7 @@
 	values    map[string]float64
 	repeats   map[string]*fake.Duplicator // by the service whose requests are repeated
 	picked    map[string]wire.MachineID   // machines by the names that steps have given them
-	budgets   map[string]int              // tasks of a team that may be disturbed at once
+	budgets   map[wire.TeamName]int       // tasks of a team that may be disturbed at once
 }
 
 // node is a controller, which may run or not.
@@ -100,7 +100,7 @@
 		nodes:   map[string]*node{},
 		values:  maps.Clone(defaultValues),
 		picked:  map[string]wire.MachineID{},
-		budgets: map[string]int{},
+		budgets: map[wire.TeamName]int{},
 	}
 	defer w.end(cancel)
 	for _, line := range s.world {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -39,9 +39,9 @@
 	machines     []*machineState // in the snapshot's order
 	machinesByID map[wire.MachineID]*machineState
 	queue        []*queuedJob
-	next         int                   // index in the queue of the job that is decided on next
-	teamOfJob    map[wire.JobID]string // with rebalancing
-	waitingTeams map[string]bool       // teams that have tasks to place, with rebalancing
+	next         int                          // index in the queue of the job that is decided on next
+	teamOfJob    map[wire.JobID]wire.TeamName // with rebalancing
+	waitingTeams map[wire.TeamName]bool       // teams that have tasks to place, with rebalancing
 
 	// Kept from one snapshot to the next.
 	requiredVersion uint64                          // snapshots of a lower version don't show what was granted to us
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -56,8 +56,10 @@
 
 // testSnapshot returns a snapshot of which team red is assigned to the scheduler.
 func testSnapshot(machines []*snapshot.Machine, jobs ...*snapshot.Job) *snapshot.Snapshot {
-	return &snapshot.Snapshot{FencingToken: 1, Version: 1, Now: now, TeamAssignments: map[string]string{"red": "c0"},
-		Machines: machines, Jobs: jobs}
+	return &snapshot.Snapshot{
+		FencingToken: 1, Version: 1, Now: now, TeamAssignments: map[wire.TeamName]string{"red": "c0"},
+		Machines: machines, Jobs: jobs,
+	}
 }
 
 func never() bool { return false }
--- a/internal/scheduler/team_cap.go
+++ b/internal/scheduler/team_cap.go
@@ -14,7 +14,7 @@
 	if !s.tuning.Rebalancing.Enabled {
 		return
 	}
-	s.teamOfJob, s.waitingTeams = make(map[wire.JobID]string, len(s.snapshot.Jobs)), map[string]bool{}
+	s.teamOfJob, s.waitingTeams = make(map[wire.JobID]wire.TeamName, len(s.snapshot.Jobs)), map[wire.TeamName]bool{}
 	for _, job := range s.snapshot.Jobs {
 		s.teamOfJob[job.ID] = job.Team
 		if s.snapshot.PlaceableTasks(job) > 0 {
--- a/internal/settings/drains.go
+++ b/internal/settings/drains.go
@@ -7,6 +7,7 @@
 	"saffronbend/internal/drain"
 	"saffronbend/internal/micros"
 	"saffronbend/internal/settings/optionspb"
+	"saffronbend/wire"
 )
 
 // Drains are the options of stepped drains (docs/drains.md).
@@ -14,7 +15,7 @@
 	Enabled bool
 	// DefaultBudget is the disruption budget of the teams that have none of their own in Budgets.
 	DefaultBudget disruption.Budget
-	Budgets       map[string]disruption.Budget
+	Budgets       map[wire.TeamName]disruption.Budget
 	// Step is how many machines are emptied at the same time, unless a drain says otherwise.
 	Step int
 	// ReservationTTL is how long room is reserved for the successor of an evicted attempt.
@@ -38,7 +39,7 @@
 	drains := Drains{
 		Enabled:       options.GetEnabled(),
 		DefaultBudget: r.budget("drains.default_budget", options.DefaultBudget),
-		Budgets:       map[string]disruption.Budget{},
+		Budgets:       map[wire.TeamName]disruption.Budget{},
 		Step:          r.count("drains.step", options.Step, defaultDrainStep, drain.MaxStep),
 		ReservationTTL: micros.Seconds(r.number("drains.reservation_s", options.ReservationS, defaultReservationS,
 			minReservationS, maxReservationS)),
@@ -49,11 +50,11 @@
 			r.refuse(&InvalidValueError{Setting: "drains.budgets.team", Value: team,
 				Requirement: "must be one of the deployment's teams"})
 		}
-		if _, exists := drains.Budgets[team]; exists {
+		if _, exists := drains.Budgets[wire.TeamName(team)]; exists {
 			r.refuse(&InvalidValueError{Setting: "drains.budgets.team", Value: team, Requirement: "must not appear twice"})
 		}
 		limit := budget.GetLimit()
-		drains.Budgets[team] = r.budget("drains.budgets."+team, &limit)
+		drains.Budgets[wire.TeamName(team)] = r.budget("drains.budgets."+team, &limit)
 	}
 	return drains
 }
--- a/internal/snapshot/job.go
+++ b/internal/snapshot/job.go
@@ -10,7 +10,7 @@
 type Job struct {
 	ID       wire.JobID    `json:"id"`
 	Class    string        `json:"class"`
-	Team     string        `json:"team"`
+	Team     wire.TeamName `json:"team"`
 	Priority wire.Priority `json:"prio"`
 	// Vector holds the resources of each task.
 	resources.Vector
@@ -59,7 +59,7 @@
 type CompletedRun struct {
 	Job     wire.JobID      `json:"job"`
 	Class   string          `json:"class"`
-	Team    string          `json:"team"`
+	Team    wire.TeamName   `json:"team"`
 	Machine wire.MachineID  `json:"machine"`
 	Run     micros.Duration `json:"run"`
 
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -22,9 +22,9 @@
 	// StoreAvailable says whether the key-value store serves the leader.
 	StoreAvailable bool
 	// TeamAssignments names the controller that places the jobs of a team, by team.
-	TeamAssignments map[string]string
+	TeamAssignments map[wire.TeamName]string
 	// QuotaHeadroom holds the teams that have a limit.
-	QuotaHeadroom map[string]QuotaHeadroom
+	QuotaHeadroom map[wire.TeamName]QuotaHeadroom
 	Machines      []*Machine // by identifier
 	Jobs          []*Job     // by arrival
 	// CompletedRuns are those that were not in the snapshot before.
--- a/internal/snapshot/update.go
+++ b/internal/snapshot/update.go
@@ -8,17 +8,17 @@
 // Update contains what has changed from the snapshot of version BaseVersion to that of Version. With BaseVersion 0 it
 // is a whole snapshot.
 type Update struct {
-	FencingToken    wire.FencingToken        `json:"token"`
-	BaseVersion     uint64                   `json:"base,omitempty"`
-	Version         uint64                   `json:"version"`
-	Now             micros.Timestamp         `json:"now"`
-	StoreAvailable  bool                     `json:"state_ok"`
-	TeamAssignments map[string]string        `json:"assign"`
-	QuotaHeadroom   map[string]QuotaHeadroom `json:"rooms,omitempty"`
-	Machines        []*Machine               `json:"machines,omitempty"`
-	Jobs            []*Job                   `json:"jobs,omitempty"`
-	Removed         []string                 `json:"gone,omitempty"` // machines and jobs, by identifier
-	CompletedRuns   []CompletedRun           `json:"finished,omitempty"`
+	FencingToken    wire.FencingToken               `json:"token"`
+	BaseVersion     uint64                          `json:"base,omitempty"`
+	Version         uint64                          `json:"version"`
+	Now             micros.Timestamp                `json:"now"`
+	StoreAvailable  bool                            `json:"state_ok"`
+	TeamAssignments map[wire.TeamName]string        `json:"assign"`
+	QuotaHeadroom   map[wire.TeamName]QuotaHeadroom `json:"rooms,omitempty"`
+	Machines        []*Machine                      `json:"machines,omitempty"`
+	Jobs            []*Job                          `json:"jobs,omitempty"`
+	Removed         []string                        `json:"gone,omitempty"` // machines and jobs, by identifier
+	CompletedRuns   []CompletedRun                  `json:"finished,omitempty"`
 }
 
 // Replica is a follower's copy of the leader's newest snapshot. Its zero value has none.
--- a/internal/snapshot/update_test.go
+++ b/internal/snapshot/update_test.go
@@ -75,15 +75,17 @@
 	number := func(n float64) *float64 { return &n }
 	for _, c := range []struct {
 		name     string
-		headroom map[string]QuotaHeadroom
+		headroom map[wire.TeamName]QuotaHeadroom
 		job      Job
 		want     int
 	}{
 		{"no limit", nil, Job{Team: "red", Waiting: 5}, 5},
-		{"a limit of processors", map[string]QuotaHeadroom{"red": {CPUs: number(8)}}, Job{Team: "red", Waiting: 5}, 2},
-		{"a limit of accelerators", map[string]QuotaHeadroom{"red": {GPUs: number(1)}}, Job{Team: "red", Waiting: 5}, 1},
-		{"the limit is exceeded", map[string]QuotaHeadroom{"red": {CPUs: number(-4)}}, Job{Team: "red", Waiting: 5}, 0},
-		{"another team's limit", map[string]QuotaHeadroom{"blue": {CPUs: number(0)}}, Job{Team: "red", Waiting: 5}, 5},
+		{"a limit of processors", map[wire.TeamName]QuotaHeadroom{"red": {CPUs: number(8)}}, Job{Team: "red", Waiting: 5}, 2},
+		{"a limit of accelerators", map[wire.TeamName]QuotaHeadroom{"red": {GPUs: number(1)}},
+			Job{Team: "red", Waiting: 5}, 1},
+		{"the limit is exceeded", map[wire.TeamName]QuotaHeadroom{"red": {CPUs: number(-4)}},
+			Job{Team: "red", Waiting: 5}, 0},
+		{"another team's limit", map[wire.TeamName]QuotaHeadroom{"blue": {CPUs: number(0)}}, Job{Team: "red", Waiting: 5}, 5},
 		{"the job backs off", nil, Job{Team: "red", Waiting: 5, NotBefore: 11}, 0},
 		{"the job has backed off", nil, Job{Team: "red", Waiting: 5, NotBefore: 10}, 5},
 	} {
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -67,14 +67,16 @@
 
 // DrainRecord is a drain as its operators have started it, and its state.
 type DrainRecord struct {
-	Name               string            `json:"name"`
-	State              string            `json:"state"` // a drain.State
-	RequestFingerprint string            `json:"request"`
-	Step               int               `json:"step"`               // machines emptied at once
-	StartedAt          int64             `json:"started"`            // time of day, microseconds since 1970
-	Deadline           int64             `json:"deadline,omitempty"` // time of day, microseconds since 1970; 0: none
-	EvictAtDeadline    bool              `json:"evict,omitempty"`
-	Budgets            map[string]string `json:"budgets,omitempty"` // by team, as disruption.ParseBudget parses them
+	Name               string `json:"name"`
+	State              string `json:"state"` // a drain.State
+	RequestFingerprint string `json:"request"`
+	Step               int    `json:"step"`    // machines emptied at once
+	StartedAt          int64  `json:"started"` // time of day, microseconds since 1970
+	// Deadline is a time of day, microseconds since 1970; 0: none.
+	Deadline        int64 `json:"deadline,omitempty"`
+	EvictAtDeadline bool  `json:"evict,omitempty"`
+	// Budgets are those by team, as disruption.ParseBudget parses them.
+	Budgets map[wire.TeamName]string `json:"budgets,omitempty"`
 	// Zone and Type name what is vacated as a whole: no machine is rented there that can be elsewhere.
 	Zone string `json:"zone,omitempty"`
 	Type string `json:"type,omitempty"`
--- a/internal/worklog/event.go
+++ b/internal/worklog/event.go
@@ -29,7 +29,8 @@
 	At   time.Time
 	Kind EventKind
 	// Team owns the task's job.
-	Team, Task string
+	Team wire.TeamName
+	Task string
 	// Machine is empty in events that concern the job alone.
 	Machine wire.MachineID
 	// Exempt events count as no disruption: the job is cancelled, or the cloud has announced that it reclaims the machine.
--- a/internal/worklog/load.go
+++ b/internal/worklog/load.go
@@ -11,7 +11,7 @@
 type LoadSample struct {
 	At time.Time
 	// Tasks counts tasks by machine and team.
-	Tasks map[wire.MachineID]map[string]int
+	Tasks map[wire.MachineID]map[wire.TeamName]int
 }
 
 // Total returns the number of tasks on a machine.
@@ -52,10 +52,10 @@
 
 // sampleAt returns the load of the machines, from the starts of the tasks that are on them.
 func sampleAt(at time.Time, startOf map[string]Event) LoadSample {
-	sample := LoadSample{At: at, Tasks: map[wire.MachineID]map[string]int{}}
+	sample := LoadSample{At: at, Tasks: map[wire.MachineID]map[wire.TeamName]int{}}
 	for _, start := range startOf {
 		if sample.Tasks[start.Machine] == nil {
-			sample.Tasks[start.Machine] = map[string]int{}
+			sample.Tasks[start.Machine] = map[wire.TeamName]int{}
 		}
 		sample.Tasks[start.Machine][start.Team]++
 	}
--- a/internal/worklog/wait.go
+++ b/internal/worklog/wait.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"saffronbend/wire"
+
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
@@ -11,8 +13,8 @@
 
 // WaitTimes returns for each team how long its tasks waited, in milliseconds, from when a user has seen that the job is
 // accepted until the task first started. Tasks that have not started are left out.
-func WaitTimes(events []Event) map[string]*hdrhistogram.Histogram {
-	waits := map[string]*hdrhistogram.Histogram{}
+func WaitTimes(events []Event) map[wire.TeamName]*hdrhistogram.Histogram {
+	waits := map[wire.TeamName]*hdrhistogram.Histogram{}
 	acceptedAt := map[string]time.Time{} // by task that has not started
 	for _, event := range events {
 		switch event.Kind {
--- a/internal/worklog/worklog_test.go
+++ b/internal/worklog/worklog_test.go
@@ -11,7 +11,7 @@
 var logStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // at returns an event at a number of seconds after the beginning.
-func at(seconds int, kind EventKind, team, task string, machine wire.MachineID) Event {
+func at(seconds int, kind EventKind, team wire.TeamName, task string, machine wire.MachineID) Event {
 	offset := time.Duration(seconds) * time.Second
 	return Event{At: logStart.Add(offset), Kind: kind, Team: team, Task: task, Machine: machine}
 }
@@ -83,7 +83,7 @@
 		at(30, JobAccepted, "red", "c", ""),
 	})
 	for _, c := range []struct {
-		team     string
+		team     wire.TeamName
 		min, max int64 // milliseconds
 	}{
 		{"red", 2990, 3010},
--- a/wire/identifiers.go
+++ b/wire/identifiers.go
@@ -23,11 +23,16 @@
 // in which the agent has sent them. Those of different incarnations don't compare. 0: none.
 type HeartbeatSeq uint64
 
-// MachineID identifies a machine, such as n-000231. The cloud issues it with the rental and never again. Where machines
-// are sorted it is by the identifier's bytes, which says nothing of their age. Empty: none.
+// MachineID identifies a machine, such as n-000231. The cloud issues it with the rental, and no other machine
+// gets it: late heartbeats of a deleted one count for nothing. Where machines are sorted it is by the identifier's
+// bytes, which says nothing of their age. Empty: none.
 type MachineID string
 
 // JobID identifies a job, such as run-000412. The user who submits the job chooses it, and one that was used is never
 // another job's: a repeated submission is recognized by it. Where jobs are sorted it is by the identifier's bytes,
 // which says nothing of their age. Empty: none.
 type JobID string
+
+// TeamName identifies the team that a job belongs to and whose quota applies to it. The deployment's settings name the
+// teams; a job of another team is refused. Names have no order. Empty: none.
+type TeamName string
--- a/wire/job_validation.go
+++ b/wire/job_validation.go
@@ -52,7 +52,7 @@
 }{
 	{"id", problemIDForm, func(j *Job) bool { return ValidJobID(j.ID) }},
 	{"lane", problemInvalid, func(j *Job) bool { return validName(j.Class) }},
-	{"owner", problemInvalid, func(j *Job) bool { return validName(j.Team) }},
+	{"owner", problemInvalid, func(j *Job) bool { return validName(string(j.Team)) }},
 	{"bundle", problemInvalid, func(j *Job) bool { return validName(j.Image) }},
 	{"shape", problemInvalid, func(j *Job) bool { return validKind(j.Kind) }},
 	{"urgency", problemInvalid, func(j *Job) bool { _, known := priorities[j.PriorityName]; return known }},
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -48,7 +48,7 @@
 type Job struct {
 	ID           JobID    `json:"id"`
 	Class        string   `json:"lane"`  // its service-level objective is in the settings
-	Team         string   `json:"owner"` // whose quota applies
+	Team         TeamName `json:"owner"` // whose quota applies
 	Kind         JobKind  `json:"shape"`
 	PriorityName string   `json:"urgency"`
 	Tasks        int      `json:"pieces"`
