--- a/internal/scenario/conditions.go
+++ b/internal/scenario/conditions.go
@@ -28,7 +28,7 @@
 	"late-starts": {"N", "starts after a confirmed cancellation", 1, atMost(lateStarts)},
 	"runs":        {"ID N", "how often a gang has begun to run", 2, exactly(count(runs))},
 	"saved":       {"ID S", "progress that a gang has saved", 2, savedAtLeast},
-	"on":          {"ID N", "its tasks that run", 2, exactly(count(running))},
+	"on":          {"ID N", "its tasks on all machines", 2, exactly(count(running))},
 	"most-on":     {"ID N", "its tasks on one machine", 2, atMost(mostOnOneMachine)},
 	"task":        {"ID INDEX MACHINE", "the machine on which the task runs", 3, exactly(machineOfTask)},
 	"disturbed":   {"N", "disturbances, by the workers' logs", 1, atLeast(disturbed)},
@@ -40,10 +40,10 @@
 	"healthy": {"MEMBER yes|no", "whether the controller counts itself as healthy", 2, exactly(healthy)},
 
 	// Machines and the cloud.
-	"machines": {"N", "machines that are up", 1, exactly(count(machinesUp))},
+	"machines": {"N", "machines that the cloud has, in any state", 1, exactly(count(machineCount))},
 	"zone":     {"ZONE N", "machines in the zone", 2, exactly(count(machinesInZone))},
 	"rented":   {"N", "machines that have been rented", 1, exactly(count(rented))},
-	"orders":   {"MACHINE N", "commands that have been pushed to the machine", 2, pushesAtMost},
+	"orders":   {"MACHINE N", "pushes of commands to the machine, empty ones included", 2, pushesAtMost},
 
 	// The store.
 	"records":  {"PREFIX N", "records whose keys have the prefix", 2, exactly(count(records))},
@@ -58,7 +58,7 @@
 func (w *world) check(ctx context.Context, words []string) error {
 	found, ok := conditions[words[0]]
 	if !ok {
-		return fmt.Errorf("unknown condition %q", words[0])
+		return fmt.Errorf("%w %q", errUnknownCondition, words[0])
 	}
 	if len(words[1:]) < found.least {
 		return fmt.Errorf("%w: %s %s: %s", errMissing, words[0], found.usage, found.help)
@@ -118,7 +118,7 @@
 func lateStarts(w *world, _ []string) int         { return w.checker.StartsAfterCancel() }
 func runs(w *world, words []string) int           { return w.checker.GangRuns(wire.JobID(words[0])) }
 func running(w *world, words []string) int        { return len(w.checker.Placements(wire.JobID(words[0]))) }
-func machinesUp(w *world, _ []string) int         { return w.cloud.MachineCount() }
+func machineCount(w *world, _ []string) int       { return w.cloud.MachineCount() }
 func machinesInZone(w *world, words []string) int { return w.cloud.MachinesInZone(words[0]) }
 func rented(w *world, _ []string) int             { return w.cloud.ScaledOut() }
 func records(w *world, words []string) int        { return w.state.CountKeys(words[0]) }
--- a/internal/scenario/expectations.go
+++ b/internal/scenario/expectations.go
@@ -20,6 +20,9 @@
 // errHolds is the error of a condition that must never hold.
 var errHolds = errors.New("the condition holds")
 
+// errUnknownCondition is the error of a condition that is not in the table.
+var errUnknownCondition = errors.New("unknown condition")
+
 func (w *world) ready(ctx context.Context, _ arguments) error {
 	for _, member := range w.members {
 		if err := w.waitFor(ctx, readyTimeout, "healthy", member, "yes"); err != nil {
@@ -41,9 +44,13 @@
 func (w *world) never(ctx context.Context, args arguments) error {
 	end := time.Now().Add(secondsOf(args.words[0]))
 	for ; time.Now().Before(end); time.Sleep(checkInterval) {
-		if w.check(ctx, args.words[1:]) == nil {
+		err := w.check(ctx, args.words[1:])
+		if err == nil {
 			return errHolds
 		}
+		if errors.Is(err, errUnknownCondition) || errors.Is(err, errMissing) {
+			return err // such a condition could never hold
+		}
 	}
 	return nil
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -99,6 +99,8 @@
 		{"state", errMissing},
 		{"state late tasks/", errMissing},
 		{"state sleeps", errUnknownWord},
+		{"never 1 dances", errUnknownCondition},
+		{"never 1 job run-000001", errMissing},
 	} {
 		if err := w.step(t.Context(), c.line); !errors.Is(err, c.want) {
 			t.Errorf("%q: %v, want %v", c.line, err, c.want)
--- a/wire/heartbeat.go
+++ b/wire/heartbeat.go
@@ -49,7 +49,8 @@
 	Spot    bool      `json:"loaners"`
 	// Incarnation of the worker's agent: it starts at 1 and grows when the worker's lease has expired.
 	Incarnation AgentIncarnation `json:"shift"`
-	// Sequence grows with each heartbeat. Of two, the one with the larger (Incarnation, Sequence) is newer.
+	// Sequence grows with each heartbeat and each answer to pushed commands. Of two messages, the one with the larger
+	// (Incarnation, Sequence) is newer.
 	Sequence HeartbeatSeq `json:"tick"`
 	// FencingToken is the highest that the worker has seen.
 	FencingToken FencingToken `json:"baton"`
--- a/wire/identifiers.go
+++ b/wire/identifiers.go
@@ -24,8 +24,8 @@
 type HeartbeatSeq uint64
 
 // MachineID identifies a machine, such as n-000231. The cloud issues it with the rental, and no other machine
-// gets it: late heartbeats of a deleted one count for nothing. Where machines are sorted it is by the identifier's
-// bytes, which says nothing of their age. Empty: none.
+// gets it: late heartbeats of a deleted one count for nothing. The order of the
+// identifiers is that in which the machines were created. Empty: none.
 type MachineID string
 
 // JobID identifies a job, such as run-000412. The user who submits the job chooses it, and one that was used is never
