--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -242,10 +242,10 @@
 		{name: "boots for less than three times its boot time", change: func(m *snapshot.Machine) {
 			m.Reporting, m.State, m.RegisteredAt = false, wire.MachineStarting, start.Add(-120*micros.Second)
 		}},
-		{name: "boots for longer", want: "does not come up", change: func(m *snapshot.Machine) {
+		{name: "boots for longer", want: "boot timeout", change: func(m *snapshot.Machine) {
 			m.Reporting, m.State, m.RegisteredAt = false, wire.MachineStarting, start.Add(-121*micros.Second)
 		}},
-		{name: "unlisted and silent for two heartbeats", want: "taken", change: func(m *snapshot.Machine) {
+		{name: "unlisted and silent for two heartbeats", want: "reclaimed", change: func(m *snapshot.Machine) {
 			m.Unlisted, m.LastHeartbeat = true, start.Add(-6*micros.Second)
 		}},
 		{name: "unlisted, but heartbeating", change: func(m *snapshot.Machine) { m.Unlisted = true }},
--- a/internal/fleet/unhealthy.go
+++ b/internal/fleet/unhealthy.go
@@ -8,11 +8,11 @@
 
 // The reasons for which unhealthy machines are deleted, beside those of a quarantine. Operators see them in the log.
 const (
-	reasonFailed      = "failed"           // the cloud says so
-	reasonNotUp       = "does not come up" // no heartbeat long after its boot time
-	reasonReclaimed   = "taken"            // silent, and no longer listed by the cloud
-	reasonSilent      = "silent"           // no heartbeats
-	reasonUnreachable = "does not hear"    // its heartbeats arrive, but responses and commands don't reach it
+	reasonFailed      = "failed"       // the cloud says so
+	reasonNotUp       = "boot timeout" // no heartbeat long after its boot time
+	reasonReclaimed   = "reclaimed"    // silent, and no longer listed by the cloud
+	reasonSilent      = "silent"       // no heartbeats
+	reasonUnreachable = "unreachable"  // its heartbeats arrive, but responses and commands don't reach it
 )
 
 // defaultBootTime stands for the boot time of a machine whose type isn't known.
--- a/internal/manager/gone.go
+++ b/internal/manager/gone.go
@@ -68,8 +68,8 @@
 }
 
 // releaseAttempt records that an attempt is gone: its task waits again unless it is done, and what the attempt used
-// is free. The caller must hold the proof. Whether the loss counts as a disruption depends on it: an attempt that has
-// failed by itself was not disrupted.
+// is free. Only from here on may a task that has had an attempt start elsewhere. The caller must hold the proof.
+// Whether the loss counts as a disruption depends on it: an attempt that has failed by itself was not disrupted.
 func (m *Manager) releaseAttempt(now micros.Timestamp, attempt *taskAttempt, proof goneProof) {
 	job := attempt.job
 	if job.active[attempt.taskIndex] != attempt {
