--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -28,8 +28,8 @@
 	pollTimeout   = 1500 * time.Millisecond
 	// maxRequestsInFlight bounds the memory and the store's time that users can take.
 	maxRequestsInFlight = 64
-	// finalStatesKept is how many jobs in a final state are known without asking the store.
-	finalStatesKept = 20000
+	// maxFinalStates is how many jobs in a final state are known without asking the store.
+	maxFinalStates = 20000
 )
 
 // Store is the part of the key-value store's client that the package uses; see state.Client for the errors.
@@ -69,7 +69,7 @@
 func New(store Store, controller Info, s *settings.Settings, log *slog.Logger, unixMicro func() int64) *API {
 	return &API{
 		store: store, controller: controller, settings: s, log: log, unixMicro: unixMicro,
-		finalStates: newFinalStates(finalStatesKept),
+		finalStates: newFinalStates(maxFinalStates),
 		inFlight:    make(chan struct{}, maxRequestsInFlight),
 	}
 }
--- a/internal/api/feasibility.go
+++ b/internal/api/feasibility.go
@@ -9,11 +9,11 @@
 
 // Why a job can never run. Users see the texts.
 var (
-	errUnknownTeam     = errors.New("unknown team")
-	errTaskOverLimit   = errors.New("a task needs more than the team's limit")
-	errTaskFitsNowhere = errors.New("a task fits no allowed machine type")
-	errGangOverLimit   = errors.New("the tasks of the gang together need more than the team's limit")
-	errNoZonesToSpread = errors.New("the tasks of the gang can't be spread over the zones that they may use")
+	errUnknownTeam      = errors.New("unknown team")
+	errTaskExceedsLimit = errors.New("a task needs more than the team's limit")
+	errTaskFitsNowhere  = errors.New("a task fits no allowed machine type")
+	errGangExceedsLimit = errors.New("the tasks of the gang together need more than the team's limit")
+	errNoZonesToSpread  = errors.New("the tasks of the gang can't be spread over the zones that they may use")
 )
 
 // limitTolerance allows for the rounding of a sum, in processors and accelerators.
@@ -26,8 +26,8 @@
 	if team == nil {
 		return errUnknownTeam
 	}
-	if overLimit(team, job.CPUs, job.GPUs, 0) {
-		return errTaskOverLimit
+	if exceedsLimit(team, job.CPUs, job.GPUs, 0) {
+		return errTaskExceedsLimit
 	}
 	zones := zonesFor(job, types)
 	if zones == 0 {
@@ -37,8 +37,8 @@
 		return nil
 	}
 	tasks := float64(job.Tasks)
-	if overLimit(team, tasks*job.CPUs, tasks*job.GPUs, limitTolerance) {
-		return errGangOverLimit
+	if exceedsLimit(team, tasks*job.CPUs, tasks*job.GPUs, limitTolerance) {
+		return errGangExceedsLimit
 	}
 	if job.SpreadZones && (job.SameZone || zones < 2) {
 		return errNoZonesToSpread
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// overLimit reports whether so many processors or accelerators exceed the team's limit; a limit of 0 is none.
-func overLimit(team *settings.Team, cpus, gpus, tolerance float64) bool {
+// exceedsLimit reports whether so many processors or accelerators exceed the team's limit; a limit of 0 is none.
+func exceedsLimit(team *settings.Team, cpus, gpus, tolerance float64) bool {
 	return team.CPUsMax > 0 && cpus > team.CPUsMax+tolerance || team.GPUsMax > 0 && gpus > team.GPUsMax+tolerance
 }
 
--- a/internal/api/feasibility_test.go
+++ b/internal/api/feasibility_test.go
@@ -22,8 +22,8 @@
 	}{
 		{"a task that fits", wire.Job{Team: "unlimited", CPUs: 4}, nil},
 		{"unknown team", wire.Job{Team: "other", CPUs: 1}, errUnknownTeam},
-		{"one task over the limit of processors", wire.Job{Team: "limited", CPUs: 10.5}, errTaskOverLimit},
-		{"one task over the limit of accelerators", wire.Job{Team: "limited", GPUs: 3}, errTaskOverLimit},
+		{"one task over the limit of processors", wire.Job{Team: "limited", CPUs: 10.5}, errTaskExceedsLimit},
+		{"one task over the limit of accelerators", wire.Job{Team: "limited", GPUs: 3}, errTaskExceedsLimit},
 		{"one task at the limit", wire.Job{Team: "limited", CPUs: 10, GPUs: 2}, nil},
 		{"a task that fits no type", wire.Job{Team: "unlimited", CPUs: 17}, errTaskFitsNowhere},
 		{"a task that fits no type in its zone", wire.Job{Team: "unlimited", CPUs: 8, Zone: &zoneB}, errTaskFitsNowhere},
@@ -37,7 +37,7 @@
 		},
 		{
 			"the tasks of a gang may not",
-			wire.Job{Team: "limited", Kind: wire.KindGang, Tasks: 3, CPUs: 4}, errGangOverLimit,
+			wire.Job{Team: "limited", Kind: wire.KindGang, Tasks: 3, CPUs: 4}, errGangExceedsLimit,
 		},
 		{
 			"a gang at the limit, whose sum is rounded up",
--- a/internal/api/finalstates_test.go
+++ b/internal/api/finalstates_test.go
@@ -7,7 +7,7 @@
 	"saffronbend/wire"
 )
 
-func TestFinalStatesKeepRecentJobs(t *testing.T) {
+func TestFinalStatesOfRecentJobs(t *testing.T) {
 	const size = 10
 	states := newFinalStates(size)
 	const jobs = 3 * size
--- a/internal/fake/host.go
+++ b/internal/fake/host.go
@@ -158,4 +158,5 @@
 // Network returns the name of the network, as that of a real connection.
 func (a address) Network() string { return "tcp" }
 
+// String returns the address, HOST:PORT.
 func (a address) String() string { return string(a) }
--- a/internal/fake/store_test.go
+++ b/internal/fake/store_test.go
@@ -171,8 +171,8 @@
 				c.play(t, store, func() int {
 					return request(t, store, http.MethodPost, fmt.Sprintf("/grants/%d", lease.ID), nil, nil)
 				})
-				if _, kept := store.Get("a"); kept != c.kept {
-					t.Errorf("the key is there: %v, want %v", kept, c.kept)
+				if _, retained := store.Get("a"); retained != c.kept {
+					t.Errorf("the key is there: %v, want %v", retained, c.kept)
 				}
 			})
 		})
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -179,8 +179,8 @@
 	for _, task := range w.tasks {
 		w.advance(now, task)
 	}
-	heartbeatDue := !now.Before(w.nextHeartbeat) || w.changed && now.Sub(w.lastHeartbeat) >= minHeartbeatSpacing
-	if !w.inFlight && heartbeatDue {
+	sendHeartbeat := !now.Before(w.nextHeartbeat) || w.changed && now.Sub(w.lastHeartbeat) >= minHeartbeatSpacing
+	if !w.inFlight && sendHeartbeat {
 		w.sendHeartbeat(ctx, now)
 	}
 }
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -282,14 +282,14 @@
 				time.Sleep(3 * testInterval)
 				c.fail(w)
 				time.Sleep(c.lasts)
-				kept := c.incarnation == 1
-				if runs := len(w.checker.Placements(testJob)) == 1; runs != kept {
-					t.Errorf("the task runs: %v, want %v", runs, kept)
+				retained := c.incarnation == 1
+				if runs := len(w.checker.Placements(testJob)) == 1; runs != retained {
+					t.Errorf("the task runs: %v, want %v", runs, retained)
 				}
 				c.repair(w)
 				time.Sleep(5 * testInterval)
 				heartbeat := w.lastHeartbeat()
-				if heartbeat.Incarnation != c.incarnation || (len(heartbeat.Tasks) == 1) != kept {
+				if heartbeat.Incarnation != c.incarnation || (len(heartbeat.Tasks) == 1) != retained {
 					t.Errorf("%+v", heartbeat)
 				}
 			})
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -33,6 +33,7 @@
 	Index int
 }
 
+// String returns the name of the task.
 func (t Task) String() string { return wire.TaskName(t.Job, t.Index) }
 
 // Workload is a job, and what the workers do with its tasks.
--- a/internal/invariant/disruption.go
+++ b/internal/invariant/disruption.go
@@ -43,7 +43,7 @@
 			}
 			count := audit.countKnown(event, detection)
 			if budget, ok := budgets[event.Team]; ok && count > budget {
-				violations = append(violations, overBudget(event, count-1, budget))
+				violations = append(violations, exceedsBudget(event, count-1, budget))
 			}
 		case worklog.JobAccepted: // disrupts nothing
 		}
@@ -54,7 +54,7 @@
 	return audit.ended, violations
 }
 
-func overBudget(event worklog.Event, disrupted, budget int) Violation {
+func exceedsBudget(event worklog.Event, disrupted, budget int) Violation {
 	return Violation{Rule: DisruptionBudget, Detail: fmt.Sprintf(
 		"%s: %s on %s is stopped while %d of %s's tasks are disrupted, at most %d may be",
 		event.At.Format(time.TimeOnly), event.Task, event.Machine, disrupted, event.Team, budget)}
--- a/internal/invariant/violation.go
+++ b/internal/invariant/violation.go
@@ -37,6 +37,7 @@
 	Detail string
 }
 
+// String returns the rule and what broke it, on one line.
 func (v Violation) String() string { return string(v.Rule) + ": " + v.Detail }
 
 // ViolationError is the error of a run in which rules were broken.
@@ -44,6 +45,7 @@
 	Violations []Violation
 }
 
+// Error returns all violations, on one line.
 func (e *ViolationError) Error() string {
 	details := make([]string, 0, len(e.Violations))
 	for _, violation := range e.Violations {
--- a/internal/leader/publish.go
+++ b/internal/leader/publish.go
@@ -14,7 +14,7 @@
 	t.cfg.Health.SnapshotPublished(published)
 	t.followers.notify()
 	t.scaler.ObserveSnapshot(now, published)
-	if t.leaseValid(now) && t.scaler.RoundDue(now) {
+	if t.leaseValid(now) && t.scaler.ReadyForRound(now) {
 		shortage := t.scaler.Round(ctx, now, published)
 		t.drains.SetShortage(string(shortage))
 	}
--- a/internal/leader/scaling/scaling.go
+++ b/internal/leader/scaling/scaling.go
@@ -100,8 +100,10 @@
 	}))
 }
 
-// RoundDue reports whether it is time for a next round.
-func (e *Executor) RoundDue(now micros.Timestamp) bool { return now.Sub(e.lastRound) >= roundInterval }
+// ReadyForRound reports whether it is time for a next round.
+func (e *Executor) ReadyForRound(now micros.Timestamp) bool {
+	return now.Sub(e.lastRound) >= roundInterval
+}
 
 // Round decides on the fleet's size and carries it out. It returns why there is no room yet for tasks that are to be
 // evicted.
--- a/internal/manager/gone_test.go
+++ b/internal/manager/gone_test.go
@@ -162,7 +162,7 @@
 // Which absence from a heartbeat proves an attempt gone.
 func TestAbsenceProvesGone(t *testing.T) {
 	const incarnation, heartbeatSeq = 3, 20
-	ours := func(change func(*taskAttempt)) *taskAttempt {
+	thisTerm := func(change func(*taskAttempt)) *taskAttempt {
 		attempt := &taskAttempt{
 			durable: true, grantedThisTerm: true, incarnation: incarnation,
 			launch: launchState{answerSeq: heartbeatSeq - 1}, stop: stopRequest{requested: true},
@@ -176,18 +176,18 @@
 		acknowledged bool
 		want         bool
 	}{
-		{"ours, to be stopped, launched before the heartbeat", ours(func(*taskAttempt) {}), true, true},
-		{"the agent has not acknowledged our token", ours(func(*taskAttempt) {}), false, false},
-		{"it is listed", ours(func(a *taskAttempt) { a.listed = true }), true, false},
-		{"its placement is not durable", ours(func(a *taskAttempt) { a.durable = false }), true, false},
-		{"of another incarnation", ours(func(a *taskAttempt) { a.incarnation = 4 }), true, false},
-		{"not to be stopped: it is launched again", ours(func(a *taskAttempt) { a.stop.requested = false }), true, false},
+		{"ours, to be stopped, launched before the heartbeat", thisTerm(func(*taskAttempt) {}), true, true},
+		{"the agent has not acknowledged our token", thisTerm(func(*taskAttempt) {}), false, false},
+		{"it is listed", thisTerm(func(a *taskAttempt) { a.listed = true }), true, false},
+		{"its placement is not durable", thisTerm(func(a *taskAttempt) { a.durable = false }), true, false},
+		{"of another incarnation", thisTerm(func(a *taskAttempt) { a.incarnation = 4 }), true, false},
+		{"not to be stopped: it is launched again", thisTerm(func(a *taskAttempt) { a.stop.requested = false }), true, false},
 		{"launched in the answer to this heartbeat",
-			ours(func(a *taskAttempt) { a.launch.answerSeq = heartbeatSeq }), true, false},
-		{"a push of it is in flight", ours(func(a *taskAttempt) { a.launch.push = pushInFlight }), true, false},
+			thisTerm(func(a *taskAttempt) { a.launch.answerSeq = heartbeatSeq }), true, false},
+		{"a push of it is in flight", thisTerm(func(a *taskAttempt) { a.launch.push = pushInFlight }), true, false},
 		{"a push of it has an unknown outcome",
-			ours(func(a *taskAttempt) { a.launch.push = pushOutcomeUnknown }), true, false},
-		{"a push of it was answered", ours(func(a *taskAttempt) { a.launch.push = pushAnswered }), true, true},
+			thisTerm(func(a *taskAttempt) { a.launch.push = pushOutcomeUnknown }), true, false},
+		{"a push of it was answered", thisTerm(func(a *taskAttempt) { a.launch.push = pushAnswered }), true, true},
 		{"an earlier leader's", &taskAttempt{durable: true, incarnation: incarnation}, true, true},
 		{"an earlier leader's, without our token", &taskAttempt{durable: true, incarnation: incarnation}, false, false},
 	} {
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -198,9 +198,9 @@
 	return m
 }
 
-// ours has this version write what it can, from production's jobs and a gang of its own that
+// currentExamples has this version write what it can, from production's jobs and a gang of its own that
 // takes two records.
-func ours(t *testing.T) []example {
+func currentExamples(t *testing.T) []example {
 	t.Helper()
 	var out []example
 	put := func(kind, key string, v any) { out = append(out, example{kind, key, encode(t, v)}) }
@@ -227,9 +227,9 @@
 		{Job: gang.ID, Machine: "n-000001", Count: 8, Duration: 30 * micros.Second},
 		{Job: gang.ID, Machine: "n-000002", Count: 4, Duration: 30 * micros.Second},
 	}}
-	asks := peer.LeaseRequests{Member: "c2", FencingToken: token, Requests: []lease.Transaction{whole}}
-	put("asks", "", asks)
-	answers := peer.LeaseResponses{SnapshotVersion: 2, Results: []lease.Result{m.Grant(now, asks.Requests[0])}}
+	leaseRequests := peer.LeaseRequests{Member: "c2", FencingToken: token, Requests: []lease.Transaction{whole}}
+	put("asks", "", leaseRequests)
+	answers := peer.LeaseResponses{SnapshotVersion: 2, Results: []lease.Result{m.Grant(now, leaseRequests.Requests[0])}}
 	if answers.Results[0].Granted[1] != 4 {
 		t.Fatalf("the gang was granted %v", answers.Results[0].Granted)
 	}
@@ -245,8 +245,8 @@
 
 // Production knows every field of our records, so none is lost when it rewrites one; of our
 // messages it may not know some, and understands what it knows as we do.
-func TestProductionReadsOurs(t *testing.T) {
-	for _, e := range ours(t) {
+func TestProductionReadsCurrentFormats(t *testing.T) {
+	for _, e := range currentExamples(t) {
 		k := kinds[e.Kind]
 		old := k.old()
 		stored := e.Key != ""
@@ -307,7 +307,7 @@
 
 // A leader of this version takes over what production has left, under lower limits: the placements that may exist are
 // kept until they are proven gone, done tasks stay done, a cancelled job is not placed.
-func TestTakesOverFromProduction(t *testing.T) {
+func TestFailoverFromProduction(t *testing.T) {
 	limits := settings.StoreLimits{TxnOps: 4, ValueKB: 1}
 	leader := &takeover{
 		manager:  newManager(t, limits, items(t, "open"), items(t, "chunk")),
@@ -384,7 +384,7 @@
 }
 
 // Production's scheduler asks this version's leader for a gang as it always has.
-func TestServesProductionsAsks(t *testing.T) {
+func TestServesLeaseRequestsOfProduction(t *testing.T) {
 	m := newManager(t, settings.StoreLimits{TxnOps: 8, ValueKB: 4}, items(t, "open"), nil)
 	for i, id := range []wire.MachineID{"n-000001a", "n-000002b", "n-000003a"} {
 		m.Heartbeat(now, heartbeat(id, string(id[len(id)-1:]), wire.HeartbeatSeq(i+1)), "", true)
