--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// This file is the order in which a job's tasks are given machines that have room: the paper's preference for
-// locality (III.C, IV), where local means that the machine has the image, and docs/design.md's order among equals
-// ("Changed", 2).
+// This file orders the machines on which the tasks of a job can be placed. As in the Awan paper (III.C, IV), local
+// machines are preferred: those that have the job's image. The order among equally local machines is that of
+// docs/design.md ("Changed", 2).
 
-// imageState is where a machine stands with a job's image, the best first.
+// imageState says whether a machine has a job's image. Lower values are preferred.
 type imageState int
 
 const (
@@ -18,76 +18,78 @@
 	imageAbsent
 )
 
-// candidate is a machine with room for a job, or a part of its room.
+// candidate is a machine, or a part of its capacity, on which tasks of a job can be placed.
 type candidate struct {
 	machine *machineState
 	image   imageState
-	// reserved says that this is room that is reserved for the job.
+	// reserved says that the candidate is capacity that is reserved for the job's tasks.
 	reserved bool
-	// beyondCap says that tasks here take the team's share of the machine beyond its cap (team_cap.go).
+	// beyondCap says that tasks placed here raise the team's share of the machine above the team cap (team_cap.go).
 	beyondCap bool
-	// maxTasks is how many tasks may be placed by this candidate; 0: any number.
+	// maxTasks limits how many tasks may be placed on this candidate; 0: no limit.
 	maxTasks int
-	// gangTasks is how many of a gang's tasks fit; 0 for other jobs.
+	// gangTasks is how many of a gang's tasks fit on the machine; 0 for other jobs.
 	gangTasks int
 }
 
-// local reports whether a task on the candidate counts as local: it needs no fetch, or takes the room that it was
-// evicted for.
+// local reports whether a task on the candidate counts as local: the machine has the image, or the capacity is
+// reserved for the job's evicted tasks.
 func (c *candidate) local() bool { return c.image == imagePresent || c.reserved }
 
-// candidates returns the machines that have room for the job now, the best first.
+// candidates returns the machines on which a task of the job fits now, best first.
 func (s *Scheduler) candidates(job *queuedJob) []candidate {
 	var candidates []candidate
 	for _, machine := range s.machines {
-		if !machine.Usable || !machine.freeFor(job).Fits(job.Vector) || !job.mayUse(machine) {
+		if !machine.Usable || !machine.freeFor(job).Fits(job.Vector) || !job.mayUseMachine(machine) {
 			continue
 		}
-		whole := candidate{machine: machine, image: imageAbsent}
+		machineCandidate := candidate{machine: machine, image: imageAbsent}
 		switch {
 		case machine.hasImage(job):
-			whole.image = imagePresent
+			machineCandidate.image = imagePresent
 		case machine.isFetching(job):
-			whole.image = imageFetching
+			machineCandidate.image = imageFetching
 		}
 		if job.Gang {
-			whole.gangTasks = job.maxTasksOn(machine, job.placeable)
+			machineCandidate.gangTasks = job.maxTasksOn(machine, job.placeable)
 		}
-		candidates = s.appendParts(candidates, job, whole)
+		candidates = s.appendMachine(candidates, job, machineCandidate)
 	}
 	slices.SortStableFunc(candidates, func(a, b candidate) int { return compareCandidates(job, &a, &b) })
 	return candidates
 }
 
-// appendParts appends a machine as up to three candidates: the room that is reserved for the job, and the free room
-// within and beyond the cap of the job's team.
+// appendMachine appends a machine as up to three candidates: the capacity that is reserved for the job's tasks, and
+// the free capacity within and beyond the cap of the job's team.
 //
-// Reserved room is taken as if the image were there: a task was evicted for it, and waits for nothing better
-// (docs/design.md, "Drains"). Only as many tasks go there as it is reserved for; without that limit, successors that
-// were to go to several machines would all go to the first.
-func (s *Scheduler) appendParts(candidates []candidate, job *queuedJob, whole candidate) []candidate {
-	reservedTasks := whole.machine.reservedTasks(job)
+// Reserved capacity is treated as if the image were present: a task was evicted to run there, so it does not wait for
+// a machine with the image (docs/design.md, "Drains"). Only as many tasks are placed there as the capacity is reserved
+// for. Without that limit, evicted tasks with capacity reserved on several machines would all be placed on the first.
+func (s *Scheduler) appendMachine(candidates []candidate, job *queuedJob, machineCandidate candidate) []candidate {
+	reservedTasks := machineCandidate.machine.reservedTasks(job)
 	if reservedTasks == 0 {
-		return s.appendAtCap(candidates, job, whole)
+		return s.appendSplitAtCap(candidates, job, machineCandidate)
 	}
-	reserved := whole
+	reserved := machineCandidate
 	reserved.reserved = true
 	if job.Gang {
 		return append(candidates, reserved)
 	}
 	reserved.maxTasks = reservedTasks
-	return s.appendAtCap(append(candidates, reserved), job, whole)
+	return s.appendSplitAtCap(append(candidates, reserved), job, machineCandidate)
 }
 
-// compareCandidates orders a job's candidates, the best first:
+// compareCandidates orders the candidates of a job by these criteria, the most important first:
 //
-//   - machines that are reserved for this very job, which others can't use, then room that is reserved for its tasks;
-//   - for a gang, machines that are not unreliable: one that fails, fails all of it;
-//   - machines with the image, then those that are fetching it, then others;
-//   - room within the cap of the job's team;
-//   - for a gang, machines that take more of it: each machine more is one more that may fail or be slow for all;
-//   - spot machines, so that dearer ones fall idle and can be returned;
-//   - machines that are fuller, so that large tasks find room on empty ones.
+//   - machines that are reserved as a whole for this job, which other jobs can't use, then capacity that is reserved
+//     for its tasks;
+//   - for a gang, machines that are not unreliable, since the failure of one task fails the whole gang;
+//   - machines that have the image, then machines that are fetching it, then others;
+//   - capacity within the cap of the job's team;
+//   - for a gang, machines on which more of its tasks fit, since each additional machine may fail or slow down the
+//     whole gang;
+//   - spot machines, so that more expensive machines become idle and can be deleted;
+//   - machines with fewer free CPUs, so that emptier machines stay available for large tasks.
 func compareCandidates(job *queuedJob, a, b *candidate) int {
 	machineA, machineB := a.machine, b.machine
 	if order := cmp.Or(
--- a/internal/scheduler/decide.go
+++ b/internal/scheduler/decide.go
@@ -6,46 +6,49 @@
 	"saffronbend/wire"
 )
 
-// maxTasksPerRound bounds the tasks of one job that are placed in one round; a gang is placed as a whole.
+// maxTasksPerRound limits how many tasks of one job are placed in one round. A gang has no such limit, since it is
+// placed as a whole.
 const maxTasksPerRound = 256
 
-// choice is what is decided for one or more of a job's tasks: to place them on a machine, or to wait for a lease there.
+// choice is a decision for tasks of a job: to place one or more of them on a machine, or to let one of them wait for
+// the end of a lease there.
 type choice struct {
 	machine *machineState
-	tasks   int  // that are placed; 0: one waits
-	fetches bool // the machine must fetch the image for them
-	// waitFor is the attempt whose lease's end a task waits for; 0: none.
+	tasks   int  // number of tasks to place; 0: one task waits
+	fetches bool // the machine must fetch the image for these tasks
+	// waitFor is the attempt whose lease must end before the waiting task can be placed; 0: no task waits.
 	waitFor wire.AttemptID
-	// isWaiter says that the job has the place of that lease's waiter already.
-	isWaiter bool
+	// alreadyWaiting says that the job is already the waiter of that lease.
+	alreadyWaiting bool
 }
 
-// selection is the choices for a job's tasks.
+// selection holds the choices for the tasks of a job.
 type selection struct {
 	choices []choice
-	tasks   int // that are placed or wait
-	local   int // those of them that need no fetch
+	tasks   int // number of tasks that are placed or wait
+	local   int // number of these tasks that are local
 }
 
-// decide returns the requests for one job's tasks that wait: first for free machines with the image; then, for each
-// task, for the end of a lease on a machine that ends before a fetch would, or for a free machine that must fetch. It
-// returns none if nothing can be placed, a gang can't be placed as a whole, or the job is skipped.
+// decide returns the lease requests for the waiting tasks of one job. It first places tasks on free machines that have
+// the image. Each remaining task then waits for a lease on a machine with the image, if that lease ends before a fetch
+// would, or is placed on a free machine that must fetch the image. decide returns nil if no task can be placed, a gang
+// can't be placed as a whole, or the job is skipped.
 func (s *Scheduler) decide(now micros.Timestamp, job *queuedJob) []lease.Request {
 	wanted := min(job.placeable, maxTasksPerRound)
 	if job.Gang {
 		if job.Active > 0 || job.placeable < job.Waiting {
-			return nil // what is left of its last attempt, or the team's quota, is in the way
+			return nil // tasks of its last attempt may still exist, or the team's quota doesn't allow the whole gang
 		}
 		wanted = job.placeable
 	}
 	if job.needsZone() {
-		if room := s.chooseZone(job); job.Gang && room < wanted {
+		if fitting := s.chooseZone(job); job.Gang && fitting < wanted {
 			return nil
 		}
 	}
 	candidates := s.candidates(job)
 	if len(candidates) == 0 {
-		return nil // without room there is nothing to weigh a wait against: the tasks stay in the queue
+		return nil // no fetch to compare a wait with, since no machine has free capacity: the tasks stay queued
 	}
 	selected := s.choose(job, candidates, wanted)
 	if len(selected.choices) == 0 {
@@ -62,10 +65,11 @@
 	return s.requests(job, selected.choices)
 }
 
-// choose returns the best choices for up to so many tasks, and takes the room of those that are placed.
+// choose returns the best choices for at most the wanted number of tasks, and allocates the resources of the tasks that
+// it places.
 func (s *Scheduler) choose(job *queuedJob, candidates []candidate, wanted int) selection {
 	var selected selection
-	mayWait := job.mayWait()
+	mayWait := job.mayWaitForLease()
 	for i := range candidates {
 		candidate := &candidates[i]
 		if selected.tasks == wanted {
@@ -73,7 +77,7 @@
 		}
 		if mayWait && !candidate.local() {
 			mayWait = false
-			waits := s.waits(job, candidate.machine)
+			waits := s.waitChoices(job, candidate.machine)
 			waits = waits[:min(len(waits), wanted-selected.tasks)]
 			selected.choices = append(selected.choices, waits...)
 			selected.tasks += len(waits)
@@ -98,31 +102,31 @@
 	return selected
 }
 
-// place takes room for so many tasks of the job on a machine; of fewer than none, it returns the room.
+// place allocates the resources of the given number of the job's tasks on a machine. A negative number frees them.
 func (j *queuedJob) place(machine *machineState, tasks int) {
 	if tasks == 0 {
 		return
 	}
-	machine.take(j.Vector, tasks)
+	machine.allocate(j.Vector, tasks)
 	if j.tasksByZone != nil {
 		j.tasksByZone[machine.Zone] += tasks
 	}
 }
 
-// requests returns the lease requests for a job's choices.
+// requests returns the lease requests for the choices that were made for a job.
 func (s *Scheduler) requests(job *queuedJob, choices []choice) []lease.Request {
 	var requests []lease.Request
 	for _, chosen := range choices {
 		machine := chosen.machine
 		if chosen.waitFor != 0 {
-			machine.waitFor(chosen.waitFor)
-			if !chosen.isWaiter {
+			machine.recordWaiter(chosen.waitFor)
+			if !chosen.alreadyWaiting {
 				requests = append(requests, lease.Request{Job: job.ID, Machine: machine.ID, WaitFor: chosen.waitFor})
 			}
 			continue
 		}
 		if chosen.fetches {
-			machine.startFetch(job.Image)
+			machine.recordFetch(job.Image)
 		}
 		requests = append(requests, lease.Request{Job: job.ID, Machine: machine.ID, Count: chosen.tasks,
 			Duration: s.leaseDuration(job, machine, chosen.fetches)})
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -8,18 +8,18 @@
 	"saffronbend/wire"
 )
 
-// machineState is the scheduler's own copy of a machine. The snapshot's is shared and never changed.
+// machineState is the scheduler's own copy of a machine. The machine in the snapshot is shared and never modified.
 type machineState struct {
 	*snapshot.Machine
-	machineType *wire.MachineType       // nil: the cloud no longer offers it
-	free        resources.Vector        // without what has been decided on this snapshot
-	fetching    map[string]bool         // images that our requests make it fetch
-	waitedFor   map[wire.AttemptID]bool // attempts whose lease's end we wait for since this snapshot
-	changed     bool                    // differs from the snapshot
+	machineType *wire.MachineType       // nil: the cloud no longer offers the type
+	free        resources.Vector        // free resources after the decisions on this snapshot
+	fetching    map[string]bool         // images that the machine must fetch by the decisions on this snapshot
+	waitedFor   map[wire.AttemptID]bool // attempts whose leases tasks wait for by the decisions on this snapshot
+	changed     bool                    // a decision has changed this copy
 }
 
-// refreshMachines renews the copies of the machines that are not the same in this snapshot as in the last, and of those
-// that decisions have changed. Of thousands of machines few change from one snapshot to the next.
+// refreshMachines replaces the copies of the machines that differ from the last snapshot, and those that decisions have
+// changed. The others are kept, because only a few of thousands of machines change from one snapshot to the next.
 func (s *Scheduler) refreshMachines() {
 	s.machines = make([]*machineState, 0, len(s.snapshot.Machines))
 	for _, published := range s.snapshot.Machines {
@@ -44,13 +44,14 @@
 // hasImage reports whether the machine has the job's image.
 func (m *machineState) hasImage(job *queuedJob) bool { return slices.Contains(m.Images, job.Image) }
 
-// isFetching reports whether the job's image is on its way to the machine; tasks that need it share the fetch.
+// isFetching reports whether the machine is fetching the job's image, or will by a decision on this snapshot. Tasks
+// that need the image share the fetch.
 func (m *machineState) isFetching(job *queuedJob) bool {
 	return m.fetching[job.Image] || slices.Contains(m.Fetching, job.Image)
 }
 
-// startFetch notes that a request makes the machine fetch an image.
-func (m *machineState) startFetch(image string) {
+// recordFetch records that a lease request makes the machine fetch an image.
+func (m *machineState) recordFetch(image string) {
 	if m.fetching == nil {
 		m.fetching = map[string]bool{}
 	}
@@ -58,8 +59,8 @@
 	m.changed = true
 }
 
-// waitFor notes that the place of a lease's waiter is taken.
-func (m *machineState) waitFor(attempt wire.AttemptID) {
+// recordWaiter records that a task waits for the end of the attempt's lease, which has only one waiter.
+func (m *machineState) recordWaiter(attempt wire.AttemptID) {
 	if m.waitedFor == nil {
 		m.waitedFor = map[wire.AttemptID]bool{}
 	}
@@ -67,13 +68,14 @@
 	m.changed = true
 }
 
-// take subtracts the room of so many tasks from what is free; of fewer than none, it adds it again.
-func (m *machineState) take(task resources.Vector, tasks int) {
+// allocate subtracts the resources of the given number of tasks from the free ones. A negative number adds them back.
+func (m *machineState) allocate(task resources.Vector, tasks int) {
 	m.free = m.free.AddTasks(task, -float64(tasks))
 	m.changed = true
 }
 
-// freeFor returns the room on the machine for tasks of a job: what is free, and what is reserved for them.
+// freeFor returns the resources on the machine that tasks of a job can use: the free ones, and those that are reserved
+// for the job's tasks.
 func (m *machineState) freeFor(job *queuedJob) resources.Vector {
 	free := m.free
 	for _, reservation := range m.Reserved {
@@ -84,7 +86,8 @@
 	return free
 }
 
-// reservedTasks returns for how many tasks of a job room on the machine is reserved.
+// reservedTasks returns how many of a job's waiting tasks fit into the resources that are reserved for them on the
+// machine.
 func (m *machineState) reservedTasks(job *queuedJob) int {
 	for _, reservation := range m.Reserved {
 		if reservation.Job == job.ID {
@@ -94,15 +97,15 @@
 	return 0
 }
 
-// fitsAfter reports whether a task of the job fits once one of these leases has ended.
+// fitsAfter reports whether a task of the job fits on the machine once one of the given leases has ended.
 func (m *machineState) fitsAfter(leases *snapshot.JobLeases, job *queuedJob) bool {
 	return m.free.AddTasks(leases.Vector, 1).Fits(job.Vector)
 }
 
-// mayUse reports whether tasks of the job may be on the machine, room apart: by what the job demands of types and
-// zones, and by the reservation of the whole machine for another job.
-func (j *queuedJob) mayUse(machine *machineState) bool {
-	if machine.machineType == nil || !j.mayBeIn(machine.Zone) {
+// mayUseMachine reports whether tasks of the job may run on the machine, whatever is free there: the job's constraints
+// must allow the machine, and the machine must not be reserved as a whole for another job.
+func (j *queuedJob) mayUseMachine(machine *machineState) bool {
+	if machine.machineType == nil || !j.mayUseZone(machine.Zone) {
 		return false
 	}
 	if machine.ReservedForJob != "" && machine.ReservedForJob != j.ID {
@@ -111,9 +114,9 @@
 	return j.Allows(machine.machineType, machine.Zone, machine.Spot) && !slices.Contains(j.AvoidMachines, machine.ID)
 }
 
-// maxTasksOn returns how many tasks of the job the machine has room for now, limit at the most.
+// maxTasksOn returns how many tasks of the job can be placed on the machine now, at most limit.
 func (j *queuedJob) maxTasksOn(machine *machineState, limit int) int {
-	if !j.mayBeIn(machine.Zone) {
+	if !j.mayUseZone(machine.Zone) {
 		return 0
 	}
 	if j.MaxPerZone > 0 {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -10,27 +10,27 @@
 	"saffronbend/wire"
 )
 
-// This file is the order in which jobs are decided on. The paper leaves it to each framework's priorities (II.B);
-// docs/design.md, "Changed", 4 and 5, says what they are here.
+// This file defines the order in which the scheduler decides on jobs. The Awan paper leaves it to the priorities of
+// each framework (II.B); docs/design.md ("Changed", 4 and 5) describes those of this scheduler.
 
-// queuedJob is a job with tasks to place, and what the scheduler decides about it on this snapshot.
+// queuedJob is a job with tasks that may be placed, and the scheduler's state of the job for this snapshot.
 type queuedJob struct {
 	*snapshot.Job
 	placeable int // tasks that may be placed now
-	// overdue says that the job has waited so long without one of its tasks being placed that it goes before all
-	// others, whatever its priority: neither a flood of urgent work nor a deadline that can't be met any more may hold
-	// it up for ever.
+	// overdue says that no task of the job has been placed for so long that the job goes before all others, whatever its
+	// priority. Otherwise a flood of urgent jobs, or a deadline that it can no longer meet, could starve the job.
 	overdue bool
-	// laxity orders the jobs of a priority, the smallest first.
+	// laxity orders jobs of the same priority, smallest first.
 	laxity micros.Duration
-	// tasksByZone counts the tasks that may exist in each zone, those that are being placed among them.
+	// tasksByZone counts the job's tasks that may exist in each zone, including those placed on this snapshot.
 	tasksByZone map[string]int
-	// zone is where all its tasks are placed, if they must be in one zone; "": not chosen, or any.
+	// zone is the zone of all the job's tasks, if they must run in one zone and it was chosen on this snapshot; else "".
 	zone string
 }
 
-// buildQueue queues the snapshot's jobs that have tasks to place, of our teams. A round that ran out of time continues
-// with the job that it stopped at, if that is still queued.
+// buildQueue queues the snapshot's jobs that have tasks that may be placed and whose team is assigned to this
+// controller. After a round that ran out of time, the queue begins with the job at which that round stopped, if it is
+// still queued.
 func (s *Scheduler) buildQueue(resumeAt wire.JobID) {
 	s.queue, s.next = nil, 0
 	for _, job := range s.snapshot.Jobs {
@@ -53,8 +53,9 @@
 	}
 }
 
-// compareJobs orders overdue jobs first, by how long they have waited, then the others by priority. Of one priority,
-// gangs go first: what needs all its room at once goes before what takes it bit by bit.
+// compareJobs orders overdue jobs first, the one that has waited longest at the front, then the others by priority.
+// Within a priority, gangs go first, because a gang needs all its machines at once, while other jobs can be placed task
+// by task. Jobs that are still equal are ordered by laxity.
 func compareJobs(a, b *queuedJob) int {
 	if a.overdue && b.overdue {
 		return cmp.Compare(a.WaitingSince, b.WaitingSince)
@@ -67,22 +68,23 @@
 	)
 }
 
-// laxity returns the time that is left to a job beyond its run until its deadline. Jobs that can't meet theirs any more
-// come after those that can, and jobs without a deadline after these, the oldest first.
+// laxity returns the time until the job's deadline minus the expected run time of a task. Jobs that can no longer meet
+// their deadline come after those that can, and jobs without a deadline come last; in both of these groups, the oldest
+// job comes first.
 func (s *Scheduler) laxity(job *snapshot.Job) micros.Duration {
 	const noDeadline, missedDeadline = micros.Forever / 2, micros.Forever / 4
 	age := s.snapshot.Now.Sub(job.AcceptedAt)
 	if job.Deadline == 0 {
 		return noDeadline - age
 	}
-	left := job.Deadline.Sub(s.snapshot.Now) - s.runs.expected(job.ID, "", job.Estimate)
-	if left < 0 {
+	remaining := job.Deadline.Sub(s.snapshot.Now) - s.runs.expected(job.ID, "", job.Estimate)
+	if remaining < 0 {
 		return missedDeadline - age
 	}
-	return left
+	return remaining
 }
 
-// trueFirst orders what is true before what is not.
+// trueFirst compares two booleans so that true sorts before false.
 func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,20 +1,21 @@
-// Package scheduler is the framework scheduler: every controller runs one for the teams that the leader has assigned to
-// it. From the leader's snapshots it decides for which machines to request leases, by the ordinary path of the paper
-// "Awan: Locality-aware Resource Manager for Geo-distributed Data-intensive Applications" with the exceptions that
-// docs/design.md argues for:
+// Package scheduler implements the framework scheduler. Every controller runs one for the teams that the leader has
+// assigned to it. From the leader's snapshots it decides on which machines to request leases. It follows the paper
+// "Awan: Locality-aware Resource Manager for Geo-distributed Data-intensive Applications", with exceptions for which
+// docs/design.md gives the reasons. Its parts, with the sections of the paper, are:
 //
 //   - the order of the jobs (queue.go; II.B),
-//   - the estimate of a task's run, and the duration of its lease (estimate.go; III.D, equation 1),
-//   - the order of the machines that have room: those with the image first (candidates.go; III.C, IV),
-//   - waiting for a busy machine whose lease ends before a fetch would (waiting.go; III.C),
-//   - the minimum locality level and the bounded skip of jobs below it (locality.go; IV, equation 2).
+//   - the estimated run time of a task, and the duration of its lease (estimate.go; III.D, equation 1),
+//   - the order of the machines with free capacity, those with the image first (candidates.go; III.C, IV),
+//   - waiting for a lease on a busy machine that ends before an image fetch would (waiting.go; III.C),
+//   - the minimum locality level, and the time-limited skipping of jobs below it (locality.go; IV, equation 2).
 //
-// A Scheduler owns the run times that it has learned, since when jobs are skipped, and copies of the snapshot's
-// machines from which it subtracts what it has requested. The root package calls it from one goroutine: ApplySnapshot
-// with each new snapshot, then Round until nothing is left to decide.
+// A Scheduler keeps the run times of completed tasks, the times since which jobs are skipped, and copies of the
+// snapshot's machines, from which it subtracts the resources that it has requested. Package placement calls it from one
+// goroutine: ApplySnapshot with each new snapshot, then Round until all queued jobs are decided on.
 //
-// It is a state machine without I/O, clock or random numbers: the same calls lead to the same requests. It never grants
-// anything, and never changes a snapshot; the Resource Manager on the leader checks each request again.
+// A Scheduler is a deterministic state machine without I/O, clock or random numbers: the same calls lead to the same
+// requests. It grants no leases and never modifies a snapshot; the Resource Manager on the leader checks each request
+// again.
 package scheduler
 
 import (
@@ -25,31 +26,32 @@
 	"saffronbend/wire"
 )
 
-// Scheduler requests leases for the tasks of its teams' jobs. It is owned by one goroutine.
+// Scheduler requests leases for the tasks of the jobs of its teams. It isn't safe for concurrent use.
 type Scheduler struct {
-	member string // the controller's name, by which the snapshot assigns teams
+	member string // name of this controller, to which snapshots assign teams
 	tuning settings.Tuning
 
-	// Of the cloud.
-	machineTypes map[string]*wire.MachineType
-	fetchRates   map[string]float64 // by zone, GB/s
+	// What the cloud offers, set by SetTypes.
+	machineTypes map[string]*wire.MachineType // by name
+	fetchRates   map[string]float64           // by zone, in GB/s
 
-	// Of the latest snapshot.
+	// The latest snapshot and the state derived from it.
 	snapshot     *snapshot.Snapshot
 	machines     []*machineState // in the snapshot's order
 	machinesByID map[wire.MachineID]*machineState
 	queue        []*queuedJob
-	next         int                          // index in the queue of the job that is decided on next
-	teamOfJob    map[wire.JobID]wire.TeamName // with rebalancing
-	waitingTeams map[wire.TeamName]bool       // teams that have tasks to place, with rebalancing
+	next         int                          // index in the queue of the next job to decide on
+	teamOfJob    map[wire.JobID]wire.TeamName // only if rebalancing is enabled
+	waitingTeams map[wire.TeamName]bool       // teams with tasks that may be placed; only if rebalancing is enabled
 
-	// Kept from one snapshot to the next.
-	requiredVersion uint64                          // snapshots of a lower version don't show what was granted to us
-	skippedSince    map[wire.JobID]micros.Timestamp // by job; on our clock
+	// State kept from one snapshot to the next.
+	requiredVersion uint64                          // lowest snapshot version that shows all leases granted so far
+	skippedSince    map[wire.JobID]micros.Timestamp // by job; on the clock of Round's caller
 	runs            runHistories
 }
 
-// New returns a scheduler for the controller of that name. It decides nothing before SetTypes and ApplySnapshot.
+// New returns a scheduler for the controller named member. It requests nothing until SetTypes and ApplySnapshot have
+// been called.
 func New(member string, tuning settings.Tuning) *Scheduler {
 	return &Scheduler{
 		member:       member,
@@ -60,7 +62,7 @@
 	}
 }
 
-// SetTypes sets which types of machines the cloud offers. The fetch rate of a zone is that of the slowest type offered
+// SetTypes sets the machine types that the cloud offers. The fetch rate of a zone is that of the slowest type offered
 // there.
 func (s *Scheduler) SetTypes(types []wire.MachineType) {
 	s.machineTypes, s.fetchRates = map[string]*wire.MachineType{}, map[string]float64{}
@@ -76,25 +78,25 @@
 	}
 }
 
-// RequireVersion sets the version of the leader's snapshots from which on they show what was granted. Decisions on
-// earlier ones would request the same again.
+// RequireVersion sets the lowest version of the leader's snapshots that shows all leases granted so far. A decision on
+// an earlier snapshot would request the same leases again.
 func (s *Scheduler) RequireVersion(version uint64) {
 	s.requiredVersion = max(s.requiredVersion, version)
 }
 
-// UpToDate reports whether the snapshot shows all that has been granted.
+// UpToDate reports whether the snapshot shows all leases granted so far.
 func (s *Scheduler) UpToDate() bool {
 	return s.snapshot != nil && s.snapshot.Version >= s.requiredVersion
 }
 
-// Unfinished reports whether the last round stopped for lack of time.
+// Unfinished reports whether there are queued jobs on which no round has decided yet.
 func (s *Scheduler) Unfinished() bool { return s.next < len(s.queue) }
 
-// ApplySnapshot replaces the snapshot that decisions are made on; they follow with Round. Of a snapshot that doesn't
-// show all that has been granted only the completed runs are learned from.
+// ApplySnapshot replaces the snapshot on which Round decides. Of a snapshot that doesn't show all leases granted so
+// far, only the completed runs are used.
 func (s *Scheduler) ApplySnapshot(latest *snapshot.Snapshot) {
 	if s.snapshot != nil && s.snapshot.FencingToken != latest.FencingToken {
-		s.requiredVersion = 0 // a new leader counts versions anew
+		s.requiredVersion = 0 // versions are counted within a leader's term, and this is a new one
 	}
 	for _, run := range latest.CompletedRuns {
 		if latest.TeamAssignments[run.Team] == s.member {
@@ -111,12 +113,12 @@
 	s.snapshot = latest
 	s.refreshMachines()
 	s.observeTeams()
-	s.forgetFinishedJobs()
+	s.pruneFinishedJobs()
 	s.buildQueue(resumeAt)
 }
 
-// forgetFinishedJobs drops what is kept of jobs that the snapshot no longer has.
-func (s *Scheduler) forgetFinishedJobs() {
+// pruneFinishedJobs drops the state of jobs that the snapshot no longer contains.
+func (s *Scheduler) pruneFinishedJobs() {
 	open := make(map[wire.JobID]bool, len(s.snapshot.Jobs))
 	for _, job := range s.snapshot.Jobs {
 		open[job.ID] = true
@@ -126,11 +128,11 @@
 			delete(s.skippedSince, id)
 		}
 	}
-	s.runs.forgetAllBut(open)
+	s.runs.retainOnly(open)
 }
 
-// Round returns the lease requests that the snapshot allows, until outOfTime reports that the round's time is over; the
-// next call continues from there. now is the time on the clock of the caller, by which skips are bounded.
+// Round decides on the queued jobs and returns their lease requests. It stops when outOfTime reports true, and the next
+// call continues from there. now is the time on the caller's clock, on which the skip time of jobs is measured.
 func (s *Scheduler) Round(now micros.Timestamp, outOfTime func() bool) []lease.Transaction {
 	if !s.UpToDate() {
 		return nil
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -14,7 +14,7 @@
 
 const now micros.Timestamp = 1_000_000_000
 
-// testTask is what each task of testJob needs: all the processors of a machine.
+// testTask holds the resources of each task of testJob, which needs all CPUs of a machine.
 var testTask = resources.Vector{CPUs: 8, MemoryGB: 1}
 
 // newScheduler returns a scheduler with the default options, in a zone where a fetch of testJob's image takes 10 s.
@@ -26,14 +26,14 @@
 	return s
 }
 
-// testMachine returns a machine with so many free processors and these images.
+// testMachine returns a machine with the given number of free CPUs and the given images.
 func testMachine(id wire.MachineID, cpus float64, images ...string) *snapshot.Machine {
 	return &snapshot.Machine{ID: id, Type: "small", Zone: "a", Usable: true,
 		Vector: resources.Vector{CPUs: cpus, MemoryGB: 16}, Images: images}
 }
 
-// busyMachine returns a full machine with the image and one lease of another job, of attempt 7, that ends after so
-// long.
+// busyMachine returns a machine that has the image but no free CPUs. Attempt 7, of another job, has a lease on it that
+// ends after the given time.
 func busyMachine(id wire.MachineID, endsAfter micros.Duration) *snapshot.Machine {
 	machine := testMachine(id, 0, "img")
 	machine.Leases = []snapshot.JobLeases{{Job: "run-9", Vector: testTask,
@@ -41,20 +41,20 @@
 	return machine
 }
 
-// testJob returns a job with so many waiting tasks, each of which fills a machine.
+// testJob returns a job with the given number of waiting tasks, each of which needs all CPUs of a machine.
 func testJob(id wire.JobID, waiting int) *snapshot.Job {
 	return &snapshot.Job{ID: id, Team: "red", Vector: testTask, Image: "img", ImageGB: 1, Waiting: waiting, Priority: 1,
 		Estimate: 10 * micros.Second, AcceptedAt: now, WaitingSince: now}
 }
 
-// smallJob returns a job of team red with so many waiting tasks, each of which needs one processor.
+// smallJob returns a job of team red with the given number of waiting tasks, each of which needs one CPU.
 func smallJob(waiting int) *snapshot.Job {
 	job := testJob("run-1", waiting)
 	job.CPUs = 1
 	return job
 }
 
-// testSnapshot returns a snapshot of which team red is assigned to the scheduler.
+// testSnapshot returns a snapshot in which team red is assigned to the controller of the tested scheduler.
 func testSnapshot(machines []*snapshot.Machine, jobs ...*snapshot.Job) *snapshot.Snapshot {
 	return &snapshot.Snapshot{
 		FencingToken: 1, Version: 1, Now: now, TeamAssignments: map[wire.TeamName]string{"red": "c0"},
@@ -62,13 +62,14 @@
 	}
 }
 
-func never() bool { return false }
+func neverOutOfTime() bool { return false }
 
-// decide returns what a round on a snapshot requests, such as "run-1 n-1 x2" or "run-1 n-1 after 7".
+// decide runs a round on a snapshot and returns the lease requests as text: "run-1 n-1 x2" for two leases for tasks of
+// run-1 on n-1, or "run-1 n-1 after 7" for run-1 to wait on n-1 for the lease of attempt 7.
 func decide(s *Scheduler, machines []*snapshot.Machine, jobs ...*snapshot.Job) []string {
 	s.ApplySnapshot(testSnapshot(machines, jobs...))
 	var requests []string
-	for _, transaction := range s.Round(now, never) {
+	for _, transaction := range s.Round(now, neverOutOfTime) {
 		for _, request := range transaction.Requests {
 			text := fmt.Sprintf("%s %s x%d", request.Job, request.Machine, request.Count)
 			if request.WaitFor != 0 {
@@ -80,7 +81,7 @@
 	return requests
 }
 
-// requireRequests fails the test unless a round requested just this.
+// requireRequests fails the test unless the requests of a round are the expected ones.
 func requireRequests(t *testing.T, got []string, want ...string) {
 	t.Helper()
 	if !slices.Equal(got, want) {
@@ -88,8 +89,8 @@
 	}
 }
 
-// A round that runs out of time continues with the next job.
-func TestRoundContinues(t *testing.T) {
+// After a round that ran out of time, the next round continues with the next job.
+func TestRoundContinuesWithNextJob(t *testing.T) {
 	s := newScheduler()
 	var machines []*snapshot.Machine
 	for _, id := range []wire.MachineID{"n-1", "n-2", "n-3"} {
@@ -105,11 +106,11 @@
 	}
 	requireRequests(t, got, "run-1", "run-2", "run-3")
 	if s.Unfinished() {
-		t.Error("the round is not over")
+		t.Error("some jobs are still undecided after three rounds of one job each")
 	}
 }
 
-// Nothing is decided on a snapshot that doesn't show all that was granted, unless it is a new leader's.
+// Nothing is decided on a snapshot that doesn't show all leases granted so far, unless it comes from a new leader.
 func TestRequireVersion(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -117,8 +118,8 @@
 		version uint64
 		want    int // requests
 	}{
-		{"too old", 1, 4, 0},
-		{"shows the grants", 1, 5, 1},
+		{"version too low", 1, 4, 0},
+		{"required version", 1, 5, 1},
 		{"new leader", 2, 1, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -128,8 +129,8 @@
 			latest := testSnapshot([]*snapshot.Machine{testMachine("n-1", 8, "img")}, testJob("run-1", 1))
 			latest.FencingToken, latest.Version = c.token, c.version
 			s.ApplySnapshot(latest)
-			if got := s.Round(now, never); len(got) != c.want || s.UpToDate() != (c.want > 0) {
-				t.Errorf("got %v, up to date: %v", got, s.UpToDate())
+			if got := s.Round(now, neverOutOfTime); len(got) != c.want || s.UpToDate() != (c.want > 0) {
+				t.Errorf("got %v, want %d transactions; up to date: %v, want %v", got, c.want, s.UpToDate(), c.want > 0)
 			}
 		})
 	}
--- a/internal/scheduler/team_cap.go
+++ b/internal/scheduler/team_cap.go
@@ -5,11 +5,12 @@
 	"saffronbend/wire"
 )
 
-// This file keeps a team from filling a machine while other teams wait, where other candidates are as good by the
-// ordinary path (docs/design.md, "Spread"). It is an order among candidates and nothing more: no room stays empty for
-// it, and nothing waits longer. It is off unless rebalancing is enabled.
+// This file implements the team cap, which keeps a team from filling a machine while other teams wait, if there are
+// other candidates that are equally good without the cap (docs/design.md, "Spread"). The cap only changes the order of
+// candidates: it leaves no capacity unused, and no task waits longer because of it. It has no effect unless rebalancing
+// is enabled.
 
-// observeTeams notes which jobs belong to which team, and which teams have tasks to place.
+// observeTeams records which team each job belongs to, and which teams have tasks that may be placed.
 func (s *Scheduler) observeTeams() {
 	if !s.tuning.Rebalancing.Enabled {
 		return
@@ -23,7 +24,7 @@
 	}
 }
 
-// otherTeamsWait reports whether a team other than the job's has tasks to place.
+// otherTeamsWait reports whether a team other than the job's has tasks that may be placed.
 func (s *Scheduler) otherTeamsWait(job *queuedJob) bool {
 	others := len(s.waitingTeams)
 	if s.waitingTeams[job.Team] {
@@ -32,38 +33,40 @@
 	return others > 0
 }
 
-// appendAtCap appends free room as two candidates, up to the cap of the job's team and beyond it, while other teams
-// wait. A gang and a job that is overdue take room as they find it.
-func (s *Scheduler) appendAtCap(candidates []candidate, job *queuedJob, room candidate) []candidate {
+// appendSplitAtCap appends free capacity as two candidates, one within the cap of the job's team and one beyond it, if
+// other teams wait. For gangs and overdue jobs the cap doesn't apply.
+func (s *Scheduler) appendSplitAtCap(candidates []candidate, job *queuedJob, free candidate) []candidate {
 	if !s.tuning.Rebalancing.Enabled || job.Gang || job.overdue || !s.otherTeamsWait(job) {
-		return append(candidates, room)
+		return append(candidates, free)
 	}
-	if within := s.tasksWithinCap(job, room.machine); within > 0 {
-		withinCap := room
+	if within := s.tasksWithinCap(job, free.machine); within > 0 {
+		withinCap := free
 		withinCap.maxTasks = within
 		candidates = append(candidates, withinCap)
 	}
-	room.beyondCap = true
-	return append(candidates, room)
+	free.beyondCap = true
+	return append(candidates, free)
 }
 
-// tasksWithinCap returns how many tasks of a job the machine takes before the share of the job's team exceeds the cap.
+// tasksWithinCap returns how many tasks of a job can be placed on a machine before the share of the machine's resources
+// that the job's team uses exceeds the cap.
 func (s *Scheduler) tasksWithinCap(job *queuedJob, machine *machineState) int {
-	// What has been decided on this snapshot may be other teams': then the preference ends a little early.
+	// All resources that were allocated on this snapshot are counted as the team's. Some may be for other teams: then the
+	// cap is reached a little early.
 	publishedFree := machine.Vector
-	held := publishedFree.AddTasks(machine.free, -1)
+	allocated := publishedFree.AddTasks(machine.free, -1)
 	for _, leases := range machine.Leases {
 		if s.teamOfJob[leases.Job] == job.Team {
 			for range leases.Leases {
-				held = held.AddTasks(leases.Vector, 1)
+				allocated = allocated.AddTasks(leases.Vector, 1)
 			}
 		}
 	}
-	whole := resources.ForMachine(machine.machineType)
+	capacity := resources.ForMachine(machine.machineType)
 	tasks := 0
 	for ; tasks < job.placeable; tasks++ {
-		held = held.AddTasks(job.Vector, 1)
-		if held.DominantShare(whole) > s.tuning.Rebalancing.Policy.TeamCap {
+		allocated = allocated.AddTasks(job.Vector, 1)
+		if allocated.DominantShare(capacity) > s.tuning.Rebalancing.Policy.TeamCap {
 			break
 		}
 	}
--- a/internal/scheduler/team_cap_test.go
+++ b/internal/scheduler/team_cap_test.go
@@ -8,22 +8,23 @@
 	"saffronbend/internal/snapshot"
 )
 
-// otherTeamsJob returns a job of another team that waits, since it fits on no machine.
+// otherTeamsJob returns a job of another team that waits because it fits on no machine.
 func otherTeamsJob() *snapshot.Job {
 	job := testJob("run-2", 1)
 	job.Team, job.CPUs = "blue", 64
 	return job
 }
 
-// newCapScheduler returns a scheduler with a cap of two processors for each team and machine.
+// newCapScheduler returns a scheduler with a team cap of two CPUs of a machine.
 func newCapScheduler(enabled bool) *Scheduler {
 	s := newScheduler()
 	s.tuning.Rebalancing = settings.Rebalancing{Enabled: enabled, Policy: rebalance.Config{TeamCap: 0.25}}
 	return s
 }
 
-// While another team waits, a team fills machines up to its cap first, and then the rest of their room: nothing stays
-// empty. Without others, and without the option, it fills one machine after another.
+// While another team waits, the tasks of a team are first placed up to the cap on each machine, and then on the
+// remaining capacity, so that none stays unused. If no other team waits, or if rebalancing is disabled, the tasks fill
+// one machine after another.
 func TestCapWhileOtherTeamsWait(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -33,8 +34,9 @@
 	}{
 		{"another team waits", true, []*snapshot.Job{smallJob(6), otherTeamsJob()},
 			[]string{"run-1 n-1 x2", "run-1 n-2 x2", "run-1 n-1 x2"}},
-		{"alone", true, []*snapshot.Job{smallJob(6)}, []string{"run-1 n-1 x4", "run-1 n-2 x2"}},
-		{"off", false, []*snapshot.Job{smallJob(6), otherTeamsJob()}, []string{"run-1 n-1 x4", "run-1 n-2 x2"}},
+		{"no other team waits", true, []*snapshot.Job{smallJob(6)}, []string{"run-1 n-1 x4", "run-1 n-2 x2"}},
+		{"rebalancing is disabled", false, []*snapshot.Job{smallJob(6), otherTeamsJob()},
+			[]string{"run-1 n-1 x4", "run-1 n-2 x2"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			machines := []*snapshot.Machine{testMachine("n-1", 4, "img"), testMachine("n-2", 8, "img")}
@@ -43,8 +45,8 @@
 	}
 }
 
-// A machine with the image is taken beyond the cap before one without it is taken within.
-func TestLocalityGoesBeforeCap(t *testing.T) {
+// Tasks are placed beyond the cap on a machine with the image before they are placed on a machine without it.
+func TestLocalityTakesPrecedenceOverCap(t *testing.T) {
 	machines := []*snapshot.Machine{testMachine("n-1", 4, "img"), testMachine("n-2", 8)}
 	got := decide(newCapScheduler(true), machines, smallJob(4), otherTeamsJob())
 	requireRequests(t, got, "run-1 n-1 x2", "run-1 n-1 x2")
--- a/internal/scheduler/waiting.go
+++ b/internal/scheduler/waiting.go
@@ -9,41 +9,42 @@
 	"saffronbend/wire"
 )
 
-// This file is the paper's waiting for a busy machine (III.C): leases show when it will be free, and a task waits for
-// one that has its image where that is sooner than a fetch to a free machine. A lease has one waiter.
+// This file implements waiting for busy machines (Awan paper, III.C). Leases show when a busy machine will have free
+// resources. A task waits for a busy machine that has its image if that is faster than fetching the image to a free
+// machine. A lease has at most one waiter.
 
-// mayWait reports whether the job's tasks wait for leases at all. A gang's don't: a wait for one place would hold up
-// all of it. Nor do those of a job that has waited long: others may take the place that it waits for, and again after
-// the next lease, so it takes the room that there is.
-func (j *queuedJob) mayWait() bool { return !j.Gang && !j.overdue }
+// mayWaitForLease reports whether tasks of the job may wait for leases to end. Those of a gang don't, because the whole
+// gang would be delayed by the wait of one task. Those of an overdue job don't, because another job may take the slot
+// when the lease ends, and again after the next lease: they are placed where there is free capacity.
+func (j *queuedJob) mayWaitForLease() bool { return !j.Gang && !j.overdue }
 
-// waits returns the leases that a task of the job should wait for rather than fetch the image to a machine: those on
-// machines with the image that end sooner and have no other waiter. Those that end first come first.
-func (s *Scheduler) waits(job *queuedJob, without *machineState) []choice {
+// waitChoices returns choices to wait for a lease rather than fetch the image to fetchTarget: one for each lease on a
+// machine with the image that ends before the fetch would and has no other waiter. The lease that ends first is first.
+func (s *Scheduler) waitChoices(job *queuedJob, fetchTarget *machineState) []choice {
 	type wait struct {
 		choice
 		expiry micros.Timestamp
 	}
-	fetchTime := s.fetchTime(job, without.Zone)
+	fetchTime := s.fetchTime(job, fetchTarget.Zone)
 	var waits []wait
 	for _, machine := range s.machines {
-		if len(machine.Leases) == 0 || !machine.servesLocally(job) {
+		if len(machine.Leases) == 0 || !machine.canRunLocally(job) {
 			continue
 		}
 		for i := range machine.Leases {
 			leases := &machine.Leases[i]
 			for j := range leases.Leases {
 				lease := &leases.Leases[j]
-				left := lease.Expiry.Sub(s.snapshot.Now)
-				if left <= 0 || left >= fetchTime || machine.waitedFor[lease.Attempt] {
+				remaining := lease.Expiry.Sub(s.snapshot.Now)
+				if remaining <= 0 || remaining >= fetchTime || machine.waitedFor[lease.Attempt] {
 					continue
 				}
-				waiter := s.waiter(lease)
+				waiter := s.currentWaiter(lease)
 				if waiter != "" && waiter != job.ID || !machine.fitsAfter(leases, job) {
 					continue
 				}
 				waits = append(waits, wait{
-					choice{machine: machine, waitFor: lease.Attempt, isWaiter: waiter == job.ID},
+					choice{machine: machine, waitFor: lease.Attempt, alreadyWaiting: waiter == job.ID},
 					lease.Expiry,
 				})
 			}
@@ -57,15 +58,15 @@
 	return choices
 }
 
-// waiter returns the job that waits for a lease's end; "": none, or no longer.
-func (s *Scheduler) waiter(lease *snapshot.Lease) wire.JobID {
+// currentWaiter returns the job that waits for the end of a lease; "" if there is none, or if its time to wait is over.
+func (s *Scheduler) currentWaiter(lease *snapshot.Lease) wire.JobID {
 	if s.snapshot.Now >= lease.WaiterUntil {
 		return ""
 	}
 	return lease.Waiter
 }
 
-// servesLocally reports whether the machine has the image of the job, and may be used for its tasks once it has room.
-func (m *machineState) servesLocally(job *queuedJob) bool {
-	return m.Usable && m.hasImage(job) && job.mayUse(m)
+// canRunLocally reports whether the machine has the job's image and may run its tasks, once it has free resources.
+func (m *machineState) canRunLocally(job *queuedJob) bool {
+	return m.Usable && m.hasImage(job) && job.mayUseMachine(m)
 }
--- a/internal/scheduler/waiting_test.go
+++ b/internal/scheduler/waiting_test.go
@@ -8,8 +8,8 @@
 	"saffronbend/wire"
 )
 
-// The paper's order: a free machine with the image, then the place after a lease that ends before a fetch would, which
-// takes 10 s, then the fetch.
+// Tasks are placed in the order of the Awan paper (III.C): on a free machine with the image, then after a lease that
+// ends before a fetch would, which takes 10 s, then on a free machine that must fetch the image.
 func TestImageThenWaitThenFetch(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -27,8 +27,8 @@
 	}
 }
 
-// A job that has waited long takes free room instead of waiting for one lease after another.
-func TestOverdueJobTakesFreeRoom(t *testing.T) {
+// Tasks of an overdue job are placed on free capacity instead of waiting for one lease after another.
+func TestOverdueJobDoesNotWaitForLease(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		waited micros.Duration
@@ -50,18 +50,18 @@
 	}
 }
 
-// The place of a lease's waiter is not requested again by the job that has it, and not by another until its time is
-// over.
-func TestOneWaiterForALease(t *testing.T) {
+// A job that is the waiter of a lease doesn't request to wait for it again. Another job may not wait for the lease
+// until the waiter's time is over.
+func TestLeaseHasOneWaiter(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		waiter      wire.JobID
 		waiterUntil micros.Timestamp
 		want        []string
 	}{
-		{"the job waits already", "run-1", now.Add(25 * micros.Second), nil},
-		{"another job waits", "run-8", now.Add(25 * micros.Second), []string{"run-1 n-3 x1"}},
-		{"another job has waited", "run-8", now, []string{"run-1 n-2 after 7"}},
+		{"the job is already the waiter", "run-1", now.Add(25 * micros.Second), nil},
+		{"another job is the waiter", "run-8", now.Add(25 * micros.Second), []string{"run-1 n-3 x1"}},
+		{"the time of another waiter is over", "run-8", now, []string{"run-1 n-2 after 7"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			busy := busyMachine("n-2", 5*micros.Second)
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// mayBeIn reports whether the job allows one more of its tasks in the zone.
-func (j *queuedJob) mayBeIn(zone string) bool {
+// mayUseZone reports whether the job's constraints allow one more of its tasks in the zone.
+func (j *queuedJob) mayUseZone(zone string) bool {
 	switch {
 	case j.MaxPerZone > 0 && j.tasksByZone[zone] >= j.MaxPerZone:
 		return false
@@ -20,33 +20,33 @@
 	}
 }
 
-// needsZone reports whether all the job's tasks must be in one zone, and none is in any.
+// needsZone reports whether all tasks of the job must run in one zone and none of them may exist in any zone yet.
 func (j *queuedJob) needsZone() bool { return j.SameZone && len(j.ActiveByZone) == 0 }
 
-// chooseZone chooses the zone of a job that needs one, and returns how many of its tasks find room there: the zone with
-// room for most of them and, for a gang that fits in several, with room for most on machines that have its image. The
-// leader checks the zone again.
+// chooseZone sets the zone of a job that needs one, and returns how many of its tasks fit there. It chooses the zone in
+// which most of the tasks fit. Between zones that are equal for a gang, it chooses the one in which most of its tasks
+// fit on reliable machines that have its image. The leader checks the zone again.
 func (s *Scheduler) chooseZone(job *queuedJob) int {
-	room, local := map[string]int{}, map[string]int{}
+	fitting, fittingLocal := map[string]int{}, map[string]int{}
 	for _, machine := range s.machines {
-		if !machine.Usable || !job.mayUse(machine) {
+		if !machine.Usable || !job.mayUseMachine(machine) {
 			continue
 		}
 		tasks := job.maxTasksOn(machine, job.placeable)
-		room[machine.Zone] += tasks
+		fitting[machine.Zone] += tasks
 		if job.Gang && !machine.Unreliable && machine.hasImage(job) {
-			local[machine.Zone] += tasks
+			fittingLocal[machine.Zone] += tasks
 		}
 	}
 	best := ""
-	for _, zone := range slices.Sorted(maps.Keys(room)) {
+	for _, zone := range slices.Sorted(maps.Keys(fitting)) {
 		if job.Gang {
-			room[zone], local[zone] = min(room[zone], job.placeable), min(local[zone], job.placeable)
+			fitting[zone], fittingLocal[zone] = min(fitting[zone], job.placeable), min(fittingLocal[zone], job.placeable)
 		}
-		if best == "" || cmp.Or(room[zone]-room[best], local[zone]-local[best]) > 0 {
+		if best == "" || cmp.Or(fitting[zone]-fitting[best], fittingLocal[zone]-fittingLocal[best]) > 0 {
 			best = zone
 		}
 	}
 	job.zone = best
-	return room[best]
+	return fitting[best]
 }
