--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -10,8 +10,8 @@
 	"saffronbend/wire"
 )
 
-// overload returns a fleet and a snapshot of it: 600 full machines, 200 jobs of 50 tasks that wait.
-func overload() (*Fleet, *snapshot.Snapshot) {
+// overloadedFleet returns a fleet and a snapshot with 600 full machines and 200 jobs with 50 waiting tasks each.
+func overloadedFleet() (*Fleet, *snapshot.Snapshot) {
 	const machines, jobs = 600, 200
 	zones := []string{"a", "b", "c", "d"}
 	fleet := newFleet(1.5)
@@ -39,9 +39,9 @@
 	return fleet, published
 }
 
-// BenchmarkHandle is what the leader does twice a second under overload.
-func BenchmarkHandle(b *testing.B) {
-	fleet, published := overload()
+// BenchmarkDecide measures the fleet decision that an overloaded leader makes twice a second.
+func BenchmarkDecide(b *testing.B) {
+	fleet, published := overloadedFleet()
 	b.ReportAllocs()
 	for b.Loop() {
 		clear(fleet.requests.pending)
@@ -49,17 +49,17 @@
 	}
 }
 
-// To evaluate a pool must not copy the demands: that was ten times as much.
-func TestHandleAllocations(t *testing.T) {
+// The evaluation of a pool must not copy the demands: with copies, a decision took ten times as many allocations.
+func TestDecideAllocations(t *testing.T) {
 	const limit = 4000
-	fleet, published := overload()
+	fleet, published := overloadedFleet()
 	got := testing.AllocsPerRun(3, func() {
 		clear(fleet.requests.pending)
 		if actions := fleet.Decide(start, published); len(actions.ScaleOut) == 0 {
-			t.Error("nothing is requested")
+			t.Error("no machines were requested")
 		}
 	})
 	if got > limit {
-		t.Errorf("%v allocations, at most %d", got, limit)
+		t.Errorf("got %v allocations, want at most %d", got, limit)
 	}
 }
--- a/internal/fleet/bins.go
+++ b/internal/fleet/bins.go
@@ -10,39 +10,41 @@
 	"saffronbend/wire"
 )
 
-// bin is the room of a machine that exists or is expected, for bin packing.
+// bin is the capacity of an existing or expected machine, for bin packing.
 type bin struct {
 	machine        wire.MachineID // empty: the machine doesn't exist yet
 	machineType    *wire.MachineType
 	zone           string
 	spot           bool
-	reservedForJob wire.JobID // the only job that may use it; empty: any
+	reservedForJob wire.JobID // the only job that may use the machine; empty: any job may
 	free           resources.Vector
-	used           bool // a task was packed into it
-	// freedLater is what work frees that ends before long, for jobs without an objective for their start. freedSoon is
-	// what work frees well before a new machine would be up, for urgent jobs.
+	used           bool // a task was packed into the bin
+	// freedLater and freedSoon are the resources of running tasks that should end before long. freedLater counts those
+	// that should end within Tuning.ScaleOutAhead; queued tasks that aren't urgent may use it. freedSoon counts those that
+	// should end well before a new machine would have booted; urgent queued tasks may use it.
 	freedLater, freedSoon resources.Vector
 }
 
-// newBin returns the room of a machine that is requested from a pool.
-func newBin(machineType *wire.MachineType, from pool) *bin {
+// newBin returns the bin of an empty machine that is to be requested, or has been, from a pool.
+func newBin(machineType *wire.MachineType, p pool) *bin {
 	return &bin{
 		machineType: machineType,
-		zone:        from.zone,
-		spot:        from.spot,
+		zone:        p.zone,
+		spot:        p.spot,
 		free:        resources.ForMachine(machineType),
 	}
 }
 
-// pack packs as many of the wanted tasks as fit, also into room that is freed before long, and returns their number.
+// pack packs as many tasks of the demand as fit into the capacity that they may use, and returns their number.
 func (b *bin) pack(d *demand) int { return b.packUpTo(d, d.tasks, d.tasksByZone[b.zone]) }
 
-// packUpTo packs at most limit tasks; tasksInZone is how many tasks the job has in the bin's zone.
+// packUpTo packs at most limit tasks and returns how many fit. tasksInZone is how many tasks the job already has in the
+// bin's zone.
 func (b *bin) packUpTo(d *demand, limit, tasksInZone int) int {
-	if !b.isOpenTo(d) {
+	if !b.isAvailableTo(d) {
 		return 0
 	}
-	count := b.roomFor(d).MaxTasks(d.Vector, limit)
+	count := b.capacityFor(d).MaxTasks(d.Vector, limit)
 	if d.MaxPerZone > 0 {
 		count = min(count, d.MaxPerZone-tasksInZone)
 	}
@@ -54,14 +56,17 @@
 	return count
 }
 
-// isOpenTo reports whether the bin isn't reserved for another job.
-func (b *bin) isOpenTo(d *demand) bool { return b.reservedForJob == "" || b.reservedForJob == d.ID }
+// isAvailableTo reports whether the bin isn't reserved for a job other than the demand's.
+func (b *bin) isAvailableTo(d *demand) bool {
+	return b.reservedForJob == "" || b.reservedForJob == d.ID
+}
 
-// roomFor returns the room that the tasks may count on, work that ends in time included.
-func (b *bin) roomFor(d *demand) resources.Vector {
+// capacityFor returns the capacity that the demand's tasks may use: what is free and, except for expected tasks, gangs
+// and replacements, what tasks free that should end in time.
+func (b *bin) capacityFor(d *demand) resources.Vector {
 	switch {
 	case d.expected, d.Gang, d.replacement:
-		return b.free // a gang needs its room all at once
+		return b.free // for a gang, because it needs all its capacity at once
 	case d.urgent:
 		return b.free.AddTasks(b.freedSoon, 1)
 	default:
@@ -69,8 +74,8 @@
 	}
 }
 
-// collectBins returns the room that exists or is expected, and the number of machines, requested ones included. The
-// machines in scaledIn are being deleted.
+// collectBins returns the bins of the existing and the requested machines, and the number of these machines, of which
+// some may have no bin. The machines in scaledIn are being deleted and don't count.
 func (f *Fleet) collectBins(published *snapshot.Snapshot, scaledIn []wire.MachineID) (bins []*bin, machineCount int) {
 	deleted := map[wire.MachineID]bool{}
 	for _, id := range scaledIn {
@@ -81,7 +86,7 @@
 			continue
 		}
 		machineCount++
-		if b := f.binOf(machine, published.Now); b != nil {
+		if b := f.binForMachine(machine, published.Now); b != nil {
 			bins = append(bins, b)
 		}
 	}
@@ -97,8 +102,8 @@
 	return bins, machineCount
 }
 
-// binOf returns the room on a machine; nil if none can be counted on.
-func (f *Fleet) binOf(machine *snapshot.Machine, now micros.Timestamp) *bin {
+// binForMachine returns the bin of an existing machine; nil if no capacity can be expected of the machine.
+func (f *Fleet) binForMachine(machine *snapshot.Machine, now micros.Timestamp) *bin {
 	machineType := f.machineType(machine.Type)
 	if machineType == nil || machine.QuarantineReason != "" || !machine.Usable && !machine.ExpectedSoon {
 		return nil
@@ -112,25 +117,25 @@
 		free:           machine.Vector,
 	}
 	if machine.Usable {
-		f.addFreedRoom(b, machine, now)
+		f.addFreedCapacity(b, machine, now)
 	}
 	return b
 }
 
-// addFreedRoom adds what work frees that should end in time. Work that is far past its expected end doesn't count:
-// when it ends isn't known.
-func (f *Fleet) addFreedRoom(b *bin, machine *snapshot.Machine, now micros.Timestamp) {
+// addFreedCapacity adds the resources of tasks that should end in time. Tasks that are far past their expected end
+// don't count, because it isn't known when they will end.
+func (f *Fleet) addFreedCapacity(b *bin, machine *snapshot.Machine, now micros.Timestamp) {
 	for i := range machine.Leases {
 		leases := &machine.Leases[i]
 		for _, lease := range leases.Leases {
-			left := lease.ExpectedEnd.Sub(now)
-			if left < -f.cfg.Tuning.LeaseGrace {
+			remaining := lease.ExpectedEnd.Sub(now)
+			if remaining < -f.cfg.Tuning.LeaseGrace {
 				continue
 			}
-			if left < f.cfg.Tuning.ScaleOutAhead {
+			if remaining < f.cfg.Tuning.ScaleOutAhead {
 				b.freedLater = b.freedLater.AddTasks(leases.Vector, 1)
 			}
-			if left < micros.Seconds(b.machineType.BootS/2) {
+			if remaining < micros.Seconds(b.machineType.BootS/2) {
 				b.freedSoon = b.freedSoon.AddTasks(leases.Vector, 1)
 			}
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,15 +1,15 @@
 // Package fleet decides how many machines of which types to add (scale out) and which to delete (scale in).
 //
-// A Fleet belongs to a leader's term and to the goroutine that owns it. Package leader/scaling calls Decide with each
-// published snapshot, sends the requests to the cloud and reports their outcomes by ScaledOut. The package is a state
-// machine without I/O and without a clock. It never places tasks and never deletes a machine on which something may
-// run, except one that has failed or can't be reached for so long that only its deletion ends its tasks. Nothing of its
-// state is durable: a new leader begins with the machines that exist. A Fleet isn't safe for concurrent use.
+// A Fleet belongs to one term of a leader. Package leader/scaling calls Decide with published snapshots, sends the
+// requests to the cloud and reports their outcomes with RecordScaleOut. A Fleet is a state machine without I/O and
+// without a clock. It never places tasks, and never deletes a machine on which a task may run, unless the machine has
+// failed or hasn't been reachable for so long that only its deletion ends its tasks. None of its state is durable: a
+// new leader starts from the existing machines. A Fleet isn't safe for concurrent use.
 //
-// A decision has four steps: machines that are of no use are deleted (unhealthy.go), the tasks are packed into the
-// room that exists or is expected (unmet.go, bins.go), pools are chosen for the tasks that found none (scaleout.go),
-// and idle machines that no task needs are deleted (scalein.go). The forecast (forecast.go) adds tasks that are
-// expected.
+// A decision has four steps. Unhealthy machines are deleted (unhealthy.go). The tasks are packed into the existing and
+// expected capacity (unmet.go, bins.go), with tasks that the forecast expects to arrive among them (forecast.go). Pools
+// are chosen from which to request machines for the tasks that didn't fit (scaleout.go). Idle machines that no task
+// needs are deleted (scalein.go).
 package fleet
 
 import (
@@ -22,28 +22,29 @@
 	"saffronbend/wire"
 )
 
-// Config holds what a fleet must know of the deployment and of the term.
+// Config holds the parameters of a fleet that come from the deployment and from the leader's term.
 type Config struct {
 	FencingToken      wire.FencingToken
 	LeaseDuration     micros.Duration
 	HeartbeatInterval micros.Duration
-	// ListLag is how old the cloud's list of machines may be. The caller reads the list no more often than that.
+	// ListLag is how far the cloud's list of machines may be out of date. It is also the shortest interval at which the
+	// caller reads the list.
 	ListLag micros.Duration
 	Tuning  settings.Tuning
-	// UrgentClasses are the classes with a service-level objective for how soon their tasks start.
+	// UrgentClasses are the job classes with a service-level objective for how soon their tasks start.
 	UrgentClasses map[string]bool
 }
 
-// Actions are the decisions of a round.
+// Actions holds the decisions of one round.
 type Actions struct {
 	ScaleOut       []wire.ScaleOutRequest
 	ScaleIn        []wire.MachineID // machines to delete
-	ScaleInReasons []ScaleInReason  // for each of them, in the same order
-	// Shortage is why there is no room yet for tasks that are to be evicted.
+	ScaleInReasons []ScaleInReason  // one for each machine in ScaleIn, in the same order
+	// Shortage is why there is no capacity yet for the replacements of tasks that are to be evicted.
 	Shortage Shortage
 }
 
-// scaleIn adds a machine to be deleted.
+// scaleIn adds a machine to delete.
 func (a *Actions) scaleIn(machine wire.MachineID, reason string) {
 	a.ScaleIn = append(a.ScaleIn, machine)
 	a.ScaleInReasons = append(a.ScaleInReasons, ScaleInReason{Machine: machine, Reason: reason})
@@ -55,28 +56,29 @@
 	Reason  string
 }
 
-// Shortage is why there is no room for tasks that are to be evicted. Operators see it in the status of a drain.
+// Shortage is why there is no capacity for the replacements of tasks that are to be evicted. Operators see it in the
+// status of a drain.
 type Shortage string
 
-// The reasons of a shortage.
+// The reasons for a shortage.
 const (
 	NoShortage          Shortage = ""
 	ScalingOut          Shortage = "machines are being rented"
-	NoMachines          Shortage = "the cloud has none"
+	NoCloudCapacity     Shortage = "the cloud has none"
 	MachineLimitReached Shortage = "max_machines is reached"
 )
 
-// Fleet decides on the machines of a leader's term.
+// Fleet decides which machines to add and to delete during one term of a leader.
 type Fleet struct {
 	cfg          Config
 	startedAt    micros.Timestamp
 	types        []wire.MachineType
 	requests     scaleOutRequests
 	forecast     forecast
-	vacatedPools []drain.VacatedPool // as of the last snapshot
+	vacatedPools []drain.VacatedPool // as of the latest snapshot
 }
 
-// New returns the fleet of a term that begins now.
+// New returns the fleet of a term that starts now.
 func New(now micros.Timestamp, cfg Config) *Fleet {
 	return &Fleet{
 		cfg:       cfg,
@@ -86,15 +88,15 @@
 	}
 }
 
-// SetTypes sets the machine types with their current prices. Nothing is decided before they are known.
+// SetTypes sets the machine types with their current prices. Until it has been called, Decide returns no actions.
 func (f *Fleet) SetTypes(types []wire.MachineType) { f.types = types }
 
-// ScaledOut applies the outcome of a request: how many machines were created.
-func (f *Fleet) ScaledOut(now micros.Timestamp, request wire.ScaleOutRequest, created int) {
-	f.requests.completed(now, request, created)
+// RecordScaleOut records the outcome of a scale-out request: how many machines were created.
+func (f *Fleet) RecordScaleOut(now micros.Timestamp, request wire.ScaleOutRequest, created int) {
+	f.requests.recordResult(now, request, created)
 }
 
-// machineType returns the machine type of a name; nil if there is none.
+// machineType returns the machine type with the given name; nil if there is none.
 func (f *Fleet) machineType(name string) *wire.MachineType {
 	for i := range f.types {
 		if f.types[i].Name == name {
@@ -104,7 +106,7 @@
 	return nil
 }
 
-// Decide decides on a published snapshot.
+// Decide returns the actions for a published snapshot.
 func (f *Fleet) Decide(now micros.Timestamp, published *snapshot.Snapshot) Actions {
 	var actions Actions
 	if len(f.types) == 0 {
@@ -113,7 +115,7 @@
 	f.forecast.observe(published, f.cfg.UrgentClasses)
 	f.vacatedPools = published.VacatedPools
 	f.scaleInUnhealthy(published, &actions)
-	// A new leader first waits for the heartbeats of the machines that exist.
+	// A new leader first waits for the heartbeats of the existing machines.
 	if now.Sub(f.startedAt) < f.cfg.HeartbeatInterval.Scale(1.25)+2*micros.Second {
 		return actions
 	}
@@ -125,8 +127,8 @@
 	return actions
 }
 
-// replacementShortage returns why there is no room yet for tasks that are to be evicted, if they are among the unmet
-// demands.
+// replacementShortage returns why there is no capacity yet for the replacements of tasks that are to be evicted, if
+// replacements are among the unmet demands.
 func (f *Fleet) replacementShortage(unmet []*demand, machineCount int, requested []wire.ScaleOutRequest) Shortage {
 	switch {
 	case !slices.ContainsFunc(unmet, func(d *demand) bool { return d.replacement }):
@@ -136,5 +138,5 @@
 	case machineCount >= f.cfg.Tuning.MaxMachines:
 		return MachineLimitReached
 	}
-	return NoMachines
+	return NoCloudCapacity
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -14,7 +14,7 @@
 
 const start micros.Timestamp = 100_000_000
 
-// newFleet returns a fleet that is past its first seconds, in a cloud with two types.
+// newFleet returns a fleet that has waited for the first heartbeats of its term, with two machine types.
 func newFleet(spareShare float64) *Fleet {
 	fleet := New(0, Config{
 		FencingToken:      7,
@@ -38,7 +38,7 @@
 	return fleet
 }
 
-// newJob returns a job with waiting tasks.
+// newJob returns a job with the given number of waiting tasks.
 func newJob(id wire.JobID, class string, waiting int, cpus float64) *snapshot.Job {
 	return &snapshot.Job{
 		ID:           id,
@@ -54,7 +54,7 @@
 	}
 }
 
-// newMachine returns a running, empty machine in zone a.
+// newMachine returns a running machine in zone a with the given free resources and no leases.
 func newMachine(id wire.MachineID, machineType string, capacity resources.Vector) *snapshot.Machine {
 	return &snapshot.Machine{
 		ID:            id,
@@ -70,18 +70,18 @@
 
 var smallMachine = resources.Vector{CPUs: 8, MemoryGB: 16}
 
-// busyMachine returns a small machine that is full of two tasks, which should end after the given time.
-func busyMachine(left micros.Duration) *snapshot.Machine {
+// busyMachine returns a small machine without free CPUs, on which two tasks run that should end after the given time.
+func busyMachine(remaining micros.Duration) *snapshot.Machine {
 	machine := newMachine("n-1", "small", resources.Vector{MemoryGB: 14})
 	leases := snapshot.JobLeases{Job: "run-0", Vector: resources.Vector{CPUs: 4, MemoryGB: 1}}
 	for i := range 2 {
-		leases.Leases = append(leases.Leases, snapshot.Lease{Attempt: wire.AttemptID(i), ExpectedEnd: start.Add(left)})
+		leases.Leases = append(leases.Leases, snapshot.Lease{Attempt: wire.AttemptID(i), ExpectedEnd: start.Add(remaining)})
 	}
 	machine.Leases = []snapshot.JobLeases{leases}
 	return machine
 }
 
-// requestedMachines returns how many machines are requested, and whether all are spot machines.
+// requestedMachines returns how many machines are requested, and whether all of them are spot machines.
 func requestedMachines(actions Actions) (count int, spotOnly bool) {
 	spotOnly = true
 	for _, request := range actions.ScaleOut {
@@ -91,28 +91,28 @@
 	return count, spotOnly
 }
 
-func TestHundredsOfMachinesInFewRequests(t *testing.T) {
+func TestScaleOutBatchesRequests(t *testing.T) {
 	jobs := []*snapshot.Job{newJob("run-1", "work", 1600, 4)}
 	actions := newFleet(0).Decide(start, &snapshot.Snapshot{Now: start, Jobs: jobs})
 	if count, _ := requestedMachines(actions); count < 100 || len(actions.ScaleOut) > 6 {
-		t.Errorf("%d machines in %d requests", count, len(actions.ScaleOut))
+		t.Errorf("got %d machines in %d requests, want at least 100 in at most 6", count, len(actions.ScaleOut))
 	}
 	for _, request := range actions.ScaleOut {
 		if request.Count > 50 {
-			t.Errorf("%d machines in one request", request.Count)
+			t.Errorf("got %d machines in one request, want at most 50", request.Count)
 		}
 	}
 }
 
-// Where a drain vacates a zone, no machines are requested there that can be elsewhere; for what is bound to the zone,
-// or refused elsewhere, they are.
-func TestVacatedZone(t *testing.T) {
+// While a drain vacates a zone, machines are requested there only for tasks that are bound to the zone, or if the pools
+// elsewhere have refused requests.
+func TestVacatedZoneIsAvoided(t *testing.T) {
 	zoneA := "a"
 	boundToA := newJob("run-1", "work", 4, 4)
 	boundToA.Zone = &zoneA
 	refusedInB := newFleet(0)
 	for _, spot := range []bool{true, false} {
-		refusedInB.ScaledOut(start, wire.ScaleOutRequest{Type: "small", Zone: "b", Spot: spot, Count: 1}, 0)
+		refusedInB.RecordScaleOut(start, wire.ScaleOutRequest{Type: "small", Zone: "b", Spot: spot, Count: 1}, 0)
 	}
 	for _, test := range []struct {
 		name  string
@@ -120,9 +120,9 @@
 		job   *snapshot.Job
 		want  string
 	}{
-		{name: "elsewhere", fleet: newFleet(0), job: newJob("run-1", "work", 4, 4), want: "b"},
+		{name: "other zone available", fleet: newFleet(0), job: newJob("run-1", "work", 4, 4), want: "b"},
 		{name: "bound to the zone", fleet: newFleet(0), job: boundToA, want: "a"},
-		{name: "refused elsewhere", fleet: refusedInB, job: newJob("run-1", "work", 4, 4), want: "a"},
+		{name: "refused in other zone", fleet: refusedInB, job: newJob("run-1", "work", 4, 4), want: "a"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			published := &snapshot.Snapshot{
@@ -135,15 +135,15 @@
 				zones += request.Zone
 			}
 			if zones != test.want {
-				t.Errorf("requested in %q, want %q", zones, test.want)
+				t.Errorf("requested in zone %q, want %q", zones, test.want)
 			}
 		})
 	}
 }
 
-// A task that depends on large machines chooses first: the room on them isn't counted on by small tasks, for which
-// other machines can be requested.
-func TestRoomOnScarceMachinesGoesToThoseThatDependOnIt(t *testing.T) {
+// Tasks that only fit on large machines are packed first. Otherwise small tasks, for which other machines can be
+// requested, would use the capacity of the large machines.
+func TestTasksWithFewAllowedTypesArePackedFirst(t *testing.T) {
 	large := newMachine("n-1", "large", resources.Vector{CPUs: 64, MemoryGB: 128})
 	small := newJob("run-1", "work", 8, 4)
 	small.Priority = 2
@@ -154,7 +154,7 @@
 	})
 	for _, request := range actions.ScaleOut {
 		if request.Type == "large" && request.Count > 1 {
-			t.Errorf("requests %+v", request)
+			t.Errorf("got %+v, want at most one large machine", request)
 		}
 	}
 	if count, _ := requestedMachines(actions); count == 0 {
@@ -162,22 +162,23 @@
 	}
 }
 
-// A new machine takes 40 s to come up; work that ends well before makes room sooner.
-func TestUrgentTasksCountOnWorkThatEndsSoon(t *testing.T) {
-	for left, want := range map[micros.Duration]bool{5 * micros.Second: false, 35 * micros.Second: true} {
+// A new machine takes 40 s to boot. No machine is requested for urgent tasks if running tasks end well before that time
+// and free enough capacity.
+func TestUrgentTasksUseSoonFreedCapacity(t *testing.T) {
+	for remaining, want := range map[micros.Duration]bool{5 * micros.Second: false, 35 * micros.Second: true} {
 		actions := newFleet(0).Decide(start, &snapshot.Snapshot{
 			Now:      start,
-			Machines: []*snapshot.Machine{busyMachine(left)},
+			Machines: []*snapshot.Machine{busyMachine(remaining)},
 			Jobs:     []*snapshot.Job{newJob("run-1", "rush", 2, 4)},
 		})
 		if count, _ := requestedMachines(actions); (count > 0) != want {
-			t.Errorf("work that ends in %v s: requests %d machines", left.Seconds(), count)
+			t.Errorf("running tasks end in %v s: %d machines requested", remaining.Seconds(), count)
 		}
 	}
 }
 
-// For job arrays that are expected, spot machines are requested ahead, and machines they need are retained.
-func TestRoomForExpectedTasks(t *testing.T) {
+// For job arrays that are expected to arrive, spot machines are requested in advance, and idle machines are retained.
+func TestCapacityForExpectedTasks(t *testing.T) {
 	fleet := newFleet(1)
 	published := &snapshot.Snapshot{Now: start}
 	for i := range 6 {
@@ -186,7 +187,7 @@
 		published.Jobs = append(published.Jobs, job)
 	}
 	if count, spotOnly := requestedMachines(fleet.Decide(start, published)); count == 0 || !spotOnly {
-		t.Errorf("requests %d machines, spot only: %v", count, spotOnly)
+		t.Errorf("requested %d machines, spot only: %v; want at least 1, spot only", count, spotOnly)
 	}
 	idle := newMachine("n-1", "small", smallMachine)
 	idle.Spot, idle.IdleSince = true, start.Add(-micros.Minute)
@@ -195,13 +196,13 @@
 		t.Error("a machine that is needed for expected tasks was deleted")
 	}
 	if actions := newFleet(0).Decide(start, published); len(actions.ScaleIn) != 1 {
-		t.Error("an idle machine was retained though nothing is expected")
+		t.Error("an idle machine was retained although no tasks are expected")
 	}
 }
 
-// While other work is short of room, idle machines stay for longer, but only as many as the square root of the fleet:
-// the rest go, however long the shortage lasts.
-func TestFewIdleMachinesStayWhileLargerTasksWait(t *testing.T) {
+// While tasks wait that idle machines can't run, some idle machines are retained for longer: as many as the square root
+// of the number of machines. The others are deleted, however long the shortage lasts.
+func TestIdleMachinesRetainedForUnmetDemandAreLimited(t *testing.T) {
 	published := &snapshot.Snapshot{Now: start, Jobs: []*snapshot.Job{newJob("run-1", "work", 40, 32)}}
 	for i := range 100 {
 		machine := newMachine(wire.MachineID(fmt.Sprintf("n-%d", i)), "small", smallMachine)
@@ -209,23 +210,23 @@
 		published.Machines = append(published.Machines, machine)
 	}
 	if actions := newFleet(0).Decide(start, published); len(actions.ScaleIn) != 90 {
-		t.Errorf("%d deleted", len(actions.ScaleIn))
+		t.Errorf("got %d deleted machines, want 90", len(actions.ScaleIn))
 	}
 }
 
-// A machine whose heartbeats arrive, but which responses don't reach, is deleted in a bounded time.
+// A machine whose heartbeats arrive, but that responses don't reach, is deleted after a limited time.
 func TestUnreachableMachineIsDeleted(t *testing.T) {
 	fleet := newFleet(0)
 	machine := busyMachine(5 * micros.Second)
 	machine.Usable, machine.UnreachableSince = false, start.Add(-20*micros.Second)
 	published := &snapshot.Snapshot{Now: start, Machines: []*snapshot.Machine{machine}}
 	if actions := fleet.Decide(start, published); len(actions.ScaleIn) > 0 {
-		t.Error("deleted too soon")
+		t.Error("the machine was deleted before the timeout")
 	}
 	published.Now = start.Add(6 * micros.Second)
 	machine.LastHeartbeat = published.Now
 	if actions := fleet.Decide(published.Now, published); len(actions.ScaleIn) != 1 {
-		t.Error("not deleted")
+		t.Error("the machine was not deleted after the timeout")
 	}
 }
 
@@ -238,8 +239,8 @@
 	}{
 		{name: "healthy", change: func(*snapshot.Machine) {}},
 		{name: "failed", want: "failed", change: func(m *snapshot.Machine) { m.Failed = true }},
-		{name: "being deleted already", change: func(m *snapshot.Machine) { m.Failed, m.Deleting = true, true }},
-		{name: "boots for less than three times its boot time", change: func(m *snapshot.Machine) {
+		{name: "failed, but already being deleted", change: func(m *snapshot.Machine) { m.Failed, m.Deleting = true, true }},
+		{name: "boots for three times its boot time", change: func(m *snapshot.Machine) {
 			m.Reporting, m.State, m.RegisteredAt = false, wire.MachineStarting, start.Add(-120*micros.Second)
 		}},
 		{name: "boots for longer", want: "boot timeout", change: func(m *snapshot.Machine) {
@@ -255,7 +256,7 @@
 		{name: "silent for longer", want: "silent", change: func(m *snapshot.Machine) {
 			m.LastHeartbeat = start.Add(-lease - silenceTimeout - 1)
 		}},
-		{name: "silent for half the timeout with tasks that end only with it", want: "silent",
+		{name: "silent for half the timeout, needs deletion", want: "silent",
 			change: func(m *snapshot.Machine) {
 				m.NeedsDeletion, m.LastHeartbeat = true, start.Add(-lease-silenceTimeout/2-1)
 			}},
@@ -275,29 +276,30 @@
 				got = actions.ScaleInReasons[0].Reason
 			}
 			if got != test.want || len(actions.ScaleIn) != len(actions.ScaleInReasons) {
-				t.Errorf("reason %q, want %q; deleted %v", got, test.want, actions.ScaleIn)
+				t.Errorf("got reason %q, want %q; deleted machines: %v", got, test.want, actions.ScaleIn)
 			}
 		})
 	}
 }
 
-// A pool that refuses isn't asked again for a while, which doubles up to a bound; a success ends that.
+// After a pool has refused a request or served only part of it, nothing is requested from it during a backoff. The
+// backoff doubles with each refusal up to a limit. A request that is served in full resets it.
 func TestPoolBackoff(t *testing.T) {
 	fleet := newFleet(0)
 	request := wire.ScaleOutRequest{Type: "small", Zone: "a", Spot: true, Count: 2}
-	from := pool{"small", "a", true}
+	p := pool{"small", "a", true}
 	for _, test := range []struct {
 		created int
 		want    micros.Duration
 	}{{0, 5 * micros.Second}, {1, 10 * micros.Second}, {0, 20 * micros.Second}, {0, 30 * micros.Second},
 		{0, 30 * micros.Second}, {2, 0}, {0, 5 * micros.Second}} {
-		fleet.requests.blockedUntil[from] = 0
-		fleet.ScaledOut(start, request, test.created)
-		if test.want > 0 && !fleet.requests.isBlocked(start.Add(test.want-1), from) {
-			t.Errorf("%d of 2 created: not blocked for %v s", test.created, test.want.Seconds())
+		fleet.requests.blockedUntil[p] = 0
+		fleet.RecordScaleOut(start, request, test.created)
+		if test.want > 0 && !fleet.requests.isBlocked(start.Add(test.want-1), p) {
+			t.Errorf("%d of 2 machines created: not blocked for %v s", test.created, test.want.Seconds())
 		}
-		if fleet.requests.isBlocked(start.Add(test.want), from) {
-			t.Errorf("%d of 2 created: blocked after %v s", test.created, test.want.Seconds())
+		if fleet.requests.isBlocked(start.Add(test.want), p) {
+			t.Errorf("%d of 2 machines created: still blocked after %v s", test.created, test.want.Seconds())
 		}
 	}
 }
--- a/internal/fleet/forecast.go
+++ b/internal/fleet/forecast.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// forecastWindow is how far back arrivals show what is to be expected.
+	// forecastWindow is how far back arrivals are taken into account.
 	forecastWindow = 3 * micros.Minute
-	// minForecastArrivals is how many arrivals of a class a forecast needs.
+	// minForecastArrivals is the least number of arrivals of a class from which its demand is forecast.
 	minForecastArrivals = 3
 )
 
-// forecast expects tasks of the urgent classes. New machines take too long to come up for a job that has arrived
-// already, so room is kept free for those to come.
+// forecast predicts the demand of the urgent classes. A new machine boots too slowly for an urgent job that has already
+// arrived, so capacity is kept free for the jobs that are expected to arrive.
 type forecast struct {
-	openJobs map[wire.JobID]bool  // as of the last snapshot
-	arrivals map[string][]arrival // by class, within the window
-	since    micros.Timestamp     // of the first snapshot
+	openJobs      map[wire.JobID]bool  // as of the latest snapshot
+	arrivals      map[string][]arrival // by class, within the window
+	observedSince micros.Timestamp     // time of the first snapshot
 }
 
-// arrival is a job that has arrived.
+// arrival is the arrival of a job with a number of tasks.
 type arrival struct {
 	job   *snapshot.Job
 	tasks int
@@ -36,10 +36,10 @@
 	return forecast{openJobs: map[wire.JobID]bool{}, arrivals: map[string][]arrival{}}
 }
 
-// observe adds the jobs that have arrived since the last snapshot, and removes those before the window.
+// observe adds the urgent jobs that have arrived since the last snapshot, and removes arrivals from before the window.
 func (f *forecast) observe(published *snapshot.Snapshot, urgentClasses map[string]bool) {
-	if f.since == 0 {
-		f.since = published.Now
+	if f.observedSince == 0 {
+		f.observedSince = published.Now
 	}
 	open := make(map[wire.JobID]bool, len(published.Jobs))
 	for _, job := range published.Jobs {
@@ -57,30 +57,30 @@
 	}
 }
 
-// expect returns the tasks for which room should be free, class by class: factor times the standard deviation of the
-// number of running tasks. When job arrays of n tasks arrive at random, that is the square root of their rate times
-// the mean of n squared times the run time.
-func (f *forecast) expect(now micros.Timestamp, factor float64) []*demand {
+// expectedDemands returns, for each class, the tasks for which capacity should be kept free. Their number is factor
+// times the standard deviation of the number of running tasks. For job arrays of n tasks that arrive at random, the
+// variance of that number is the arrival rate times the mean of n squared times the run time.
+func (f *forecast) expectedDemands(now micros.Timestamp, factor float64) []*demand {
 	var expected []*demand
-	observed := min(forecastWindow, now.Sub(f.since)+forecastWindow/3)
+	observedTime := min(forecastWindow, now.Sub(f.observedSince)+forecastWindow/3)
 	for _, class := range slices.Sorted(maps.Keys(f.arrivals)) {
 		arrivals := f.arrivals[class]
 		if len(arrivals) < minForecastArrivals {
 			continue
 		}
-		variance := 0.0 // times the observed time
-		var needs resources.Vector
+		variance := 0.0 // of the number of running tasks, multiplied by the observed time
+		var totalResources resources.Vector
 		for _, a := range arrivals {
 			variance += float64(a.tasks*a.tasks) * a.job.Estimate.Seconds()
-			needs = needs.AddTasks(a.job.Vector, 1)
+			totalResources = totalResources.AddTasks(a.job.Vector, 1)
 		}
-		tasks := int(math.Round(factor * math.Sqrt(variance/observed.Seconds())))
+		tasks := int(math.Round(factor * math.Sqrt(variance/observedTime.Seconds())))
 		if tasks == 0 {
 			continue
 		}
 		typical := *arrivals[len(arrivals)-1].job
 		typical.ID = ""
-		typical.Vector = resources.Vector{}.AddTasks(needs, 1/float64(len(arrivals)))
+		typical.Vector = resources.Vector{}.AddTasks(totalResources, 1/float64(len(arrivals)))
 		typical.Types, typical.Zone = nil, nil
 		expected = append(expected, &demand{Job: &typical, tasks: tasks, urgent: true, expected: true})
 	}
--- a/internal/fleet/pools.go
+++ b/internal/fleet/pools.go
@@ -9,7 +9,7 @@
 	"saffronbend/wire"
 )
 
-// pool is a kind of machines that can be requested from the cloud.
+// pool identifies the machines of one type in one zone, either spot or on-demand, that can be requested from the cloud.
 type pool struct {
 	machineType, zone string
 	spot              bool
@@ -19,19 +19,20 @@
 	return pool{request.Type, request.Zone, request.Spot}
 }
 
-// Bounds of the time for which nothing is requested from a pool after a refusal; it doubles from one to the next.
+// Bounds of the backoff, which is the time for which nothing is requested from a pool after a refusal. It doubles with
+// each consecutive refusal.
 const (
 	minPoolBackoff = 5 * micros.Second
 	maxPoolBackoff = 30 * micros.Second
 )
 
-// scaleOutRequests holds the requests whose outcome isn't known, and the backoff of each pool that has refused.
+// scaleOutRequests holds the requests whose outcome isn't known yet, and the backoff of each pool that has refused one.
 type scaleOutRequests struct {
 	fencingToken wire.FencingToken
-	serial       int                             // of the last request in this term
-	pending      map[string]wire.ScaleOutRequest // by request identifier
-	backoff      map[pool]micros.Duration        // the last one, until a request succeeds
-	blockedUntil map[pool]micros.Timestamp
+	serial       int                             // number of the last request of this term
+	pending      map[string]wire.ScaleOutRequest // requests with unknown outcome, by request identifier
+	backoff      map[pool]micros.Duration        // the last backoff, until a request is served in full
+	blockedUntil map[pool]micros.Timestamp       // end of the backoff
 }
 
 func newScaleOutRequests(fencingToken wire.FencingToken) scaleOutRequests {
@@ -44,67 +45,69 @@
 }
 
 // create returns a new request, whose outcome is pending.
-func (r *scaleOutRequests) create(from pool, count int) wire.ScaleOutRequest {
+func (r *scaleOutRequests) create(p pool, count int) wire.ScaleOutRequest {
 	r.serial++
 	request := wire.ScaleOutRequest{
 		RequestID: "r-" + strconv.FormatUint(uint64(r.fencingToken), 10) + "-" + strconv.Itoa(r.serial),
-		Type:      from.machineType,
-		Zone:      from.zone,
-		Spot:      from.spot,
+		Type:      p.machineType,
+		Zone:      p.zone,
+		Spot:      p.spot,
 		Count:     count,
 	}
 	r.pending[request.RequestID] = request
 	return request
 }
 
-// completed applies the outcome of a request. A pool that has refused it, or filled it in part, is empty for a while.
-func (r *scaleOutRequests) completed(now micros.Timestamp, request wire.ScaleOutRequest, created int) {
+// recordResult records the outcome of a request. A pool that created fewer machines than were requested is taken to be
+// out of capacity and backs off.
+func (r *scaleOutRequests) recordResult(now micros.Timestamp, request wire.ScaleOutRequest, created int) {
 	delete(r.pending, request.RequestID)
-	from := poolOf(&request)
+	p := poolOf(&request)
 	if created >= request.Count {
-		delete(r.backoff, from)
+		delete(r.backoff, p)
 		return
 	}
-	wait := min(max(2*r.backoff[from], minPoolBackoff), maxPoolBackoff)
-	r.backoff[from] = wait
-	r.blockedUntil[from] = now.Add(wait)
+	backoff := min(max(2*r.backoff[p], minPoolBackoff), maxPoolBackoff)
+	r.backoff[p] = backoff
+	r.blockedUntil[p] = now.Add(backoff)
 }
 
-// isBlocked reports whether a pool backs off.
-func (r *scaleOutRequests) isBlocked(now micros.Timestamp, from pool) bool {
-	return now < r.blockedUntil[from]
+// isBlocked reports whether nothing is requested from a pool because of its backoff.
+func (r *scaleOutRequests) isBlocked(now micros.Timestamp, p pool) bool {
+	return now < r.blockedUntil[p]
 }
 
-// isPending reports whether the outcome of a request for a pool isn't known.
-func (r *scaleOutRequests) isPending(from pool) bool {
+// isPending reports whether there is a request to a pool whose outcome isn't known yet.
+func (r *scaleOutRequests) isPending(p pool) bool {
 	for _, request := range r.pending {
-		if from == poolOf(&request) {
+		if p == poolOf(&request) {
 			return true
 		}
 	}
 	return false
 }
 
-// canRequest reports whether machines of a type in a zone that may run the tasks can be requested.
+// canRequest reports whether machines of a type in a zone, spot or on-demand, may run the demand's tasks and can be
+// requested now. It returns false if the pools that may run them are backing off.
 func (f *Fleet) canRequest(now micros.Timestamp, machineType *wire.MachineType, zone string, d *demand) bool {
 	for _, spot := range []bool{true, false} {
-		from := pool{machineType.Name, zone, spot}
-		if d.Allows(machineType, zone, spot) && !f.requests.isBlocked(now, from) {
+		p := pool{machineType.Name, zone, spot}
+		if d.Allows(machineType, zone, spot) && !f.requests.isBlocked(now, p) {
 			return true
 		}
 	}
 	return false
 }
 
-// isVacated reports whether a drain vacates the machines of a type in a zone.
+// isVacated reports whether a drain vacates all machines of a type in a zone.
 func (f *Fleet) isVacated(machineType, zone string) bool {
 	return slices.ContainsFunc(f.vacatedPools, func(vacated drain.VacatedPool) bool {
 		return vacated.Includes(machineType, zone)
 	})
 }
 
-// canAvoidVacated reports whether machines that may run the tasks can be requested where nothing is vacated. It is
-// false if nothing is vacated at all.
+// canAvoidVacated reports whether machines that may run the demand's tasks can be requested from a pool that isn't
+// vacated. It returns false if no pool is vacated, since then there is none to avoid.
 func (f *Fleet) canAvoidVacated(now micros.Timestamp, d *demand) bool {
 	if len(f.vacatedPools) == 0 {
 		return false
--- a/internal/fleet/scalein.go
+++ b/internal/fleet/scalein.go
@@ -8,22 +8,22 @@
 	"saffronbend/wire"
 )
 
-// reasonIdle is why a machine is deleted that no task needs. Operators see it in the log.
+// reasonIdle is the reason for deleting a machine that no task needs. Operators see it in the log.
 const reasonIdle = "idle"
 
-// scaleInIdle deletes idle machines into which no task was packed.
-func (f *Fleet) scaleInIdle(published *snapshot.Snapshot, bins []*bin, anyUnmet bool, actions *Actions) {
+// scaleInIdle deletes machines that have been idle for long and into which no task was packed.
+func (f *Fleet) scaleInIdle(published *snapshot.Snapshot, bins []*bin, hasUnmet bool, actions *Actions) {
 	needed := map[wire.MachineID]bool{}
 	for _, b := range bins {
 		if b.used {
 			needed[b.machine] = true
 		}
 	}
-	// Demands that are unmet, though not by these machines, are a sign of pressure. Then a few may stay for longer: as
-	// what comes varies by, the square root of their number.
-	spare := 0
-	if anyUnmet {
-		spare = int(math.Sqrt(float64(len(published.Machines))))
+	// Unmet demands show that capacity is short, even if the idle machines can't serve them. A few idle machines are then
+	// retained for longer: the square root of the number of machines, by which the load typically varies.
+	retainable := 0
+	if hasUnmet {
+		retainable = int(math.Sqrt(float64(len(published.Machines))))
 	}
 	for _, machine := range published.Machines {
 		if !machine.Usable || !machine.ProvenIdle() || needed[machine.ID] || f.machineType(machine.Type) == nil {
@@ -32,15 +32,16 @@
 		idle := published.Now.Sub(machine.IdleSince)
 		switch {
 		case idle <= f.idleTimeout(machine):
-		case spare > 0 && idle < 2*f.cfg.Tuning.IdleTimeout:
-			spare--
+		case retainable > 0 && idle < 2*f.cfg.Tuning.IdleTimeout:
+			retainable--
 		default:
 			actions.scaleIn(machine.ID, reasonIdle)
 		}
 	}
 }
 
-// idleTimeout is how long a machine may be idle. On-demand machines go sooner, as they cost more.
+// idleTimeout returns how long a machine may be idle before it is deleted. The time is shorter for on-demand machines,
+// in proportion to the spot price, because they cost more.
 func (f *Fleet) idleTimeout(machine *snapshot.Machine) micros.Duration {
 	timeout := f.cfg.Tuning.IdleTimeout
 	machineType := f.machineType(machine.Type)
--- a/internal/fleet/scaleout.go
+++ b/internal/fleet/scaleout.go
@@ -8,56 +8,56 @@
 )
 
 const (
-	// maxScaleOutSteps bounds the choices of a pool in a round, and maxPerStep the machines of one choice.
+	// maxScaleOutSteps limits how often a pool is chosen in a round, and maxPerStep how many machines each choice adds.
 	maxScaleOutSteps, maxPerStep = 24, 8
-	// maxPerRequest bounds the machines of a request to the cloud.
+	// maxPerRequest limits the number of machines in a request to the cloud.
 	maxPerRequest = 50
-	// minHeldS is the least time, in seconds, for which a machine is paid in the estimate of its cost.
-	minHeldS = 60
-	// cpuTolerance is less than any number of processors that makes a difference.
+	// minBilledS is the shortest time, in seconds, for which the cost estimate assumes that a machine is billed.
+	minBilledS = 60
+	// cpuTolerance is below any significant difference between numbers of CPUs.
 	cpuTolerance = 1e-6
-	// minWork keeps the cost finite, in processor seconds.
+	// minWork, in CPU seconds, keeps the cost finite for tasks with an expected run time of 0.
 	minWork = 1e-6
 )
 
-// scaleOutPlan is the machines that are requested in a round.
+// scaleOutPlan collects the machines to request in one round.
 type scaleOutPlan struct {
 	fleet        *Fleet
 	now          micros.Timestamp
-	machineCount int // with the requested ones
-	unmet        []*demand
-	requests     map[pool]int // machines by pool
-	order        []pool       // in which the pools were chosen
-	// left is how many tasks of each unmet demand are left with the choice that is evaluated, bestLeft with the best one
-	// so far.
-	left, bestLeft []int
+	machineCount int          // existing and requested machines, those of the plan included
+	unmet        []*demand    // the demands that the machines of the plan don't serve yet
+	requests     map[pool]int // number of machines to request, by pool
+	order        []pool       // the pools of the plan in the order in which they were chosen
+	// remaining is set by evaluate: how many tasks of each unmet demand don't fit into machines of the evaluated pool.
+	// bestRemaining is the same for the best pool so far.
+	remaining, bestRemaining []int
 }
 
-// scaleOut requests machines for the unmet demands, step by step from the pool with the lowest cost.
+// scaleOut requests machines for the unmet demands. Each step adds machines of the pool with the lowest cost.
 func (f *Fleet) scaleOut(now micros.Timestamp, unmet []*demand, machineCount int, actions *Actions) {
 	for _, d := range unmet {
 		d.avoidVacated = f.canAvoidVacated(now, d)
 	}
 	plan := scaleOutPlan{
-		fleet:        f,
-		now:          now,
-		machineCount: machineCount,
-		unmet:        unmet,
-		requests:     map[pool]int{},
-		left:         make([]int, len(unmet)),
-		bestLeft:     make([]int, len(unmet)),
+		fleet:         f,
+		now:           now,
+		machineCount:  machineCount,
+		unmet:         unmet,
+		requests:      map[pool]int{},
+		remaining:     make([]int, len(unmet)),
+		bestRemaining: make([]int, len(unmet)),
 	}
 	for range maxScaleOutSteps {
 		if !plan.step() {
 			break
 		}
 	}
-	for _, from := range plan.order {
-		actions.ScaleOut = append(actions.ScaleOut, f.requests.create(from, plan.requests[from]))
+	for _, p := range plan.order {
+		actions.ScaleOut = append(actions.ScaleOut, f.requests.create(p, plan.requests[p]))
 	}
 }
 
-// step adds machines of the pool with the lowest cost. It reports whether there were any to add.
+// step adds machines of the pool with the lowest cost to the plan. It reports whether there were any to add.
 func (s *scaleOutPlan) step() bool {
 	machinesLeft := s.fleet.cfg.Tuning.MaxMachines - s.machineCount
 	if len(s.unmet) == 0 || machinesLeft <= 0 {
@@ -72,27 +72,27 @@
 	}
 	s.requests[best] += count
 	s.machineCount += count
-	s.unmet = stillUnmet(s.unmet, s.bestLeft, best.zone)
+	s.unmet = stillUnmet(s.unmet, s.bestRemaining, best.zone)
 	return true
 }
 
-// cheapestPool returns the pool with the lowest cost and how many of its machines to add; zero if no pool has
-// machines for the unmet demands. It sets bestLeft.
+// cheapestPool returns the pool with the lowest cost and how many of its machines to add; the count is 0 if no pool can
+// serve any of the unmet demands. It sets bestRemaining.
 func (s *scaleOutPlan) cheapestPool(machinesLeft int) (best pool, count int) {
 	lowestCost := 0.0
 	for i := range s.fleet.types {
 		machineType := &s.fleet.types[i]
 		for _, zone := range machineType.Zones {
 			for _, spot := range []bool{true, false} {
-				from := pool{machineType.Name, zone, spot}
-				limit := min(machinesLeft, maxPerStep, maxPerRequest-s.requests[from])
-				if s.fleet.requests.isBlocked(s.now, from) || s.fleet.requests.isPending(from) || limit <= 0 {
+				p := pool{machineType.Name, zone, spot}
+				limit := min(machinesLeft, maxPerStep, maxPerRequest-s.requests[p])
+				if s.fleet.requests.isBlocked(s.now, p) || s.fleet.requests.isPending(p) || limit <= 0 {
 					continue
 				}
-				cost, machines := s.evaluate(machineType, from, limit)
+				cost, machines := s.evaluate(machineType, p, limit)
 				if machines > 0 && (count == 0 || cost < lowestCost) {
-					best, lowestCost, count = from, cost, machines
-					s.left, s.bestLeft = s.bestLeft, s.left
+					best, lowestCost, count = p, cost, machines
+					s.remaining, s.bestRemaining = s.bestRemaining, s.remaining
 				}
 			}
 		}
@@ -100,30 +100,31 @@
 	return best, count
 }
 
-// evaluate fills up to limit new machines of a pool. It returns their cost, which is the price for each processor
-// second of work that they would do, boot included, and their number. It sets left.
-func (s *scaleOutPlan) evaluate(machineType *wire.MachineType, from pool, limit int) (cost float64, machines int) {
+// evaluate packs the unmet demands into up to limit new machines of a pool. It returns the number of machines that are
+// used, and their cost for each CPU second of work that they would do, with boot and idle time included. It sets
+// remaining.
+func (s *scaleOutPlan) evaluate(machineType *wire.MachineType, p pool, limit int) (cost float64, machines int) {
 	smallestCPUs := math.Inf(1)
 	for i, d := range s.unmet {
-		s.left[i] = d.tasks
+		s.remaining[i] = d.tasks
 		smallestCPUs = min(smallestCPUs, d.CPUs)
 	}
-	work, longestRun := 0.0, 0.0 // in processor seconds and seconds
-	vacated := s.fleet.isVacated(machineType.Name, from.zone)
+	work, longestRun := 0.0, 0.0 // in CPU seconds and in seconds
+	vacated := s.fleet.isVacated(machineType.Name, p.zone)
 	for machines < limit {
-		b := newBin(machineType, from)
+		b := newBin(machineType, p)
 		for i, d := range s.unmet {
 			if full := b.free.CPUs < smallestCPUs-cpuTolerance; full {
 				break
 			}
-			if s.left[i] == 0 || d.excludes(from, vacated) {
+			if s.remaining[i] == 0 || d.excludes(p, vacated) {
 				continue
 			}
-			packed := b.packUpTo(d, s.left[i], d.tasksByZone[from.zone]+d.tasks-s.left[i])
+			packed := b.packUpTo(d, s.remaining[i], d.tasksByZone[p.zone]+d.tasks-s.remaining[i])
 			if packed == 0 {
 				continue
 			}
-			s.left[i] -= packed
+			s.remaining[i] -= packed
 			work += float64(packed) * d.CPUs * d.Estimate.Seconds()
 			longestRun = max(longestRun, d.Estimate.Seconds())
 		}
@@ -136,29 +137,30 @@
 		return 0, 0
 	}
 	price := machineType.Price
-	if from.spot {
+	if p.spot {
 		price = machineType.SpotPrice
 	}
-	held := max(minHeldS, machineType.BootS+longestRun+s.fleet.cfg.Tuning.IdleTimeout.Seconds())
-	return price * float64(machines) * held / max(work, minWork), machines
+	billedS := max(minBilledS, machineType.BootS+longestRun+s.fleet.cfg.Tuning.IdleTimeout.Seconds())
+	return price * float64(machines) * billedS / max(work, minWork), machines
 }
 
-// excludes reports whether machines of a pool aren't requested for a demand although they could run the tasks:
-// expected tasks that may use spot machines, and pools that are vacated while others can be used.
-func (d *demand) excludes(from pool, vacated bool) bool {
-	return d.expected && d.Spot && !from.spot || vacated && d.avoidVacated
+// excludes reports whether no machines of a pool are requested for a demand although they could run its tasks. That
+// applies to on-demand machines for expected tasks that may use spot machines, and to a vacated pool if machines can be
+// requested from another.
+func (d *demand) excludes(p pool, vacated bool) bool {
+	return d.expected && d.Spot && !p.spot || vacated && d.avoidVacated
 }
 
-// stillUnmet returns what remains of the demands when the given numbers of tasks are left, and the others have found
-// room in a zone.
-func stillUnmet(unmet []*demand, left []int, zone string) []*demand {
+// stillUnmet returns what is left of the unmet demands after some of their tasks were packed into machines in a zone.
+// remaining holds how many tasks of each demand didn't fit.
+func stillUnmet(unmet []*demand, remaining []int, zone string) []*demand {
 	var rest []*demand
 	for i, d := range unmet {
 		switch {
-		case left[i] == d.tasks:
+		case remaining[i] == d.tasks:
 			rest = append(rest, d)
-		case left[i] > 0:
-			rest = append(rest, d.remaining(zone, d.tasks-left[i]))
+		case remaining[i] > 0:
+			rest = append(rest, d.remaining(zone, d.tasks-remaining[i]))
 		}
 	}
 	return rest
--- a/internal/fleet/unhealthy.go
+++ b/internal/fleet/unhealthy.go
@@ -6,19 +6,20 @@
 	"saffronbend/wire"
 )
 
-// The reasons for which unhealthy machines are deleted, beside those of a quarantine. Operators see them in the log.
+// The reasons for deleting unhealthy machines, in addition to the reasons for a quarantine. Operators see them in the
+// log.
 const (
-	reasonFailed      = "failed"       // the cloud says so
-	reasonNotUp       = "boot timeout" // no heartbeat long after its boot time
-	reasonReclaimed   = "reclaimed"    // silent, and no longer listed by the cloud
-	reasonSilent      = "silent"       // no heartbeats
-	reasonUnreachable = "unreachable"  // its heartbeats arrive, but responses and commands don't reach it
+	reasonFailed      = "failed"       // the cloud reports the machine as failed
+	reasonBootTimeout = "boot timeout" // no heartbeat long after the machine should have booted
+	reasonReclaimed   = "reclaimed"    // the machine sends no heartbeats and the cloud no longer lists it
+	reasonSilent      = "silent"       // the machine sends no heartbeats
+	reasonUnreachable = "unreachable"  // heartbeats arrive, but responses and commands don't reach the machine
 )
 
-// defaultBootTime stands for the boot time of a machine whose type isn't known.
+// defaultBootTime is the assumed boot time of a machine whose type isn't known.
 const defaultBootTime = 60 * micros.Second
 
-// scaleInUnhealthy deletes machines that are of no use.
+// scaleInUnhealthy deletes machines that can no longer be used.
 func (f *Fleet) scaleInUnhealthy(published *snapshot.Snapshot, actions *Actions) {
 	for _, machine := range published.Machines {
 		if machine.Deleting {
@@ -30,14 +31,14 @@
 	}
 }
 
-// unhealthyReason returns why a machine is of no use; empty if it is, or may be.
+// unhealthyReason returns why a machine can no longer be used; empty if it can, or if that isn't known yet.
 func (f *Fleet) unhealthyReason(machine *snapshot.Machine, now micros.Timestamp) string {
 	switch {
 	case machine.Failed:
 		return reasonFailed
 	case machine.State == wire.MachineStarting:
 		if !machine.Reporting && now.Sub(machine.RegisteredAt) > f.bootTimeout(machine) {
-			return reasonNotUp
+			return reasonBootTimeout
 		}
 	default:
 		if reason := f.silenceReason(machine, now); reason != "" {
@@ -53,7 +54,7 @@
 	return ""
 }
 
-// silenceReason returns why a machine that has started and sends no heartbeats is deleted; empty if it isn't.
+// silenceReason returns why a machine is deleted that has started but sends no heartbeats; empty if it isn't deleted.
 func (f *Fleet) silenceReason(machine *snapshot.Machine, now micros.Timestamp) string {
 	silence := now.Sub(machine.LastHeartbeat)
 	switch {
@@ -67,13 +68,14 @@
 	return ""
 }
 
-// shortSilenceTimeout is the time after which a machine is deleted that can't be reached, or whose tasks end only
-// with it.
+// shortSilenceTimeout is the time without contact after which a machine is deleted if commands don't reach it, or if
+// only its deletion proves that its tasks have ended.
 func (f *Fleet) shortSilenceTimeout() micros.Duration {
 	return f.cfg.LeaseDuration + f.cfg.Tuning.SilenceTimeout/2
 }
 
-// bootTimeout is the time after which a machine that sends no heartbeat is taken not to come up.
+// bootTimeout is the time since its registration after which a machine without a heartbeat is taken to have failed to
+// boot.
 func (f *Fleet) bootTimeout(machine *snapshot.Machine) micros.Duration {
 	bootTime := defaultBootTime
 	if machineType := f.machineType(machine.Type); machineType != nil {
--- a/internal/fleet/unmet.go
+++ b/internal/fleet/unmet.go
@@ -9,23 +9,25 @@
 	"saffronbend/internal/snapshot"
 )
 
-// demand is a number of tasks of a job for which there should be room.
+// demand is a number of tasks of a job for which there should be capacity.
 type demand struct {
 	*snapshot.Job
 	tasks        int
-	allowedTypes int  // how many machine types can run the tasks
-	urgent       bool // its class has an objective for how soon its tasks start
-	// expected tasks haven't been submitted yet: only free room is room for them, and only spot machines are requested
-	// for them where they may use those.
+	allowedTypes int  // number of machine types that can run the tasks
+	urgent       bool // the job's class has a service-level objective for how soon its tasks start
+	// expected says that the tasks haven't been submitted yet, but are forecast. They are packed only into capacity that
+	// is free now, and only spot machines are requested for them if they may use those.
 	expected bool
-	// avoidVacated says that machines for it can be requested where nothing is vacated.
+	// avoidVacated says that machines for the tasks can be requested from pools that aren't vacated, so that vacated pools
+	// are avoided.
 	avoidVacated bool
-	// replacement tasks run, and leave their machines once there is free room for them elsewhere.
+	// replacement says that the tasks replace running ones, which are evicted once there is free capacity for them
+	// elsewhere.
 	replacement bool
-	tasksByZone map[string]int // of a job whose tasks must be spread over zones
+	tasksByZone map[string]int // the job's tasks in each zone, if their number in a zone is limited
 }
 
-// remaining returns the demand that is left when a number of tasks has found room in a zone.
+// remaining returns the demand that is left after the given number of tasks was packed into a machine in a zone.
 func (d *demand) remaining(zone string, packed int) *demand {
 	rest := *d
 	rest.tasks -= packed
@@ -39,14 +41,14 @@
 	return &rest
 }
 
-// packDemands packs the queued, the replaced and the expected tasks into the bins and returns those that found no
-// room.
+// packDemands packs queued, replacement and expected tasks into the bins, and returns the demands for those that don't
+// fit.
 func (f *Fleet) packDemands(published *snapshot.Snapshot, bins []*bin) (unmet []*demand) {
 	slices.SortStableFunc(bins, func(a, b *bin) int {
 		return cmp.Or(cmp.Compare(a.machineType.CPUs, b.machineType.CPUs), cmp.Compare(a.free.CPUs, b.free.CPUs))
 	})
-	expected := f.forecast.expect(published.Now, f.cfg.Tuning.SpareShare)
-	for _, d := range slices.Concat(f.presentDemands(published), expected) {
+	expected := f.forecast.expectedDemands(published.Now, f.cfg.Tuning.SpareShare)
+	for _, d := range slices.Concat(f.currentDemands(published), expected) {
 		if d.Gang && d.SameZone {
 			f.chooseZone(published.Now, d, bins)
 		}
@@ -66,9 +68,9 @@
 	return unmet
 }
 
-// presentDemands returns the demands of the jobs. Those that few types of machines can run come first, so that the
-// room on these isn't counted on by others.
-func (f *Fleet) presentDemands(published *snapshot.Snapshot) []*demand {
+// currentDemands returns the demands of the snapshot's queued and replacement tasks. Tasks that only few machine types
+// can run come first, so that the capacity of machines of these types isn't used for other tasks.
+func (f *Fleet) currentDemands(published *snapshot.Snapshot) []*demand {
 	var demands []*demand
 	for _, job := range published.Jobs {
 		if tasks := published.PlaceableTasks(job); tasks > 0 {
@@ -100,7 +102,7 @@
 	return demands
 }
 
-// countAllowedTypes returns how many types of machines can run a task of the job.
+// countAllowedTypes returns how many machine types can run a task of the job.
 func (f *Fleet) countAllowedTypes(job *snapshot.Job) int {
 	count := 0
 	for i := range f.types {
@@ -112,16 +114,17 @@
 	return count
 }
 
-// chooseZone chooses the zone for a gang that must be in a single one, unless its job names it: the one with most
-// room. A zone where no machines can be requested and the gang doesn't fit as a whole is passed over.
+// chooseZone chooses the zone for a gang whose tasks must all run in one zone, unless the job specifies the zone. It
+// chooses the zone in which most of the gang's tasks fit. A zone is not considered if the gang doesn't fit there as a
+// whole and no machines can be requested there.
 func (f *Fleet) chooseZone(now micros.Timestamp, gang *demand, bins []*bin) {
 	if gang.Zone != nil {
 		return
 	}
-	tasksThatFit := f.tasksThatFitByZone(now, gang, bins)
+	fittingTasks := f.fittingTasksByZone(now, gang, bins)
 	best := ""
-	for _, zone := range slices.Sorted(maps.Keys(tasksThatFit)) {
-		if best == "" || tasksThatFit[zone] > tasksThatFit[best] {
+	for _, zone := range slices.Sorted(maps.Keys(fittingTasks)) {
+		if best == "" || fittingTasks[zone] > fittingTasks[best] {
 			best = zone
 		}
 	}
@@ -132,8 +135,8 @@
 	}
 }
 
-// tasksThatFitByZone returns for each zone that a gang may use how many of its tasks find room there now.
-func (f *Fleet) tasksThatFitByZone(now micros.Timestamp, gang *demand, bins []*bin) map[string]int {
+// fittingTasksByZone returns, for each zone that is considered for a gang, how many of its tasks fit there now.
+func (f *Fleet) fittingTasksByZone(now micros.Timestamp, gang *demand, bins []*bin) map[string]int {
 	zones := map[string]int{}
 	for i := range f.types {
 		for _, zone := range f.types[i].Zones {
@@ -144,12 +147,12 @@
 	}
 	fitting := map[string]int{}
 	for _, b := range bins {
-		if b.isOpenTo(gang) && gang.Allows(b.machineType, b.zone, b.spot) {
+		if b.isAvailableTo(gang) && gang.Allows(b.machineType, b.zone, b.spot) {
 			fitting[b.zone] = min(gang.tasks, fitting[b.zone]+b.free.MaxTasks(gang.Vector, gang.tasks))
 		}
 	}
 	for zone, tasks := range fitting {
-		if _, canGrow := zones[zone]; canGrow || tasks == gang.tasks {
+		if _, canScaleOut := zones[zone]; canScaleOut || tasks == gang.tasks {
 			zones[zone] = tasks
 		}
 	}
--- a/internal/leader/scaling/scaling.go
+++ b/internal/leader/scaling/scaling.go
@@ -131,7 +131,7 @@
 				"requested", request.Count, "created", len(machines))
 			e.cfg.Loop.Post(ctx, func(now micros.Timestamp) {
 				e.cfg.Manager.MachinesScaledOut(now, request, machines)
-				e.fleet.ScaledOut(now, request, len(machines))
+				e.fleet.RecordScaleOut(now, request, len(machines))
 			})
 			return
 		}
