--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -1,75 +1,82 @@
-// Package gang is the life cycle of a gang: a job whose tasks are scheduled, run and stopped together or not at all.
+// Package gang implements the life cycle of a gang: a job whose tasks are scheduled, run and stopped together or not at
+// all.
 //
 // A Gang is a state machine without I/O and without a clock. Package manager holds one for each job that is scheduled
-// as a gang, reports to it what happens to the tasks of the present attempt, and carries out the Action that each
-// event returns. A Gang never knows machines, leases or times, and it isn't safe for concurrent use: the goroutine
-// that owns the job owns its gang.
+// as a gang, reports to it the events of the tasks of the current attempt, and carries out the Action that it returns
+// for an event. A Gang doesn't know about machines, leases or times. It isn't safe for concurrent use: it is owned by
+// the goroutine that owns the job.
+//
+// An attempt is one run of all tasks of the gang. A task of the attempt is released once it is proven that it doesn't
+// run and never will.
 //
 //	Idle -- placed --> Granted -- all durable --> Launched -- one runs --> Running -- one is done --> Complete
 //	 ^                    |                          |                      |   |
 //	 |                    |                          |                      |   '-- preempted --> Checkpointing
 //	 |                    v                          v                      v                       |    |
-//	 |-- all are gone -- Ending <---- aborted, or one is gone before any has saved its progress ----'    |
-//	 '-- all are gone, one after it has saved the progress ----------------------------------------------'
+//	 |- all released - Aborting <-- aborted, or a task is released before any has saved progress ---'    |
+//	 '- all released, one of them after it has saved the progress ---------------------------------------'
 //
-// The transitions, with the action that is returned; whatever isn't listed changes nothing and returns None:
+// The transitions, with the action that is returned. An event that isn't listed for a phase leaves the phase as it is
+// and returns None:
 //
 //	event              in phase                         next phase     action
 //	TaskPlaced         Idle                             Granted        None
 //	TaskRecovered      Idle                             Granted        None
 //	PlacementDurable   Granted, the last placement      Launched       Launch
 //	RecoveryDone       Granted, all tasks recovered     Launched       None
-//	RecoveryDone       Granted, a part recovered        Ending         Stop
+//	RecoveryDone       Granted, some tasks recovered    Aborting       Stop
 //	TaskRunning        Launched                         Running        None
 //	TaskCheckpointing  Launched, Running                Checkpointing  Checkpoint
 //	Preempt            Running                          Checkpointing  Checkpoint
-//	Preempt            Granted, Launched                Ending         Stop
-//	Abort              Granted to Checkpointing         Ending         Stop
+//	Preempt            Granted, Launched                Aborting       Stop
+//	Abort              Granted to Checkpointing         Aborting       Stop
 //	TaskDone           all but Complete                 Complete       Finish
-//	TaskGone           the last task, all but Complete  Idle           None
-//	TaskGone           Checkpointing, progress saved    Checkpointing  None
-//	TaskGone           else, Granted to Checkpointing   Ending         Stop
+//	TaskReleased       the last task, all but Complete  Idle           None
+//	TaskReleased       Checkpointing, progress saved    Checkpointing  None
+//	TaskReleased       else, Granted to Checkpointing   Aborting       Stop
 //
-// A new attempt begins only from Idle, when every task of the previous one is provably gone. So two attempts never
-// mix, and no task is replaced within an attempt.
+// A new attempt begins only from Idle, after every task of the previous attempt was released. So the tasks of two
+// attempts never run at the same time, and no task is replaced within an attempt.
 package gang
 
-// Phase is the state of a gang's present attempt.
+// Phase is the phase of a gang's current attempt.
 type Phase int
 
 // The phases of an attempt, in the order in which it passes through them.
 const (
-	// Idle: no task can exist; the gang may be granted.
+	// Idle: no task can exist; the gang may be granted leases for a new attempt.
 	Idle Phase = iota
-	// Granted: the tasks are placed, but not all placements are durable; nothing may be launched.
+	// Granted: tasks are placed, but not all placements are durable; no task may be launched yet.
 	Granted
-	// Launched: the tasks may be launched, fetch their image and wait for one another.
+	// Launched: the tasks may be launched; they fetch their image and wait for one another.
 	Launched
 	// Running: the tasks run.
 	Running
-	// Checkpointing: all tasks are asked to write a checkpoint and stop. Progress is safe once one of them has.
+	// Checkpointing: all tasks are asked to write a checkpoint and stop. The progress is saved once one task has written
+	// it.
 	Checkpointing
-	// Ending: a task is gone, so the attempt has failed, or the job is cancelled; the other tasks are stopped.
-	Ending
-	// Complete: one task is done, so all are, whatever is reported about the others.
+	// Aborting: the attempt has failed because a task was released, or the attempt was aborted; the other tasks are being
+	// stopped.
+	Aborting
+	// Complete: a task has completed its work, so all tasks count as done, whatever is reported about the others.
 	Complete
 )
 
 // String returns the name of the phase for logs and tests.
 func (p Phase) String() string {
-	return [...]string{"idle", "granted", "launched", "running", "checkpointing", "ending", "complete"}[p]
+	return [...]string{"idle", "granted", "launched", "running", "checkpointing", "aborting", "complete"}[p]
 }
 
-// Action is what the owner has to do with the other tasks of the attempt after an event.
+// Action is what the owner of the gang has to do with the tasks of the attempt after an event.
 type Action int
 
 // The actions that an event may require.
 const (
 	// None: nothing has to be done.
 	None Action = iota
-	// Launch the tasks that haven't been launched.
+	// Launch: launch the tasks that haven't been launched.
 	Launch
-	// Stop each task at once; the attempt has failed.
+	// Stop: stop each task at once, because the attempt has failed or was aborted.
 	Stop
 	// Checkpoint: ask each task to write a checkpoint and stop.
 	Checkpoint
@@ -77,25 +84,26 @@
 	Finish
 )
 
-// Gang is the state of a gang's present attempt.
+// Gang is the state of a gang's current attempt.
 type Gang struct {
-	size          int
+	size          int // number of the gang's tasks
 	phase         Phase
-	existing      int  // tasks of the attempt that may exist
-	durable       int  // tasks of the attempt whose placement became durable
+	existing      int  // number of tasks of the attempt that may exist
+	durable       int  // number of tasks of the attempt whose placement is or was durable
 	progressSaved bool // a task has written the gang's checkpoint
 }
 
 // New returns an idle gang of the given number of tasks.
 func New(size int) *Gang { return &Gang{size: size} }
 
-// Phase returns the phase of the present attempt.
+// Phase returns the phase of the current attempt.
 func (g *Gang) Phase() Phase { return g.phase }
 
-// MayLaunch reports whether tasks may be launched: all placements are durable, and the attempt isn't ending.
+// MayLaunch reports whether tasks may be launched: all placements are durable, no task is running yet, and the attempt
+// isn't being stopped.
 func (g *Gang) MayLaunch() bool { return g.phase == Launched }
 
-// TaskPlaced adds a task to the attempt, and begins one if there is none.
+// TaskPlaced adds a placed task to the current attempt, or begins an attempt with it if there is none.
 func (g *Gang) TaskPlaced() {
 	if g.phase == Idle {
 		g.phase = Granted
@@ -113,15 +121,16 @@
 	return None
 }
 
-// TaskRecovered adds a task that an earlier leader has placed, according to its record or its agent.
+// TaskRecovered adds a task that an earlier leader has placed, as is known from the task's record or from its machine's
+// agent.
 func (g *Gang) TaskRecovered() {
 	g.TaskPlaced()
 	g.durable++
 }
 
-// RecoveryDone is called when all records have been read. If only a part of the tasks is recorded, the earlier leader
-// hadn't launched any yet, or the attempt was ending already. If all are, each may run, wait or never have been
-// launched, which the heartbeats of their machines will show.
+// RecoveryDone is called by a new leader when all records have been read. If only some of the tasks are recorded, the
+// earlier leader hadn't launched any of them, or the attempt was being aborted already. If all are recorded, each of
+// them may be running, waiting or not launched at all, which the heartbeats of the machines will show.
 func (g *Gang) RecoveryDone() Action {
 	switch {
 	case g.phase != Granted:
@@ -141,8 +150,8 @@
 	}
 }
 
-// TaskCheckpointing records that a task is reported to write its checkpoint. If this leader hasn't asked for it, an
-// earlier one has, whose request may not have reached the other tasks.
+// TaskCheckpointing records that a task is reported to be writing its checkpoint. If this leader hasn't requested the
+// checkpoint, an earlier one has, and its request may not have reached the other tasks.
 func (g *Gang) TaskCheckpointing() Action {
 	if g.phase != Launched && g.phase != Running {
 		return None
@@ -151,7 +160,8 @@
 	return Checkpoint
 }
 
-// Preempt begins a graceful stop of the gang. A gang that doesn't run yet has no progress to save, so it is aborted.
+// Preempt begins to stop the gang gracefully, with a checkpoint. A gang that doesn't run yet has no progress to save,
+// so its attempt is aborted.
 func (g *Gang) Preempt() Action {
 	switch g.phase {
 	case Running:
@@ -159,21 +169,21 @@
 		return Checkpoint
 	case Granted, Launched:
 		return g.Abort()
-	case Idle, Checkpointing, Ending, Complete:
+	case Idle, Checkpointing, Aborting, Complete:
 	}
 	return None
 }
 
-// Abort ends the attempt at once, without a checkpoint.
+// Abort stops the attempt at once, without a checkpoint.
 func (g *Gang) Abort() Action {
-	if g.phase == Idle || g.phase == Ending || g.phase == Complete {
+	if g.phase == Idle || g.phase == Aborting || g.phase == Complete {
 		return None
 	}
-	g.phase = Ending
+	g.phase = Aborting
 	return Stop
 }
 
-// TaskDone records that a task has completed its work: the whole gang has.
+// TaskDone records that a task has completed its work, which means that the whole gang has.
 func (g *Gang) TaskDone() Action {
 	if g.phase == Complete {
 		return None
@@ -182,8 +192,9 @@
 	return Finish
 }
 
-// TaskGone records that a task is provably gone. The parameter saved says that it has written the gang's checkpoint.
-func (g *Gang) TaskGone(saved bool) Action {
+// TaskReleased records that a task of the attempt provably doesn't run and never will. saved says that the task has
+// written the gang's checkpoint.
+func (g *Gang) TaskReleased(saved bool) Action {
 	g.existing--
 	g.progressSaved = g.progressSaved || saved
 	switch {
@@ -193,7 +204,7 @@
 		*g = Gang{size: g.size}
 		return None
 	case g.phase == Checkpointing && g.progressSaved:
-		return None // the other tasks have written the checkpoint, too, or are about to
+		return None // the other tasks have also written the checkpoint, or are about to
 	default:
 		return g.Abort()
 	}
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -5,74 +5,78 @@
 	"testing"
 )
 
-// TestLifeCycle plays events on a gang of three tasks. Each script is a list of events; after "=" stand the phase
-// and, if the last event requires one, the action.
+// TestLifeCycle applies scripts of events to a gang of three tasks. The steps of a script are separated by ";". A step
+// is a list of events, optionally followed by "=", the expected phase and the expected action of the last event, unless
+// that is None.
 func TestLifeCycle(t *testing.T) {
 	for _, test := range []struct{ name, script string }{
-		{"launched once all placements are durable",
+		{"launched when all placements are durable",
 			"placed placed placed = granted; durable durable = granted; durable = launched launch"},
 		{"one task done completes the gang",
-			"launched; running = running; done = complete finish; done = complete; gone gone gone = complete"},
-		{"a task gone before the start ends the attempt",
-			"launched; gone = ending stop; gone = ending; gone = idle"},
-		{"a task gone while all run ends the attempt, and a new one waits for the last task",
-			"launched; running; gone = ending stop; checkpointing = ending; gone gone = idle; placed = granted"},
-		{"a task gone before all placements are durable ends the attempt",
-			"placed placed placed durable; gone = ending stop; durable = ending; gone gone = idle"},
-		{"preemption is safe once one task has saved",
+			"launched; running = running; done = complete finish; done = complete; " +
+				"released released released = complete"},
+		{"a task released before it runs aborts the attempt",
+			"launched; released = aborting stop; released = aborting; released = idle"},
+		{"a task released while all run aborts the attempt, and the next attempt waits for the last task",
+			"launched; running; released = aborting stop; checkpointing = aborting; released released = idle; " +
+				"placed = granted"},
+		{"a task released before all placements are durable aborts the attempt",
+			"placed placed placed durable; released = aborting stop; durable = aborting; released released = idle"},
+		{"preemption succeeds once one task has saved the checkpoint",
 			"launched; running; preempt = checkpointing checkpoint; preempt = checkpointing; " +
-				"gone-saved = checkpointing; gone = checkpointing; gone = idle"},
-		{"preemption fails if a task is gone before any has saved",
-			"launched; running; preempt = checkpointing checkpoint; gone = ending stop; gone gone = idle"},
-		{"preemption before the start is an abort",
-			"launched; preempt = ending stop"},
+				"released-saved = checkpointing; released = checkpointing; released = idle"},
+		{"preemption fails if a task is released before any has saved the checkpoint",
+			"launched; running; preempt = checkpointing checkpoint; released = aborting stop; released released = idle"},
+		{"preemption before any task runs is an abort",
+			"launched; preempt = aborting stop"},
 		{"preemption of an idle gang does nothing",
 			"preempt = idle"},
 		{"a new leader recovers all tasks",
 			"recovered recovered recovered; recovery-done = launched; running = running"},
-		{"a new leader recovers a part of the tasks",
-			"recovered recovered; recovery-done = ending stop; gone gone = idle"},
-		{"a new leader recovers nothing",
+		{"a new leader recovers some of the tasks",
+			"recovered recovered; recovery-done = aborting stop; released released = idle"},
+		{"a new leader recovers no task",
 			"recovery-done = idle"},
-		{"a new leader recovers a gang that runs and is asked to checkpoint",
+		{"a new leader recovers a running gang that an earlier leader has asked to checkpoint",
 			"recovered recovered recovered; recovery-done; running; checkpointing = checkpointing checkpoint; " +
-				"checkpointing = checkpointing; gone-saved gone gone = idle"},
-		{"a new leader recovers a gang that checkpoints already",
+				"checkpointing = checkpointing; released-saved released released = idle"},
+		{"a new leader recovers a gang of which a task is checkpointing already",
 			"recovered recovered recovered; recovery-done; checkpointing = checkpointing checkpoint"},
-		{"a task done after another is gone still completes the gang",
-			"recovered recovered recovered; recovery-done; gone = ending stop; done = complete finish"},
-		{"cancelled while it runs",
-			"launched; running; abort = ending stop; abort = ending; gone gone gone = idle"},
-		{"cancelled while it checkpoints",
-			"launched; running; preempt; abort = ending stop"},
+		{"a task that is done after another was released completes the gang",
+			"recovered recovered recovered; recovery-done; released = aborting stop; done = complete finish"},
+		{"aborted while it runs",
+			"launched; running; abort = aborting stop; abort = aborting; released released released = idle"},
+		{"aborted while it checkpoints",
+			"launched; running; preempt; abort = aborting stop"},
 	} {
-		t.Run(test.name, func(t *testing.T) { play(t, test.script) })
+		t.Run(test.name, func(t *testing.T) { runScript(t, test.script) })
 	}
 }
 
-// play applies the events of a script and checks what stands after "=".
-func play(t *testing.T, script string) {
+// runScript applies the events of a script and checks the expectations after each "=".
+func runScript(t *testing.T, script string) {
 	t.Helper()
 	gang := New(3)
 	for step := range strings.SplitSeq(script, ";") {
 		events, want, checked := strings.Cut(step, "=")
 		action := None
 		for _, event := range strings.Fields(events) {
-			action = apply(t, gang, event)
+			action = applyEvent(t, gang, event)
 		}
 		actionName := [...]string{"", "launch", "stop", "checkpoint", "finish"}[action]
 		got := strings.TrimSpace(gang.Phase().String() + " " + actionName)
 		if want = strings.TrimSpace(want); checked && got != want {
-			t.Errorf("after %q: %s, want %s", strings.TrimSpace(events), got, want)
+			t.Errorf("after %q: got %q, want %q", strings.TrimSpace(events), got, want)
 		}
 	}
 	if may := gang.MayLaunch(); may != (gang.Phase() == Launched) {
-		t.Errorf("may launch in phase %s: %v", gang.Phase(), may)
+		t.Errorf("in phase %s, MayLaunch returned %v", gang.Phase(), may)
 	}
 }
 
-// apply applies one event; "launched" stands for all events up to that phase.
-func apply(t *testing.T, gang *Gang, event string) Action {
+// applyEvent applies one event and returns its action. The event "launched" stands for the durable placement of all
+// three tasks, after which the gang is in phase Launched.
+func applyEvent(t *testing.T, gang *Gang, event string) Action {
 	t.Helper()
 	switch event {
 	case "placed":
@@ -98,8 +102,8 @@
 		return gang.Abort()
 	case "done":
 		return gang.TaskDone()
-	case "gone", "gone-saved":
-		return gang.TaskGone(event == "gone-saved")
+	case "released", "released-saved":
+		return gang.TaskReleased(event == "released-saved")
 	default:
 		t.Fatalf("unknown event %q", event)
 	}
--- a/internal/manager/drains.go
+++ b/internal/manager/drains.go
@@ -118,7 +118,7 @@
 		phase := peers.Phase()
 		drained.Gang, drained.DisruptedTasks = true, len(attempt.job.active)
 		drained.Stopping = drained.Stopping ||
-			phase == gang.Checkpointing || phase == gang.Ending || phase == gang.Complete
+			phase == gang.Checkpointing || phase == gang.Aborting || phase == gang.Complete
 		drained.Checkpoints = drained.Checkpoints && (phase == gang.Launched || m.savesInTime(now, attempt.job))
 	}
 	return drained
--- a/internal/manager/exits.go
+++ b/internal/manager/exits.go
@@ -100,7 +100,7 @@
 // not complete in time, says nothing about the machine. What failed first does, and the gang is not placed there
 // again until it has succeeded elsewhere.
 func (m *Manager) applyGangExit(now micros.Timestamp, exit taskExit, attempt *taskAttempt) {
-	first := exit.job.gang.Phase() != gang.Ending
+	first := exit.job.gang.Phase() != gang.Aborting
 	switch reason := exit.status.ExitReason; {
 	case reason == wire.ExitStopped:
 		attempt.checkpointSaved = exit.status.CheckpointSaved
--- a/internal/manager/gangs_test.go
+++ b/internal/manager/gangs_test.go
@@ -60,7 +60,7 @@
 	id := h.runGang()
 	h.want(h.gangPhase(), gang.Running)
 	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", id, "ended error"))
-	h.want(h.gangPhase(), gang.Ending)
+	h.want(h.gangPhase(), gang.Aborting)
 	h.want(h.heartbeat("n-2-a", token, 1, taskStatus("run-1/1", id, "running")), command("stop", "run-1/1", id))
 	h.want(h.grantAll(
 		lease.Request{Job: "run-1", Machine: "n-1-a", Count: 1}, lease.Request{Job: "run-1", Machine: "n-2-a", Count: 1}), 0)
@@ -109,7 +109,7 @@
 func TestPartOfRecoveredGangIsStopped(t *testing.T) {
 	open := openItem(record("run-1", 2, twoTaskGang))
 	h := newHarness(t, open, placementItem(1))
-	h.want(h.gangPhase(), gang.Ending)
+	h.want(h.gangPhase(), gang.Aborting)
 	h.heartbeat("n-1-a", token-1, 1, taskStatus("run-1/0", 99, "running"))
 	h.want(h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", 99, "running")), command("stop", "run-1/0", 99))
 }
--- a/internal/manager/gone.go
+++ b/internal/manager/gone.go
@@ -96,7 +96,7 @@
 	}
 	m.publisher.markJob(job)
 	if job.gang != nil {
-		m.applyGangAction(now, job, job.gang.TaskGone(attempt.checkpointSaved), disruption.Gang)
+		m.applyGangAction(now, job, job.gang.TaskReleased(attempt.checkpointSaved), disruption.Gang)
 	}
 }
 
--- a/internal/manager/preemption.go
+++ b/internal/manager/preemption.go
@@ -151,7 +151,7 @@
 		return true
 	case gang.Running:
 		return job.spec().CheckpointIntervalS > 0 && m.savesInTime(now, job)
-	case gang.Idle, gang.Checkpointing, gang.Ending, gang.Complete:
+	case gang.Idle, gang.Checkpointing, gang.Aborting, gang.Complete:
 	}
 	return false
 }
--- a/internal/manager/reconcile.go
+++ b/internal/manager/reconcile.go
@@ -69,7 +69,7 @@
 	if job.gang != nil {
 		// It is not of an attempt of the whole gang that is known, so it ends.
 		m.applyGangAction(now, job, job.gang.RecoveryDone(), disruption.Gang)
-		if job.gang.Phase() == gang.Ending {
+		if job.gang.Phase() == gang.Aborting {
 			m.stopAttempt(now, attempt, 0, disruption.Gang)
 		}
 	}
