--- a/internal/disruption/ledger.go
+++ b/internal/disruption/ledger.go
@@ -1,11 +1,12 @@
-// Package disruption records which tasks are disrupted: a task is, from the moment at which its running attempt is
-// stopped or lost until a successor is reported running, the task is done or its job has ended. Drains, rebalancing,
-// preemption, reclaimed machines and lost machines share one Ledger. A team's disruption budget (Budget) bounds what
-// drains and rebalancing may add to it; the other causes count, but aren't held up by a budget.
+// Package disruption records which tasks are disrupted. A task is disrupted from the moment at which its running
+// attempt is stopped or lost until a successor attempt is reported running, the task is done or its job has ended.
+// Drains, rebalancing, preemption, reclaimed machines and lost machines share one Ledger. A team's disruption budget
+// (Budget) limits the disruptions that drains and rebalancing may add; disruptions by the other causes count against
+// the budget, but are never prevented by it.
 //
 // Package manager owns the ledger of a leader's term and makes its entries durable; packages drain and rebalance
-// compare what it counts with the budgets. The package is a state machine without I/O and without a clock; it never
-// decides whether a task may be disrupted. A Ledger isn't safe for concurrent use.
+// compare the ledger's counts with the budgets. The package is a state machine without I/O and without a clock; it
+// never decides whether a task may be disrupted. A Ledger isn't safe for concurrent use.
 package disruption
 
 import (
@@ -23,23 +24,23 @@
 	Index int
 }
 
-// String returns the task as operators see it: JOB/INDEX.
+// String returns the task in the form that operators see: JOB/INDEX.
 func (t Task) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
 
-// Cause is why a running attempt was stopped or lost. Its values are part of the durable records.
+// Cause is the reason why a running attempt was stopped or lost. Its values are part of the durable records.
 type Cause string
 
 // The causes of disruptions.
 const (
-	Drain      Cause = "drain"      // evicted from a machine that is drained
-	Reclaimed  Cause = "reclaimed"  // its spot machine is reclaimed by the cloud
-	Preemption Cause = "preemption" // preempted by more urgent work
-	Lost       Cause = "lost"       // lost with its machine, or with the agent's incarnation
+	Drain      Cause = "drain"      // evicted from a machine that is being drained
+	Reclaimed  Cause = "reclaimed"  // its spot machine is being reclaimed by the cloud
+	Preemption Cause = "preemption" // preempted by a task of higher priority
+	Lost       Cause = "lost"       // lost with its machine, or with the incarnation of the machine's agent
 	Gang       Cause = "gang"       // another task of its gang was disrupted
-	Rebalance  Cause = "rebalance"  // moved to a machine with less load
+	Rebalance  Cause = "rebalance"  // moved to a machine with a lower load
 )
 
-// Disruption is a task whose running attempt was stopped or lost and whose successor doesn't run yet.
+// Disruption describes a task whose running attempt was stopped or lost and whose successor isn't running yet.
 type Disruption struct {
 	Task    Task
 	Team    wire.TeamName
@@ -60,18 +61,18 @@
 	return &Ledger{open: map[Task]Disruption{}, byTeam: map[wire.TeamName]int{}, byJob: map[wire.JobID]map[int]bool{}}
 }
 
-// Begin opens a disruption and reports whether it did. It does nothing if the task is disrupted already: whatever
-// happens to a task before it runs again is part of the same disruption.
-func (l *Ledger) Begin(disrupted Disruption) bool {
+// Begin opens a disruption and reports whether it did. It does nothing if the task is already disrupted: further
+// stops and losses of the task before it runs again are part of the same disruption.
+func (l *Ledger) Begin(disruption Disruption) bool {
 	if l == nil {
 		return false
 	}
-	task := disrupted.Task
+	task := disruption.Task
 	if _, open := l.open[task]; open {
 		return false
 	}
-	l.open[task] = disrupted
-	l.byTeam[disrupted.Team]++
+	l.open[task] = disruption
+	l.byTeam[disruption.Team]++
 	if l.byJob[task.Job] == nil {
 		l.byJob[task.Job] = map[int]bool{}
 	}
@@ -102,12 +103,12 @@
 }
 
 // Get returns the disruption of a task; ok is false if it isn't disrupted.
-func (l *Ledger) Get(task Task) (disrupted Disruption, ok bool) {
+func (l *Ledger) Get(task Task) (disruption Disruption, ok bool) {
 	if l == nil {
 		return Disruption{}, false
 	}
-	disrupted, ok = l.open[task]
-	return disrupted, ok
+	disruption, ok = l.open[task]
+	return disruption, ok
 }
 
 // TasksOfJob returns the indices of a job's disrupted tasks in ascending order.
@@ -131,14 +132,14 @@
 	return l.byTeam[team]
 }
 
-// All returns the open disruptions, the oldest first.
+// All returns the open disruptions, oldest first.
 func (l *Ledger) All() []Disruption {
 	if l == nil {
 		return nil
 	}
 	all := make([]Disruption, 0, len(l.open))
-	for _, disrupted := range l.open {
-		all = append(all, disrupted)
+	for _, disruption := range l.open {
+		all = append(all, disruption)
 	}
 	slices.SortFunc(all, func(a, b Disruption) int {
 		return cmp.Or(
