--- a/internal/drain/budgets.go
+++ b/internal/drain/budgets.go
@@ -8,12 +8,12 @@
 
 // TeamUsage counts a team's tasks.
 type TeamUsage struct {
-	Running   int // tasks that run or would run if they weren't disrupted
-	Disrupted int // tasks that are disrupted, or may be
+	Running   int // tasks that run, or would run if they weren't disrupted
+	Disrupted int // tasks that are disrupted, or may be because their state isn't known
 }
 
-// RemainingBudgets returns by team how many more tasks may be disrupted now. The given usage replaces that of the
-// last round.
+// RemainingBudgets returns how many more tasks of each team may be disrupted now. The given usage replaces the usage of
+// the last round.
 func (p *Planner) RemainingBudgets(usage map[wire.TeamName]TeamUsage) map[wire.TeamName]int {
 	p.teamUsage = maps.Clone(usage)
 	return p.remainingBudgets()
@@ -27,8 +27,8 @@
 	return remaining
 }
 
-// allowedDisruptions returns how many of a team's tasks may be disrupted at once: the smallest of the configured
-// budget and those of all active drains.
+// allowedDisruptions returns how many of a team's tasks may be disrupted at once: the minimum of the configured budget
+// and the budgets of all active drains.
 func (p *Planner) allowedDisruptions(team wire.TeamName) int {
 	budget, configured := p.cfg.TeamBudgets[team]
 	if !configured {
@@ -37,8 +37,8 @@
 	running := p.teamUsage[team].Running
 	allowed := budget.Allowed(running)
 	for _, d := range p.drains {
-		if own, ok := d.budgets[team]; ok && d.state().Active() {
-			allowed = min(allowed, own.Allowed(running))
+		if drainBudget, ok := d.budgets[team]; ok && d.state().Active() {
+			allowed = min(allowed, drainBudget.Allowed(running))
 		}
 	}
 	return allowed
--- a/internal/drain/helpers_test.go
+++ b/internal/drain/helpers_test.go
@@ -23,14 +23,14 @@
 	return budget
 }
 
-// newPlanner returns a planner for two teams with the same budget and a step of two machines.
+// newPlanner returns a planner for two teams with the same budget, whose drains empty two machines at a time.
 func newPlanner(tb testing.TB, budget string) *Planner {
 	tb.Helper()
 	return New(Config{Teams: []wire.TeamName{"red", "blue"}, DefaultBudget: parseBudget(tb, budget), StepSize: 2})
 }
 
-// begin prepares a drain and applies it as if its record had become durable.
-func begin(tb testing.TB, planner *Planner, request Request, known []KnownMachine) {
+// startDrain prepares a drain and applies its record as if the record had become durable.
+func startDrain(tb testing.TB, planner *Planner, request Request, known []KnownMachine) {
 	tb.Helper()
 	prepared, err := planner.Prepare(request, 0, known)
 	if err != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// newAttempt returns an attempt that can be evicted.
+// newAttempt returns an attempt that may be evicted within the budgets.
 func newAttempt(job wire.JobID, index int, team wire.TeamName) Attempt {
 	return Attempt{
 		Task:           disruption.Task{Job: job, Index: index},
@@ -52,10 +52,10 @@
 	}
 }
 
-// evictWith returns an Evictor that always has the same outcome.
-func evictWith(outcome EvictionOutcome) Evictor {
+// evictorReturning returns an Evictor that always returns the given outcome.
+func evictorReturning(outcome EvictionOutcome) Evictor {
 	return func(disruption.Task) EvictionOutcome { return outcome }
 }
 
-// noTimeout is the time budget of a round that is never spent.
+// noTimeout never reports that a round's time budget is spent.
 func noTimeout() bool { return false }
--- a/internal/drain/planner.go
+++ b/internal/drain/planner.go
@@ -1,12 +1,13 @@
-// Package drain plans the graceful eviction of machines in steps. A drain cordons a set of machines, so that they
-// take nothing new, has the tasks on a few of them evicted at a time, within the teams' disruption budgets, and has
-// each machine deleted once it is empty.
+// Package drain plans the graceful draining of machines in steps. A drain cordons a set of machines, so that they
+// accept no new tasks. It has the tasks on a few of the machines evicted at a time, within the teams' disruption
+// budgets, and has each machine deleted once it is empty.
 //
 // The Planner is owned by the goroutine of the leader's term. Package leader/drains calls it, makes its records
-// durable and has the empty machines deleted; package manager provides the Snapshot of cordoned machines and carries
-// out the evictions; package operator serves the operators' requests. The Planner is a state machine without I/O and
-// without a clock. It applies a change of a drain only after its record is durable, and it never evicts more than the
-// budgets allow, nor a task for whose successor the Evictor has found no room. It isn't safe for concurrent use.
+// durable and has the empty machines deleted; package manager provides the Snapshot of cordoned machines and executes
+// the evictions; package operator serves the operators' requests. The Planner is a state machine without I/O and
+// without a clock. A change of a drain is applied only after its record is durable. The Planner never evicts more tasks
+// than the budgets allow, nor a task for whose successor the Evictor has found no capacity. It isn't safe for
+// concurrent use.
 package drain
 
 import (
@@ -25,44 +26,45 @@
 
 // The states of a drain.
 const (
-	Running   State = "running"   // its tasks are evicted
-	Paused    State = "paused"    // its machines stay cordoned, but nothing more is evicted
-	Done      State = "done"      // all its machines are gone
-	Cancelled State = "cancelled" // its remaining machines take work again
+	Running   State = "running"   // the tasks on its machines are being evicted
+	Paused    State = "paused"    // its machines stay cordoned, but no further tasks are evicted
+	Done      State = "done"      // none of its machines exists any more
+	Cancelled State = "cancelled" // its remaining machines accept tasks again
 )
 
-// Active reports whether a drain in this state hasn't ended: its machines are cordoned.
+// Active reports whether a drain in this state hasn't ended, so that its machines are cordoned.
 func (s State) Active() bool { return s == Running || s == Paused }
 
-// maxActiveDrains bounds the drains that haven't ended, maxRetainedDrains the ended ones that are still listed.
+// maxActiveDrains is the maximum number of drains that haven't ended. maxRetainedDrains is the maximum number of ended
+// drains whose records are kept.
 const maxActiveDrains, maxRetainedDrains = 32, 32
 
 // Config holds the settings of the planner.
 type Config struct {
 	Teams         []wire.TeamName                     // all teams of the deployment
-	DefaultBudget disruption.Budget                   // of a team without an entry in TeamBudgets
+	DefaultBudget disruption.Budget                   // budget of each team without an entry in TeamBudgets
 	TeamBudgets   map[wire.TeamName]disruption.Budget // by team
-	StepSize      int                                 // machines emptied at the same time, unless a request says otherwise
+	StepSize      int                                 // machines emptied at the same time unless a request sets the number
 }
 
-// Planner holds the drains of a leader's term and decides on evictions.
+// Planner holds the drains of a leader's term and plans evictions.
 type Planner struct {
 	cfg       Config
-	drains    map[string]*trackedDrain    // by name, the ended ones that are still listed included
-	teamUsage map[wire.TeamName]TeamUsage // as of the last round, with the evictions since
-	cordons   map[wire.MachineID]bool
-	shortage  string // why there is no room for replacements, as operators see it
+	drains    map[string]*trackedDrain    // by name, including the ended ones whose records are kept
+	teamUsage map[wire.TeamName]TeamUsage // as of the last round, including the evictions since then
+	cordons   map[wire.MachineID]bool     // cordoned machines
+	shortage  string                      // why there is no capacity for successors, as shown to operators
 }
 
 // trackedDrain is a drain's record and its progress in this term.
 type trackedDrain struct {
 	record   state.DrainRecord
-	version  uint64 // of the record, for its next compare-and-swap
+	version  uint64 // of the record, for the next compare-and-swap of it
 	machines []wire.MachineID
 	budgets  map[wire.TeamName]disruption.Budget // by team
-	emptying map[wire.MachineID]bool             // machines of the present step
+	emptying map[wire.MachineID]bool             // machines of the current step
 	gone     map[wire.MachineID]bool             // machines that no longer exist
-	// The remaining fields are those of the last round, for the status.
+	// The remaining fields are the results of the last round, for the status.
 	blocked   []BlockedEviction
 	tasksLeft int
 	overdue   bool
@@ -70,7 +72,7 @@
 
 func (d *trackedDrain) state() State { return State(d.record.State) }
 
-// compareByStart orders drains by the time of their start, the oldest first.
+// compareByStart orders drains by the time of their start, oldest first.
 func compareByStart(a, b *trackedDrain) int {
 	return cmp.Or(cmp.Compare(a.record.StartedAt, b.record.StartedAt), cmp.Compare(a.record.Name, b.record.Name))
 }
@@ -85,8 +87,9 @@
 	}
 }
 
-// Apply applies a drain's durable record of the given version. The machines are nil if they haven't changed since the
-// last record. An error says that a budget in the record can't be parsed; it wraps disruption.ErrInvalidBudget.
+// Apply applies a drain's durable record of the given version. machines is nil if the drain's machines haven't changed
+// since its previous record. Apply fails only if a budget in the record can't be parsed; the error wraps
+// disruption.ErrInvalidBudget.
 func (p *Planner) Apply(record state.DrainRecord, machines []wire.MachineID, version uint64) error {
 	budgets := map[wire.TeamName]disruption.Budget{}
 	for team, text := range record.Budgets {
@@ -109,15 +112,15 @@
 		clear(d.emptying)
 		d.blocked = nil
 	}
-	p.renewCordons()
+	p.rebuildCordons()
 	return nil
 }
 
-// RemoveRecord removes a drain whose record is deleted.
-func (p *Planner) RemoveRecord(name string) { delete(p.drains, name) }
+// RemoveDrain removes a drain whose record has been deleted.
+func (p *Planner) RemoveDrain(name string) { delete(p.drains, name) }
 
-// renewCordons makes a new map, since callers hold the previous one.
-func (p *Planner) renewCordons() {
+// rebuildCordons computes the set of cordoned machines in a new map, since callers keep references to the previous one.
+func (p *Planner) rebuildCordons() {
 	p.cordons = map[wire.MachineID]bool{}
 	for _, d := range p.activeDrains() {
 		for _, id := range d.machines {
@@ -126,7 +129,7 @@
 	}
 }
 
-// activeDrains returns the drains that haven't ended, the oldest first.
+// activeDrains returns the drains that haven't ended, oldest first.
 func (p *Planner) activeDrains() []*trackedDrain {
 	var active []*trackedDrain
 	for _, d := range p.drains {
@@ -138,22 +141,22 @@
 	return active
 }
 
-// Cordons returns the machines that take nothing new. The map is never changed after it was returned.
+// Cordons returns the cordoned machines, which accept no new tasks. A returned map is never modified.
 func (p *Planner) Cordons() map[wire.MachineID]bool { return p.cordons }
 
-// Active reports whether a drain that hasn't ended cordons machines.
-func (p *Planner) Active() bool { return len(p.cordons) > 0 }
+// HasCordons reports whether any machines are cordoned by drains that haven't ended.
+func (p *Planner) HasCordons() bool { return len(p.cordons) > 0 }
 
-// VacatedPool is a zone, a machine type, or a machine type in a zone that a drain vacates as a whole. An empty field
-// matches all zones or types.
+// VacatedPool describes a pool of machines that a drain empties completely: all machines of a zone, of a machine type,
+// or of a machine type in a zone. An empty field matches all zones or all types.
 type VacatedPool struct{ Zone, Type string }
 
-// Includes reports whether machines of a type in a zone are vacated.
+// Includes reports whether machines of a type in a zone belong to the pool.
 func (v VacatedPool) Includes(machineType, zone string) bool {
 	return (v.Zone == "" || v.Zone == zone) && (v.Type == "" || v.Type == machineType)
 }
 
-// VacatedPools returns the pools that active drains vacate as a whole, in which no machines should be added.
+// VacatedPools returns the pools that active drains empty completely. No machines should be added to them.
 func (p *Planner) VacatedPools() []VacatedPool {
 	var pools []VacatedPool
 	for _, d := range p.activeDrains() {
@@ -164,10 +167,12 @@
 	return pools
 }
 
-// SetShortage sets why there is no room yet for tasks that are to be evicted, for the status; empty: not known.
+// SetShortage sets the reason, for the status, why there is no capacity for the successors of tasks that are to be
+// evicted; empty if no reason is known.
 func (p *Planner) SetShortage(reason string) { p.shortage = reason }
 
-// FinishedDrains returns, by name, the running drains whose machines are all gone: their records have to say Done.
+// FinishedDrains returns the names of the running drains of which no machine exists any more: the state in their
+// records has to become Done.
 func (p *Planner) FinishedDrains() []string {
 	var finished []string
 	for _, name := range p.Names() {
@@ -179,8 +184,8 @@
 	return finished
 }
 
-// PrunableDrains returns the names of the ended drains whose records can be deleted: the oldest ones, beyond the
-// number that is still listed.
+// PrunableDrains returns the names of the ended drains whose records can be deleted: the oldest ones, in excess of
+// maxRetainedDrains.
 func (p *Planner) PrunableDrains() []string {
 	var ended []*trackedDrain
 	for _, d := range p.drains {
@@ -196,5 +201,5 @@
 	return prunable
 }
 
-// Names returns the names of all drains, the ended ones that are still listed included, in alphabetical order.
+// Names returns the names of all drains in alphabetical order, including the ended ones whose records are kept.
 func (p *Planner) Names() []string { return slices.Sorted(maps.Keys(p.drains)) }
--- a/internal/drain/planner_test.go
+++ b/internal/drain/planner_test.go
@@ -11,34 +11,35 @@
 	"saffronbend/wire"
 )
 
-// Cordons last while a drain runs or is paused, and as long as any of two drains of a machine does.
+// A machine is cordoned while a drain that includes it is running or paused; if two drains include it, until both have
+// ended.
 func TestCordons(t *testing.T) {
 	planner := newPlanner(t, "1")
-	begin(t, planner, Request{Name: "x", Zone: "a"}, knownMachines)
-	begin(t, planner, Request{Name: "y", Type: "small"}, knownMachines)
+	startDrain(t, planner, Request{Name: "x", Zone: "a"}, knownMachines)
+	startDrain(t, planner, Request{Name: "y", Type: "small"}, knownMachines)
 	changeState(t, planner, "x", Paused, true, nil)
 	changeState(t, planner, "x", Paused, false, nil)
 	if len(planner.Cordons()) != 3 {
-		t.Errorf("cordons %v", planner.Cordons())
+		t.Errorf("cordoned machines: %v, want all 3", planner.Cordons())
 	}
 	changeState(t, planner, "x", Cancelled, true, nil)
 	changeState(t, planner, "x", Running, false, ErrDrainEnded)
 	if cordons := planner.Cordons(); len(cordons) != 2 || !cordons["n-1"] || !cordons["n-3"] {
-		t.Errorf("cordons %v", cordons)
+		t.Errorf("cordoned machines: %v, want n-1 and n-3", cordons)
 	}
 	changeState(t, planner, "y", Cancelled, true, nil)
-	if planner.Active() {
-		t.Errorf("cordons %v", planner.Cordons())
+	if planner.HasCordons() {
+		t.Errorf("cordoned machines: %v, want none", planner.Cordons())
 	}
 }
 
-// changeState changes a drain's state and applies the record, if there is a change.
+// changeState changes a drain's state, applies the record if it has changed, and checks the outcome.
 func changeState(t *testing.T, planner *Planner, name string, to State, wantChange bool, wantErr error) {
 	t.Helper()
 	change, err := planner.ChangeState(name, to)
 	changed := err == nil && !change.Unchanged
 	if changed != wantChange || !errors.Is(err, wantErr) {
-		t.Fatalf("%s %s: changed %v, error %v", name, to, changed, err)
+		t.Fatalf("change drain %s to %s: changed %v, want %v; error %v, want %v", name, to, changed, wantChange, err, wantErr)
 	}
 	if !changed {
 		return
@@ -48,22 +49,22 @@
 	}
 }
 
-// A zone or a type is vacated as a whole; named or old machines aren't.
-func TestVacated(t *testing.T) {
+// Only a drain that selects by zone or type alone vacates a pool; one that also selects by name or age doesn't.
+func TestVacatedPools(t *testing.T) {
 	planner := newPlanner(t, "1")
-	begin(t, planner, Request{Name: "zone", Zone: "a"}, knownMachines)
-	begin(t, planner, Request{Name: "old", Zone: "b", OlderThan: micros.Second}, knownMachines)
-	begin(t, planner, Request{Name: "named", Type: "small", Machines: []wire.MachineID{"n-3"}}, knownMachines)
+	startDrain(t, planner, Request{Name: "zone", Zone: "a"}, knownMachines)
+	startDrain(t, planner, Request{Name: "old", Zone: "b", OlderThan: micros.Second}, knownMachines)
+	startDrain(t, planner, Request{Name: "named", Type: "small", Machines: []wire.MachineID{"n-3"}}, knownMachines)
 	pools := planner.VacatedPools()
 	if !slices.Equal(pools, []VacatedPool{{Zone: "a"}}) {
-		t.Fatalf("vacated: %v", pools)
+		t.Fatalf("vacated pools: %v, want zone a only", pools)
 	}
 	if !pools[0].Includes("small", "a") || pools[0].Includes("small", "b") {
-		t.Errorf("%v doesn't include just zone a", pools[0])
+		t.Errorf("%v doesn't include zone a only", pools[0])
 	}
 }
 
-// The records of ended drains are bounded: the oldest are deleted.
+// The number of kept records of ended drains is limited: the oldest ones are deleted.
 func TestPrunableDrains(t *testing.T) {
 	planner := newPlanner(t, "1")
 	for i := range maxRetainedDrains + 2 {
@@ -73,6 +74,6 @@
 		}
 	}
 	if got := planner.PrunableDrains(); !slices.Equal(got, []string{"0", "1"}) {
-		t.Errorf("prunable: %v", got)
+		t.Errorf("prunable drains: %v, want 0 and 1", got)
 	}
 }
--- a/internal/drain/property_test.go
+++ b/internal/drain/property_test.go
@@ -14,23 +14,23 @@
 
 var modelTeams = []wire.TeamName{"red", "blue"}
 
-// fleetModel is a model of machines whose tasks are evicted, lost and started again elsewhere.
+// fleetModel simulates machines whose tasks are evicted or lost, and started again on other machines.
 type fleetModel struct {
-	machines  map[wire.MachineID]map[disruption.Task]wire.TeamName // team by task, by machine
-	disrupted map[disruption.Task]wire.TeamName                    // team by task
-	running   map[wire.TeamName]int                                // tasks by team
+	machines  map[wire.MachineID]map[disruption.Task]wire.TeamName // team of each task, by machine
+	disrupted map[disruption.Task]wire.TeamName                    // team of each disrupted task
+	running   map[wire.TeamName]int                                // number of running tasks, by team
 }
 
-// For any fleet, budgets and losses: no eviction exceeds a budget, no machine is deleted before it is empty, and
-// every drain whose budgets allow a task of each team finishes.
-func TestNoBudgetIsBroken(t *testing.T) {
+// For any fleet, budgets and losses: no eviction exceeds a budget, no machine is deleted before it is empty, and a
+// drain finishes if the budget of each team with tasks allows at least one disruption.
+func TestDrainRespectsBudgetsAndFinishes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := map[wire.TeamName]int{
 			"red":  rapid.IntRange(0, 4).Draw(t, "red"),
 			"blue": rapid.IntRange(1, 4).Draw(t, "blue"),
 		}
 		stepSize := rapid.IntRange(1, 5).Draw(t, "step")
-		planner := New(Config{Teams: modelTeams, TeamBudgets: budgetsOf(t, limits), StepSize: stepSize})
+		planner := New(Config{Teams: modelTeams, TeamBudgets: parseBudgets(t, limits), StepSize: stepSize})
 		model, known := drawFleet(t)
 		hasRed := model.running["red"] > 0
 		prepared, err := planner.Prepare(Request{Name: "x", Zone: "a"}, 0, known)
@@ -43,17 +43,17 @@
 		now := micros.Timestamp(0)
 		for range 400 {
 			now = now.Add(micros.Second)
-			model.round(t, planner, now, limits)
+			model.runRound(t, planner, now, limits)
 		}
 		mustFinish := limits["red"] > 0 || !hasRed
 		finished := len(model.machines) == 0 && slices.Equal(planner.FinishedDrains(), []string{"x"})
 		if mustFinish && !finished {
-			t.Fatalf("not finished: %v", model.machines)
+			t.Fatalf("the drain has not finished after 400 rounds; remaining machines: %v", model.machines)
 		}
 	})
 }
 
-func budgetsOf(t *rapid.T, limits map[wire.TeamName]int) map[wire.TeamName]disruption.Budget {
+func parseBudgets(t *rapid.T, limits map[wire.TeamName]int) map[wire.TeamName]disruption.Budget {
 	budgets := map[wire.TeamName]disruption.Budget{}
 	for team, limit := range limits {
 		budget, err := disruption.ParseBudget(fmt.Sprint(limit))
@@ -65,7 +65,7 @@
 	return budgets
 }
 
-// drawFleet draws machines with tasks of both teams.
+// drawFleet draws machines with tasks of the teams.
 func drawFleet(t *rapid.T) (*fleetModel, []KnownMachine) {
 	model := &fleetModel{
 		machines:  map[wire.MachineID]map[disruption.Task]wire.TeamName{},
@@ -91,7 +91,7 @@
 		Now: now, Machines: map[wire.MachineID]Machine{}, Teams: map[wire.TeamName]TeamUsage{}, MachinesListed: true,
 	}
 	for _, team := range modelTeams {
-		disrupted := f.disruptedOf(team)
+		disrupted := f.countDisrupted(team)
 		snapshot.Teams[team] = TeamUsage{Running: f.running[team] + disrupted, Disrupted: disrupted}
 	}
 	for id, tasks := range f.machines {
@@ -107,7 +107,7 @@
 	return snapshot
 }
 
-func (f *fleetModel) disruptedOf(team wire.TeamName) int {
+func (f *fleetModel) countDisrupted(team wire.TeamName) int {
 	count := 0
 	for _, other := range f.disrupted {
 		if other == team {
@@ -117,7 +117,7 @@
 	return count
 }
 
-// disrupt takes a task off its machine; its successor runs later.
+// disrupt removes a task from its machine. Its successor is started in a later round.
 func (f *fleetModel) disrupt(machine wire.MachineID, task disruption.Task) {
 	team := f.machines[machine][task]
 	delete(f.machines[machine], task)
@@ -125,8 +125,8 @@
 	f.disrupted[task] = team
 }
 
-// round starts successors, loses the tasks of a machine, and lets the planner decide.
-func (f *fleetModel) round(t *rapid.T, planner *Planner, now micros.Timestamp, limits map[wire.TeamName]int) {
+// runRound starts some successors, sometimes loses the tasks of a machine, and executes a round of the planner.
+func (f *fleetModel) runRound(t *rapid.T, planner *Planner, now micros.Timestamp, limits map[wire.TeamName]int) {
 	for task, team := range f.disrupted {
 		if rapid.IntRange(0, 2).Draw(t, "starts") == 0 {
 			delete(f.disrupted, task)
@@ -140,7 +140,7 @@
 	actions := planner.Plan(f.snapshot(now), evict, noTimeout)
 	for _, id := range actions.ScaleIn {
 		if len(f.machines[id]) > 0 {
-			t.Fatalf("%s is deleted with %v", id, f.machines[id])
+			t.Fatalf("machine %s is deleted with tasks %v", id, f.machines[id])
 		}
 		delete(f.machines, id)
 	}
@@ -155,19 +155,19 @@
 	}
 }
 
-// evict carries out an eviction, which must be within the budget, and of a task that runs.
+// evict executes an eviction and checks that the task is running and that the budget isn't exceeded.
 func (f *fleetModel) evict(t *rapid.T, task disruption.Task, limits map[wire.TeamName]int) EvictionOutcome {
 	for id, tasks := range f.machines {
-		team, on := tasks[task]
-		if !on {
+		team, found := tasks[task]
+		if !found {
 			continue
 		}
 		f.disrupt(id, task)
-		if disrupted := f.disruptedOf(team); disrupted > limits[team] {
-			t.Fatalf("%d tasks of %s are disrupted", disrupted, team)
+		if disrupted := f.countDisrupted(team); disrupted > limits[team] {
+			t.Fatalf("%d tasks of team %s are disrupted, more than the budget of %d", disrupted, team, limits[team])
 		}
 		return Evicted
 	}
-	t.Fatalf("%v is evicted twice", task)
+	t.Fatalf("task %v is evicted although it isn't running", task)
 	return AttemptEnded
 }
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -16,13 +16,13 @@
 	"saffronbend/wire"
 )
 
-// Errors of requests, which operators see. They may be wrapped with details.
+// Errors of requests, which are shown to operators. They may be wrapped with details.
 var (
-	// ErrUnknownDrain is returned for a name that no drain has.
+	// ErrUnknownDrain is returned if no drain has the given name.
 	ErrUnknownDrain = errors.New("no such drain")
-	// ErrNameInUse is returned if a drain of the name exists that was requested with other arguments.
+	// ErrNameInUse is returned if a drain of the same name exists that was requested with different arguments.
 	ErrNameInUse = errors.New("the name is in use for another drain")
-	// ErrDrainEnded is returned for a change of a drain that is done or cancelled.
+	// ErrDrainEnded is returned for a state change of a drain that is done or cancelled.
 	ErrDrainEnded = errors.New("the drain is over")
 	// ErrNoMatch is returned if no machine matches a request.
 	ErrNoMatch = errors.New("no machine matches")
@@ -33,34 +33,34 @@
 	// ErrInvalidName is returned for a malformed name.
 	ErrInvalidName = errors.New("a drain's name has 1 to 64 letters, digits, dots and hyphens, " +
 		"and begins with a letter or digit")
-	// ErrNoSelection is returned for a request that doesn't say which machines to drain.
+	// ErrNoSelection is returned for a request without any selector of machines.
 	ErrNoSelection = errors.New("a drain needs machines, a zone, a type or an age")
-	// ErrTooManyDrains is returned while as many drains are active as there may be.
+	// ErrTooManyDrains is returned while maxActiveDrains drains are active.
 	ErrTooManyDrains = errors.New("there are too many drains")
 	// ErrNegativeDuration is returned for a negative deadline or age.
 	ErrNegativeDuration = errors.New("a deadline and an age are at least 0 s")
 )
 
-// MaxStep bounds the machines of a drain that are emptied at the same time.
+// MaxStep is the maximum number of machines of a drain that are emptied at the same time.
 const MaxStep = 1000
 
 var nameFormat = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9.-]{0,63}$`)
 
-// Request is an operator's request to start a drain. Its machines are those that match all of the selectors Machines,
-// Zone, Type and OlderThan that aren't zero.
+// Request is an operator's request to start a drain. It selects the machines that match all of the selectors Machines,
+// Zone, Type and OlderThan. At least one of them must be set; one that isn't set matches every machine.
 type Request struct {
 	Name            string
 	Machines        []wire.MachineID
 	Zone, Type      string
 	OlderThan       micros.Duration
-	Step            int                      // machines emptied at the same time, at most MaxStep; 0: the configured size
-	Deadline        micros.Duration          // from the start of the drain; 0: none
-	EvictAtDeadline bool                     // after the deadline, evict tasks that can't save their progress, too
+	Step            int                      // machines emptied at a time, at most MaxStep; 0 for the configured number
+	Deadline        micros.Duration          // from the start of the drain; 0 for none
+	EvictAtDeadline bool                     // after the deadline, evict tasks that can't write a checkpoint, too
 	Budgets         map[wire.TeamName]string // disruption budgets by team, as disruption.ParseBudget parses them
 }
 
-// fingerprint identifies what a request asks for, so that a repeated one is recognized as idempotent. It is part of
-// the durable record.
+// fingerprint returns a hash of the arguments of a request, by which a repetition of the request is recognized. The
+// fingerprint is part of the durable record.
 func (r *Request) fingerprint() string {
 	machines := slices.Sorted(slices.Values(r.Machines))
 	budgets := ""
@@ -74,16 +74,16 @@
 	return hex.EncodeToString(sum[:length])
 }
 
-// PreparedDrain is a valid request with the machines that it selects, to be made durable.
+// PreparedDrain is the record and the selected machines of a valid request, to be made durable.
 type PreparedDrain struct {
 	Record   state.DrainRecord
 	Machines []wire.MachineID // in alphabetical order
-	// Exists says that the drain exists already: the request is a repetition, and nothing has to be written.
+	// Exists says that the drain already exists: the request is a repetition, and nothing has to be written.
 	Exists bool
 }
 
-// Prepare validates a request and selects its machines among the known ones. The wall clock is the time of day in
-// microseconds. The error is one of this package or wraps disruption.ErrInvalidBudget.
+// Prepare validates a request and selects its machines among the known ones. wallClock is the time of day in
+// microseconds since 1970. The error is or wraps one of this package, or it wraps disruption.ErrInvalidBudget.
 func (p *Planner) Prepare(request Request, wallClock int64, known []KnownMachine) (PreparedDrain, error) {
 	if !nameFormat.MatchString(request.Name) {
 		return PreparedDrain{}, ErrInvalidName
@@ -120,7 +120,7 @@
 	return PreparedDrain{Record: record, Machines: machines}, nil
 }
 
-// validate checks durations and budgets, and whether another drain may begin.
+// validate checks the durations and budgets of a request, and whether another drain may be started.
 func (p *Planner) validate(request *Request) error {
 	if request.Deadline < 0 || request.OlderThan < 0 {
 		return ErrNegativeDuration
@@ -139,15 +139,15 @@
 	return nil
 }
 
-// StateChange is a drain's record in another state, to be made durable.
+// StateChange is a drain's record with a new state, to be made durable.
 type StateChange struct {
 	Record  state.DrainRecord
-	Version uint64 // of the present record: the write is a compare-and-swap on it
-	// Unchanged says that the drain is in that state already: nothing has to be written.
+	Version uint64 // of the current record, for the compare-and-swap that writes the new one
+	// Unchanged says that the drain is already in the new state: nothing has to be written.
 	Unchanged bool
 }
 
-// ChangeState returns the record of a drain in another state. The error is ErrUnknownDrain, or wraps ErrDrainEnded.
+// ChangeState returns the record of a drain with a new state. The error is ErrUnknownDrain, or wraps ErrDrainEnded.
 func (p *Planner) ChangeState(name string, to State) (StateChange, error) {
 	d := p.drains[name]
 	if d == nil {
--- a/internal/drain/request_test.go
+++ b/internal/drain/request_test.go
@@ -24,10 +24,10 @@
 		{name: "by age", request: Request{Name: "x", OlderThan: 2 * micros.Second}, want: []wire.MachineID{"n-1", "n-3"}},
 		{name: "by name", request: Request{Name: "x", Machines: []wire.MachineID{"n-2", "n-1"}},
 			want: []wire.MachineID{"n-1", "n-2"}},
-		{name: "a named machine is unknown",
+		{name: "an unknown machine",
 			request: Request{Name: "x", Machines: []wire.MachineID{"n-2", "n-9"}}, err: ErrUnknownMachine},
 		{name: "no machine matches", request: Request{Name: "x", Zone: "c"}, err: ErrNoMatch},
-		{name: "nothing is selected", request: Request{Name: "x"}, err: ErrNoSelection},
+		{name: "no selector", request: Request{Name: "x"}, err: ErrNoSelection},
 		{name: "no name", request: Request{Name: "", Zone: "a"}, err: ErrInvalidName},
 		{name: "a malformed name", request: Request{Name: "a/b", Zone: "a"}, err: ErrInvalidName},
 		{name: "a negative deadline", request: Request{Name: "x", Zone: "a", Deadline: -1}, err: ErrNegativeDuration},
@@ -52,17 +52,17 @@
 
 func TestPrepareIsIdempotent(t *testing.T) {
 	planner := newPlanner(t, "1")
-	begin(t, planner, Request{Name: "x", Zone: "a"}, knownMachines)
+	startDrain(t, planner, Request{Name: "x", Zone: "a"}, knownMachines)
 	prepared, err := planner.Prepare(Request{Name: "x", Zone: "a"}, 5, knownMachines[:1])
 	if err != nil || !prepared.Exists {
-		t.Errorf("repeated request: %+v, %v", prepared, err)
+		t.Errorf("repeated request: %+v, error %v, want an existing drain", prepared, err)
 	}
 	if _, err := planner.Prepare(Request{Name: "x", Zone: "b"}, 0, knownMachines); !errors.Is(err, ErrNameInUse) {
-		t.Errorf("another request of the same name: error %v, want ErrNameInUse", err)
+		t.Errorf("different request with the same name: error %v, want ErrNameInUse", err)
 	}
 }
 
-// The fingerprint is in the durable records: another version of the program must compute the same.
+// Fingerprints are stored in the durable records, so every version of the program must compute the same ones.
 func TestFingerprintIsStable(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -83,7 +83,7 @@
 		}, want: "34ebffab8eb80a552e2bb86d"},
 	} {
 		if got := test.request.fingerprint(); got != test.want {
-			t.Errorf("%s: %s, want %s", test.name, got, test.want)
+			t.Errorf("%s: fingerprint %s, want %s", test.name, got, test.want)
 		}
 	}
 }
@@ -102,11 +102,11 @@
 		{name: "pause twice", from: Paused, to: Paused, unchanged: true},
 		{name: "cancel twice", from: Cancelled, to: Cancelled, unchanged: true},
 		{name: "resume after cancel", from: Cancelled, to: Running, err: ErrDrainEnded},
-		{name: "cancel after the end", from: Done, to: Cancelled, err: ErrDrainEnded},
+		{name: "cancel when done", from: Done, to: Cancelled, err: ErrDrainEnded},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			planner := newPlanner(t, "1")
-			begin(t, planner, Request{Name: "x", Zone: "a"}, knownMachines)
+			startDrain(t, planner, Request{Name: "x", Zone: "a"}, knownMachines)
 			record := planner.drains["x"].record
 			record.State = string(test.from)
 			if err := planner.Apply(record, nil, 7); err != nil {
@@ -114,14 +114,15 @@
 			}
 			change, err := planner.ChangeState("x", test.to)
 			if !errors.Is(err, test.err) || change.Unchanged != test.unchanged {
-				t.Fatalf("%+v, %v", change, err)
+				t.Fatalf("change %+v, error %v, want unchanged %v, error %v", change, err, test.unchanged, test.err)
 			}
 			if err == nil && (State(change.Record.State) != test.to || change.Version != 7) {
-				t.Errorf("state %s on version %d, want %s on 7", change.Record.State, change.Version, test.to)
+				t.Errorf("state %s, previous version %d, want state %s, previous version 7",
+					change.Record.State, change.Version, test.to)
 			}
 		})
 	}
 	if _, err := newPlanner(t, "1").ChangeState("y", Paused); !errors.Is(err, ErrUnknownDrain) {
-		t.Errorf("an unknown drain: error %v, want ErrUnknownDrain", err)
+		t.Errorf("unknown drain: error %v, want ErrUnknownDrain", err)
 	}
 }
--- a/internal/drain/round.go
+++ b/internal/drain/round.go
@@ -10,44 +10,46 @@
 )
 
 const (
-	// maxBlockedListed bounds the blocked evictions that are listed for a drain.
+	// maxBlockedListed is the maximum number of blocked evictions that the status of a drain lists.
 	maxBlockedListed = 50
-	// maxEvictionTries bounds how often room is looked for in a round of one drain. Each machine of its step has an
-	// equal part of them, and one at least, so that no machine waits for another whose tasks find no room.
+	// maxEvictionTries is how often one round may try to evict tasks for one drain. Each try searches for capacity for
+	// the task's successor. The tries are divided equally among the machines of the drain's step, with at least one for
+	// each machine, so that a machine whose tasks find no capacity doesn't delay the others.
 	maxEvictionTries = 64
-	// endsSoonWithin is the time within which the end of a task is awaited instead of evicting it.
+	// endsSoonWithin is the expected remaining run time below which a task isn't evicted but left to end.
 	endsSoonWithin = 5 * micros.Second
 )
 
-// round is one round of decisions.
+// round is the state of one planning round.
 type round struct {
 	planner  *Planner
 	snapshot Snapshot
 	evict    Evictor
-	timedOut func() bool // the time budget of the round is spent
+	timedOut func() bool // reports whether the round's time budget is spent
 	actions  Actions
-	// needReplacement counts, by team, the tasks in actions.NeedReplacement.
+	// needReplacement counts the tasks that the evictions of actions.NeedReplacement would disrupt, by team.
 	needReplacement map[wire.TeamName]int
-	// tries counts how often room was looked for the tasks of the present machine, of at most triesPerMachine.
+	// tries counts the tries to evict tasks from the current machine; triesPerMachine is their maximum number.
 	tries, triesPerMachine int
 }
 
-// Plan decides on one round of evictions and scale-in, until timedOut reports that the round's time budget is spent.
+// Plan plans one round of evictions and scale-in, and has the tasks evicted, until timedOut reports that the round's
+// time budget is spent.
 func (p *Planner) Plan(snapshot Snapshot, evict Evictor, timedOut func() bool) Actions {
 	p.teamUsage = maps.Clone(snapshot.Teams)
 	r := round{planner: p, snapshot: snapshot, evict: evict, timedOut: timedOut, needReplacement: map[wire.TeamName]int{}}
 	for _, d := range p.activeDrains() {
 		occupied := r.observe(d)
 		if d.state() == Running {
-			r.fillStep(d, occupied)
-			r.emptyStep(d, occupied)
+			r.refillStep(d, occupied)
+			r.evictFromStep(d, occupied)
 		}
 	}
 	return r.actions
 }
 
-// observe updates a drain's progress, has its empty machines deleted, and returns the machines that remain to be
-// emptied.
+// observe updates a drain's progress, requests the deletion of its empty machines, and returns the machines that still
+// have to be emptied.
 func (r *round) observe(d *trackedDrain) (occupied []Machine) {
 	d.blocked, d.tasksLeft = nil, 0
 	d.overdue = d.record.Deadline != 0 && r.snapshot.WallClock >= d.record.Deadline
@@ -60,7 +62,7 @@
 			}
 			continue
 		}
-		delete(d.gone, id) // it was listed late
+		delete(d.gone, id) // an earlier list of the cloud didn't include the machine yet
 		d.tasksLeft += len(machine.Attempts)
 		switch {
 		case d.state() != Running || machine.Deleting:
@@ -73,33 +75,33 @@
 	return occupied
 }
 
-// scaleIn has a machine deleted, once however many drains include it.
+// scaleIn requests the deletion of a machine, only once if several drains include it.
 func (r *round) scaleIn(id wire.MachineID) {
 	if !slices.Contains(r.actions.ScaleIn, id) {
 		r.actions.ScaleIn = append(r.actions.ScaleIn, id)
 	}
 }
 
-// emptyStep evicts tasks from the machines of a drain's step.
-func (r *round) emptyStep(d *trackedDrain, occupied []Machine) {
+// evictFromStep evicts tasks from the machines of a drain's current step.
+func (r *round) evictFromStep(d *trackedDrain, occupied []Machine) {
 	r.triesPerMachine = max(1, maxEvictionTries/max(1, len(d.emptying)))
 	for i := range occupied {
 		if d.emptying[occupied[i].ID] {
 			r.tries = 0
-			r.emptyMachine(d, &occupied[i])
+			r.evictFromMachine(d, &occupied[i])
 		}
 	}
 }
 
-// emptyMachine evicts what the budgets allow from a machine, and lists why the rest stays.
-func (r *round) emptyMachine(d *trackedDrain, machine *Machine) {
-	seen := map[wire.JobID]bool{} // gangs, by job
+// evictFromMachine evicts as many tasks from a machine as the budgets allow, and records why the others aren't evicted.
+func (r *round) evictFromMachine(d *trackedDrain, machine *Machine) {
+	handled := map[wire.JobID]bool{} // jobs with handled tasks; a gang is evicted as a whole
 	for i := range machine.Attempts {
 		attempt := &machine.Attempts[i]
-		if attempt.Gang && seen[attempt.Task.Job] {
+		if attempt.Gang && handled[attempt.Task.Job] {
 			continue
 		}
-		seen[attempt.Task.Job] = true
+		handled[attempt.Task.Job] = true
 		reason := r.blockReason(d, machine, attempt)
 		if reason == "" {
 			reason = r.tryEvict(attempt)
@@ -115,7 +117,8 @@
 	}
 }
 
-// blockReason returns why an attempt may not be evicted now, wherever there is room; empty if it may be.
+// blockReason returns why an attempt may not be evicted now, regardless of capacity on other machines; empty if it may
+// be evicted.
 func (r *round) blockReason(d *trackedDrain, machine *Machine, attempt *Attempt) string {
 	disrupted := r.planner.teamUsage[attempt.Team].Disrupted
 	allowed := r.planner.allowedDisruptions(attempt.Team)
@@ -138,7 +141,8 @@
 	return ""
 }
 
-// tryEvict evicts an attempt if there is room for its successor, and returns why it wasn't evicted otherwise.
+// tryEvict evicts an attempt if there is capacity for its successor. Otherwise it returns why the attempt wasn't
+// evicted.
 func (r *round) tryEvict(attempt *Attempt) string {
 	r.tries++
 	usage := r.planner.teamUsage[attempt.Team]
@@ -156,7 +160,8 @@
 	return string(outcome)
 }
 
-// requestReplacement has the fleet make room for a task, but for no more tasks than the budget lets move.
+// requestReplacement requests capacity for a task's successor from the fleet, but for no more tasks than the budget
+// allows to be disrupted.
 func (r *round) requestReplacement(attempt *Attempt, usage TeamUsage) {
 	disrupted := usage.Disrupted + r.needReplacement[attempt.Team] + attempt.DisruptedTasks
 	if disrupted > r.planner.allowedDisruptions(attempt.Team) {
@@ -166,7 +171,7 @@
 	r.actions.NeedReplacement = append(r.actions.NeedReplacement, attempt.Task)
 }
 
-// noCapacityReason is why a task stays for which there is no room elsewhere.
+// noCapacityReason returns the reason that the status shows for a task whose successor finds no capacity.
 func (p *Planner) noCapacityReason() string {
 	if p.shortage == "" {
 		return string(NoCapacity)
--- a/internal/drain/round_test.go
+++ b/internal/drain/round_test.go
@@ -6,8 +6,7 @@
 	"saffronbend/wire"
 )
 
-// blockedReason plays one round with a single machine and returns why its first attempt stays, empty if it was
-// evicted.
+// blockedReason runs one round with a single machine and returns why its first attempt wasn't evicted, empty if it was.
 func blockedReason(t *testing.T, planner *Planner, machine Machine, wallClock int64, outcome EvictionOutcome) string {
 	t.Helper()
 	snapshot := Snapshot{
@@ -17,7 +16,7 @@
 		Teams:          map[wire.TeamName]TeamUsage{"red": {Running: 10}},
 		MachinesListed: true,
 	}
-	planner.Plan(snapshot, evictWith(outcome), noTimeout)
+	planner.Plan(snapshot, evictorReturning(outcome), noTimeout)
 	status, err := planner.Status("x")
 	if err != nil {
 		t.Fatal(err)
@@ -28,13 +27,13 @@
 	return status.Blocked[0].Reason
 }
 
-func TestReasons(t *testing.T) {
+func TestBlockedReasons(t *testing.T) {
 	const overdue = 1000
-	const cantSave = "it can't save: its end is waited for"
+	const noCheckpoints = "it can't save: its end is waited for"
 	for _, test := range []struct {
 		name            string
 		change          func(*Attempt)
-		silent          bool
+		noHeartbeats    bool
 		wallClock       int64
 		evictAtDeadline bool
 		budget          string
@@ -45,29 +44,29 @@
 		{name: "no budget", budget: "0", want: "the budget of 0 is too small for 1 tasks"},
 		{name: "gang larger than the budget", change: func(a *Attempt) { a.Gang, a.DisruptedTasks = true, 4 },
 			budget: "3", want: "the budget of 3 is too small for 4 tasks"},
-		{name: "silent machine", silent: true, budget: "1", want: "the machine does not report"},
+		{name: "machine without heartbeats", noHeartbeats: true, budget: "1", want: "the machine does not report"},
 		{name: "ends soon", change: func(a *Attempt) { a.ExpectedEnd = 10 }, budget: "1", want: "it ends soon"},
-		{name: "can't save", change: func(a *Attempt) { a.Checkpoints = false },
-			budget: "1", evictAtDeadline: true, want: cantSave},
-		{name: "can't save, overdue, not to be evicted", change: func(a *Attempt) { a.Checkpoints = false },
-			budget: "1", wallClock: overdue, want: cantSave},
-		{name: "can't save, overdue, to be evicted", change: func(a *Attempt) { a.Checkpoints = false },
+		{name: "no checkpoints, before the deadline", change: func(a *Attempt) { a.Checkpoints = false },
+			budget: "1", evictAtDeadline: true, want: noCheckpoints},
+		{name: "no checkpoints, overdue, not to be evicted", change: func(a *Attempt) { a.Checkpoints = false },
+			budget: "1", wallClock: overdue, want: noCheckpoints},
+		{name: "no checkpoints, overdue, to be evicted", change: func(a *Attempt) { a.Checkpoints = false },
 			budget: "1", wallClock: overdue, evictAtDeadline: true},
-		{name: "no room elsewhere", budget: "1", outcome: NoCapacity,
+		{name: "no capacity on other machines", budget: "1", outcome: NoCapacity,
 			want: "no room for it elsewhere: the cloud has none"},
-		{name: "ended already", budget: "1", outcome: AttemptEnded, want: "it has ended"},
+		{name: "already ended", budget: "1", outcome: AttemptEnded, want: "it has ended"},
 		{name: "being stopped", change: func(a *Attempt) { a.Stopping = true }, budget: "1", want: "it is being stopped"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			planner := newPlanner(t, test.budget)
 			planner.SetShortage("the cloud has none")
-			begin(t, planner, Request{Name: "x", Machines: []wire.MachineID{"n-1"}, Deadline: overdue,
+			startDrain(t, planner, Request{Name: "x", Machines: []wire.MachineID{"n-1"}, Deadline: overdue,
 				EvictAtDeadline: test.evictAtDeadline}, knownMachines)
 			attempt := newAttempt("run-1", 0, "red")
 			if test.change != nil {
 				test.change(&attempt)
 			}
-			machine := Machine{ID: "n-1", Heartbeating: !test.silent, Attempts: []Attempt{attempt}}
+			machine := Machine{ID: "n-1", Heartbeating: !test.noHeartbeats, Attempts: []Attempt{attempt}}
 			if got := blockedReason(t, planner, machine, test.wallClock, test.outcome); got != test.want {
 				t.Errorf("reason %q, want %q", got, test.want)
 			}
@@ -75,10 +74,10 @@
 	}
 }
 
-// Replacements are requested for as many tasks as the budget lets move, not for all tasks.
-func TestReplacementsWithinTheBudget(t *testing.T) {
+// Replacement capacity is requested for as many tasks as the budget allows to be disrupted, not for all tasks.
+func TestReplacementsAreLimitedByBudget(t *testing.T) {
 	planner := newPlanner(t, "3")
-	begin(t, planner, Request{Name: "x", Machines: []wire.MachineID{"n-1"}}, knownMachines)
+	startDrain(t, planner, Request{Name: "x", Machines: []wire.MachineID{"n-1"}}, knownMachines)
 	machine := Machine{ID: "n-1", Heartbeating: true}
 	for i := range 8 {
 		machine.Attempts = append(machine.Attempts, newAttempt("run-1", i, "red"))
@@ -89,8 +88,8 @@
 		Teams:          map[wire.TeamName]TeamUsage{"red": {Running: 9, Disrupted: 1}},
 		MachinesListed: true,
 	}
-	actions := planner.Plan(snapshot, evictWith(NoCapacity), noTimeout)
+	actions := planner.Plan(snapshot, evictorReturning(NoCapacity), noTimeout)
 	if len(actions.NeedReplacement) != 2 || actions.Evicted != 0 {
-		t.Errorf("%+v", actions)
+		t.Errorf("actions %+v, want 2 replacements and no evictions", actions)
 	}
 }
--- a/internal/drain/selection.go
+++ b/internal/drain/selection.go
@@ -9,15 +9,15 @@
 	"saffronbend/wire"
 )
 
-// KnownMachine is a machine that a request may select.
+// KnownMachine is an existing machine, which a request may select.
 type KnownMachine struct {
 	ID         wire.MachineID
 	Zone, Type string
-	Age        micros.Duration // since it was registered
+	Age        micros.Duration // time since the machine was registered
 }
 
 // selectMachines returns the identifiers of the known machines that match all selectors of a request, in alphabetical
-// order. A named machine must exist, but isn't selected if it doesn't match the other selectors.
+// order. Each machine that the request names must exist, but isn't selected if it doesn't match the other selectors.
 func (r *Request) selectMachines(known []KnownMachine) ([]wire.MachineID, error) {
 	if len(r.Machines) == 0 && r.Zone == "" && r.Type == "" && r.OlderThan == 0 {
 		return nil, ErrNoSelection
@@ -44,13 +44,13 @@
 	return selected, nil
 }
 
-// matchesProperties reports whether a machine's zone, type and age match.
+// matchesProperties reports whether a machine's zone, type and age match the selectors of a request.
 func (r *Request) matchesProperties(machine KnownMachine) bool {
 	return (r.Zone == "" || machine.Zone == r.Zone) &&
 		(r.Type == "" || machine.Type == r.Type) &&
 		machine.Age >= r.OlderThan
 }
 
-// selectsWholePool reports whether the drain vacates a zone or a type as a whole, so that no machines should be added
-// there meanwhile.
+// selectsWholePool reports whether the request selects all machines of a zone, of a type, or of a type in a zone, so
+// that no machines should be added to this pool while the drain is active.
 func (r *Request) selectsWholePool() bool { return len(r.Machines) == 0 && r.OlderThan == 0 }
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -6,33 +6,33 @@
 	"saffronbend/wire"
 )
 
-// Status is a drain as operators see it.
+// Status is the state of a drain that is shown to operators.
 type Status struct {
 	Name      string
 	State     State
-	Machines  int // all machines of the drain
-	Gone      int // machines that no longer exist
-	Emptying  int // machines of the present step
-	TasksLeft int // attempts that may exist on the remaining machines
-	Overdue   bool
+	Machines  int  // number of all machines of the drain
+	Gone      int  // number of machines that no longer exist
+	Emptying  int  // number of machines in the current step
+	TasksLeft int  // number of attempts that may exist on the remaining machines
+	Overdue   bool // the deadline has passed
 	Blocked   []BlockedEviction
-	Budgets   []TeamBudget // of every team while the drain is active; nil otherwise
+	Budgets   []TeamBudget // for every team while the drain is active; nil otherwise
 }
 
-// BlockedEviction says why a task isn't evicted yet.
+// BlockedEviction is a task that isn't evicted yet, with the reason.
 type BlockedEviction struct {
 	Machine      wire.MachineID
 	Team         wire.TeamName
 	Task, Reason string
 }
 
-// TeamBudget is how much of a team's disruption budget is used, in tasks.
+// TeamBudget shows how much of a team's disruption budget is used, in numbers of tasks.
 type TeamBudget struct {
 	Team               wire.TeamName
 	Disrupted, Allowed int
 }
 
-// Status returns a drain as of the last round. The error is ErrUnknownDrain.
+// Status returns the state of a drain after the last round. The error is ErrUnknownDrain.
 func (p *Planner) Status(name string) (Status, error) {
 	d := p.drains[name]
 	if d == nil {
--- a/internal/drain/step.go
+++ b/internal/drain/step.go
@@ -8,15 +8,16 @@
 	"saffronbend/wire"
 )
 
-// fillStep removes the machines that are empty or gone from a drain's step, and adds others up to the step's size.
-func (r *round) fillStep(d *trackedDrain, occupied []Machine) {
-	exists := make(map[wire.MachineID]bool, len(occupied))
+// refillStep updates a drain's step, the machines that are being emptied. It removes those that aren't occupied, since
+// they are empty, being deleted or don't exist any more. Then it adds occupied machines up to the step's size.
+func (r *round) refillStep(d *trackedDrain, occupied []Machine) {
+	isOccupied := make(map[wire.MachineID]bool, len(occupied))
 	for _, machine := range occupied {
-		exists[machine.ID] = true
+		isOccupied[machine.ID] = true
 	}
-	maps.DeleteFunc(d.emptying, func(id wire.MachineID, _ bool) bool { return !exists[id] })
-	free := d.record.Step - len(d.emptying)
-	if free <= 0 {
+	maps.DeleteFunc(d.emptying, func(id wire.MachineID, _ bool) bool { return !isOccupied[id] })
+	vacancies := d.record.Step - len(d.emptying)
+	if vacancies <= 0 {
 		return
 	}
 	var candidates []Machine
@@ -25,21 +26,22 @@
 			candidates = append(candidates, machine)
 		}
 	}
-	for _, id := range chooseMachines(candidates, r.planner.remainingBudgets(), free) {
+	for _, id := range chooseMachines(candidates, r.planner.remainingBudgets(), vacancies) {
 		d.emptying[id] = true
 	}
 }
 
-// candidate is a machine that may be emptied next.
+// candidate is a machine that may be added to a drain's step.
 type candidate struct {
 	id          wire.MachineID
-	disruptions map[wire.TeamName]int // by team
-	weight      float64               // largest share that it takes of what remains of a team's budget
+	disruptions map[wire.TeamName]int // number of tasks that are disrupted when the machine is emptied, by team
+	weight      float64               // largest ratio of a team's disruptions to its remaining budget
 }
 
 // chooseMachines returns up to limit machines to be emptied next: as many as can be emptied within the remaining
-// budgets, those first that take the smallest share of them. If none fits, it is the one that exceeds them least, to
-// be emptied bit by bit. The choice is greedy; docs/drains.md compares it with a solver's.
+// budgets, in the order of their weight, lowest first. If no machine fits within the budgets, it returns the machine
+// with the lowest weight, whose tasks are then evicted over several rounds. The choice is greedy; docs/drains.md
+// compares it with the choice of a solver.
 func chooseMachines(machines []Machine, remainingBudgets map[wire.TeamName]int, limit int) []wire.MachineID {
 	candidates := rankCandidates(machines, remainingBudgets)
 	remaining := maps.Clone(remainingBudgets)
@@ -61,11 +63,11 @@
 	return chosen
 }
 
-// exhaustedBudget stands for a budget of which nothing remains: any task weighs more than with the smallest budget
-// that isn't exhausted.
+// exhaustedBudget replaces a remaining budget of 0 in the computation of weights. Being below 1, it gives a task of a
+// team with an exhausted budget a higher weight than a task of a team with a remaining budget of 1.
 const exhaustedBudget = 0.5
 
-// rankCandidates returns machines by weight, the lightest first.
+// rankCandidates returns the machines as candidates, sorted by weight, lowest first.
 func rankCandidates(machines []Machine, remainingBudgets map[wire.TeamName]int) []candidate {
 	candidates := make([]candidate, 0, len(machines))
 	for i := range machines {
@@ -82,7 +84,7 @@
 	return candidates
 }
 
-// fitsBudgets reports whether the disruptions of each team are within what remains of its budget.
+// fitsBudgets reports whether the number of disruptions of each team is within the team's remaining budget.
 func fitsBudgets(disruptions, remaining map[wire.TeamName]int) bool {
 	for team, count := range disruptions {
 		if count > remaining[team] {
@@ -92,10 +94,11 @@
 	return true
 }
 
-// disruptionsByTeam returns how many tasks of each team are disrupted when the machine is emptied.
+// disruptionsByTeam returns how many tasks of each team are disrupted when the machine is emptied. Attempts that are
+// already being stopped don't count.
 func (m *Machine) disruptionsByTeam() map[wire.TeamName]int {
 	disruptions := map[wire.TeamName]int{}
-	counted := map[wire.JobID]bool{} // gangs, by job
+	counted := map[wire.JobID]bool{} // jobs with counted tasks; a gang is counted once
 	for i := range m.Attempts {
 		attempt := &m.Attempts[i]
 		if attempt.Stopping || attempt.Gang && counted[attempt.Task.Job] {
--- a/internal/drain/step_test.go
+++ b/internal/drain/step_test.go
@@ -12,25 +12,25 @@
 	"github.com/crillab/gophersat/solver"
 )
 
-// randomMachines draws machines with tasks of several teams, and what remains of the teams' budgets.
+// randomMachines returns random machines with tasks of several teams, and random remaining budgets of the teams.
 func randomMachines(r *rand.Rand, machines, teams, tasks, budget int) ([]Machine, map[wire.TeamName]int) {
 	remaining := map[wire.TeamName]int{}
 	for t := range teams {
 		remaining[wire.TeamName(fmt.Sprint("team", t))] = r.IntN(budget + 1)
 	}
-	out := make([]Machine, machines)
-	for i := range out {
-		out[i].ID = wire.MachineID(fmt.Sprintf("n-%05d", i))
-		out[i].Heartbeating = true
+	generated := make([]Machine, machines)
+	for i := range generated {
+		generated[i].ID = wire.MachineID(fmt.Sprintf("n-%05d", i))
+		generated[i].Heartbeating = true
 		for k := range r.IntN(tasks + 1) {
 			team := wire.TeamName(fmt.Sprint("team", r.IntN(teams)))
-			out[i].Attempts = append(out[i].Attempts, newAttempt("run-1", i*tasks+k, team))
+			generated[i].Attempts = append(generated[i].Attempts, newAttempt("run-1", i*tasks+k, team))
 		}
 	}
-	return out, remaining
+	return generated, remaining
 }
 
-// countEmptied counts the chosen machines that can be emptied within what remains of the budgets.
+// countEmptied returns how many of the chosen machines can be emptied, in their order, within the remaining budgets.
 func countEmptied(machines []Machine, chosen []wire.MachineID, remainingBudgets map[wire.TeamName]int) int {
 	remaining := maps.Clone(remainingBudgets)
 	emptied := 0
@@ -48,11 +48,11 @@
 	return emptied
 }
 
-// optimalCount returns the largest number of machines that can be emptied within what remains of the budgets, by a
+// optimalCount returns the largest number of machines that can be emptied within the remaining budgets, computed by a
 // pseudo-Boolean solver.
 func optimalCount(machines []Machine, remaining map[wire.TeamName]int) int {
 	type weightedSum struct{ variables, weights []int }
-	sums := map[wire.TeamName]weightedSum{} // by team
+	sums := map[wire.TeamName]weightedSum{} // disruptions as a function of the chosen machines, by team
 	var excluded []solver.Lit
 	var costs []int
 	empty := 0
@@ -82,8 +82,8 @@
 	return empty + len(excluded) - solver.New(problem).Minimize()
 }
 
-// The greedy choice stays within the budgets and is nearly as good as the best there is.
-func TestChooseAgainstSolver(t *testing.T) {
+// The greedy choice stays within the budgets and empties at least 95% as many machines as the optimal choice.
+func TestChooseMachinesAgainstSolver(t *testing.T) {
 	const fleets, machines = 150, 14
 	r := rand.New(rand.NewPCG(1, 2))
 	greedy, optimum, equal := 0, 0, 0
@@ -92,21 +92,22 @@
 		got := countEmptied(candidates, chooseMachines(candidates, remaining, machines), remaining)
 		optimal := optimalCount(candidates, remaining)
 		if got > optimal {
-			t.Fatalf("greedy empties %d machines, at most %d can be", got, optimal)
+			t.Fatalf("the greedy choice empties %d machines, more than the optimum of %d", got, optimal)
 		}
 		if got == optimal {
 			equal++
 		}
 		greedy, optimum = greedy+got, optimum+optimal
 	}
-	t.Logf("greedy empties %d machines, the solver %d; the same in %d of %d fleets", greedy, optimum, equal, fleets)
-	const least = 0.95
-	if float64(greedy) < least*float64(optimum) {
-		t.Errorf("greedy empties %d machines, the best is %d", greedy, optimum)
+	t.Logf("the greedy choice empties %d machines, the optimal one %d; equal in %d of %d fleets",
+		greedy, optimum, equal, fleets)
+	const minRatio = 0.95
+	if float64(greedy) < minRatio*float64(optimum) {
+		t.Errorf("the greedy choice empties %d machines, the optimal one %d", greedy, optimum)
 	}
 }
 
-// BenchmarkSolver is the solver's time for small fleets.
+// BenchmarkSolver measures how long the solver takes to find the optimal choice for small fleets.
 func BenchmarkSolver(b *testing.B) {
 	for _, machines := range []int{10, 20, 40} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
@@ -118,7 +119,8 @@
 	}
 }
 
-// BenchmarkPlan is one round of decisions of a drain of all machines, with the budgets used up after 20 evictions.
+// BenchmarkPlan measures one planning round of a drain of all machines, in which each team's budget allows 20
+// disruptions.
 func BenchmarkPlan(b *testing.B) {
 	for _, machines := range []int{500, 1000, 2000, 4000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
@@ -137,10 +139,10 @@
 				known = append(known, KnownMachine{ID: machine.ID, Zone: "a"})
 			}
 			planner := New(Config{Teams: teams, DefaultBudget: parseBudget(b, "20"), StepSize: 20})
-			begin(b, planner, Request{Name: "x", Zone: "a"}, known)
+			startDrain(b, planner, Request{Name: "x", Zone: "a"}, known)
 			b.ReportAllocs()
 			for b.Loop() {
-				planner.Plan(snapshot, evictWith(Evicted), noTimeout)
+				planner.Plan(snapshot, evictorReturning(Evicted), noTimeout)
 			}
 		})
 	}
--- a/internal/leader/drains/drains.go
+++ b/internal/leader/drains/drains.go
@@ -82,7 +82,7 @@
 
 // Round decides on evictions and on the deletion of empty machines, and carries both out.
 func (e *Executor) Round(ctx context.Context, now micros.Timestamp) {
-	if !e.planner.Active() {
+	if !e.planner.HasCordons() {
 		e.cfg.Manager.SetReplacements(nil)
 		return
 	}
--- a/internal/leader/drains/records.go
+++ b/internal/leader/drains/records.go
@@ -67,7 +67,7 @@
 	}
 	for _, name := range e.planner.Names() {
 		if !recorded[name] {
-			e.planner.RemoveRecord(name)
+			e.planner.RemoveDrain(name)
 		}
 	}
 	return nil
@@ -188,7 +188,7 @@
 	// An error means that the term has ended, and the planner with it.
 	_ = e.cfg.Loop.Do(ctx, func(micros.Timestamp) error {
 		for _, name := range prunable {
-			e.planner.RemoveRecord(name)
+			e.planner.RemoveDrain(name)
 		}
 		return nil
 	})
