--- a/internal/follower/lease_renewer.go
+++ b/internal/follower/lease_renewer.go
@@ -247,7 +247,7 @@
 		r.cfg.Log.Error("a progress record can't be read", "key", item.Key, "error", err)
 	}
 	cancelTimeout := micros.Seconds(r.cfg.Settings.Deployment.Workers.CancelS)
-	until := cancelledAt.Add(manager.LaunchBeforeStopAfter(cancelTimeout))
+	until := cancelledAt.Add(manager.LaunchAndStopWindow(cancelTimeout))
 	for _, placed := range progress.Active {
 		attempts[placed.Machine] = append(attempts[placed.Machine], endedAttempt{
 			job:         job,
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -175,7 +175,7 @@
 	if t.rebalancer != nil {
 		t.rebalancer.Round(now, leaseValid, t.tickDelay.late)
 	}
-	if t.manager.AttemptNumbersExhausted() {
+	if t.manager.AttemptIDsExhausted() {
 		t.loop.Go(func() { t.stepDown(reasonNoAttemptNumbers) })
 	}
 	if types := t.cfg.Types.Types(); types != nil && len(t.manager.Types()) == 0 {
--- a/internal/manager/agent.go
+++ b/internal/manager/agent.go
@@ -5,74 +5,77 @@
 	"saffronbend/wire"
 )
 
-// agentState is what is known of a machine's agent: its incarnation, whether it acts for this leader, and whether it
-// can be reached. An agent begins a new incarnation when it starts, and when it has gone without an answer for a
-// whole worker lease; it has no tasks then.
+// agentState is the leader's view of a machine's agent: its incarnation, whether it follows this leader, and whether it
+// can be reached. An agent begins a new incarnation when it starts, and when it has received no response for a whole
+// worker lease. It has no tasks at the beginning of an incarnation.
 type agentState struct {
-	reporting          bool                  // it has reported to this leader, and its lease has not expired
-	incarnation        wire.AgentIncarnation // the newest; 0: none is known
-	newestSeq          wire.HeartbeatSeq     // of the newest message of the incarnation, heartbeat or answer to a push
-	heartbeatSeq       wire.HeartbeatSeq     // of the newest heartbeat of the incarnation
-	expiredIncarnation wire.AgentIncarnation // the newest whose lease has provably expired
-
-	// tokenAcknowledged: its newest message carries our fencing token, so only our answers renew its lease.
+	reporting          bool                  // it has reported in this term, and its lease has not expired since
+	incarnation        wire.AgentIncarnation // the latest known; 0: none
+	latestSeq          wire.HeartbeatSeq     // of the latest message in this incarnation: a heartbeat or push response
+	heartbeatSeq       wire.HeartbeatSeq     // of the latest heartbeat in this incarnation
+	expiredIncarnation wire.AgentIncarnation // the latest incarnation whose lease has provably expired
+
+	// tokenAcknowledged is true if the latest message carries this term's fencing token. From then on, only responses
+	// of this leader renew the agent's lease.
 	tokenAcknowledged bool
-	lastHeartbeat     micros.Timestamp // when one arrived last
-	lastAnswered      micros.Timestamp // when a heartbeat was answered last
-	// leaseRenewedAt is when its lease may have been renewed last, or its incarnation have begun.
+	lastHeartbeatAt   micros.Timestamp // when the latest heartbeat arrived
+	lastResponseAt    micros.Timestamp // when a response to a heartbeat was last sent
+	// leaseRenewedAt is the latest time at which the agent's lease may have been renewed or its incarnation begun.
 	leaseRenewedAt micros.Timestamp
 
-	// unreachableSince is since when nothing shows that our answers or commands reach the agent; 0: something does.
-	// Heartbeats alone don't: a partition may be one-way.
+	// unreachableSince is the time since which there is no evidence that responses or commands reach the agent; 0: there
+	// is evidence. Incoming heartbeats are no evidence, since a network partition may be one-way.
 	unreachableSince micros.Timestamp
-	probedAt         micros.Timestamp // when an empty push last asked whether it is reached; 0: ask at once
-	// relayedBy is the controller that relays its heartbeats; empty: they come here.
-	relayedBy    string
-	pushWorks    bool // pushes are expected to reach it
-	pushInFlight bool // at most one is
+	probedAt         micros.Timestamp // when the last empty push was sent to test connectivity; 0: a probe is due
+	// relayedBy is the controller that relays the agent's heartbeats; empty: the agent sends them to this leader.
+	relayedBy     string
+	pushReachable bool // pushes are expected to reach the agent
+	pushInFlight  bool // at most one push per agent is in flight
 }
 
-// messageSource is how an agent's message has come.
+// messageSource says how an agent's status message was received.
 type messageSource uint8
 
 const (
-	fromHeartbeat  messageSource = iota // the agent has sent a heartbeat
-	fromPushAnswer                      // the agent has answered a push
+	fromHeartbeat    messageSource = iota // in a heartbeat that the agent sent
+	fromPushResponse                      // in the agent's response to a push
 )
 
-// late reports whether a message is older than what is known. Delayed heartbeats arrive minutes late: their agent has
-// given up on them, so an answer would renew nothing, and their list of tasks is old.
-func (agent *agentState) late(heartbeat *wire.Heartbeat) bool {
+// stale reports whether a message is older than what is already known. A heartbeat may be delayed by minutes. Its agent
+// has then stopped waiting, so that a response would not renew the lease, and its list of tasks is out of date.
+func (agent *agentState) stale(heartbeat *wire.Heartbeat) bool {
 	return heartbeat.Incarnation <= agent.expiredIncarnation || heartbeat.Incarnation < agent.incarnation ||
-		heartbeat.Incarnation == agent.incarnation && heartbeat.Sequence <= agent.newestSeq
+		heartbeat.Incarnation == agent.incarnation && heartbeat.Sequence <= agent.latestSeq
 }
 
-// overtakenByPushAnswer reports whether a heartbeat is older only than the answer to a push that its agent sent after
-// it. The agent still waits for the answer to the heartbeat, and without one would turn to another controller. What
-// the heartbeat says is known better by now, so its answer carries no commands.
-func (agent *agentState) overtakenByPushAnswer(heartbeat *wire.Heartbeat) bool {
+// overtakenByPushResponse reports whether a heartbeat is stale only because a push response that the agent sent after
+// it has arrived first. The agent still waits for the response to this heartbeat and would turn to another controller
+// without one. The push response was more recent, so the response to the heartbeat carries no commands.
+func (agent *agentState) overtakenByPushResponse(heartbeat *wire.Heartbeat) bool {
 	return heartbeat.Incarnation == agent.incarnation && heartbeat.Incarnation > agent.expiredIncarnation &&
-		heartbeat.Sequence > agent.heartbeatSeq && heartbeat.Sequence < agent.newestSeq
+		heartbeat.Sequence > agent.heartbeatSeq && heartbeat.Sequence < agent.latestSeq
 }
 
-// follows reports whether a heartbeat, relayed by a controller, is the next after one that the same controller has
-// relayed. An agent stays with a controller only while that one's answers reach it.
-func (agent *agentState) follows(heartbeat *wire.Heartbeat, relayedBy string) bool {
+// nextFromSameRelay reports whether a relayed heartbeat is the immediate successor of the latest message and comes from
+// the controller that relayed the previous heartbeat. An agent stays with a controller only while it receives that
+// controller's responses.
+func (agent *agentState) nextFromSameRelay(heartbeat *wire.Heartbeat, relayedBy string) bool {
 	return relayedBy != "" && agent.relayedBy == relayedBy && agent.incarnation == heartbeat.Incarnation &&
-		agent.newestSeq+1 == heartbeat.Sequence
+		agent.latestSeq+1 == heartbeat.Sequence
 }
 
-// beginIncarnation records that a message shows a new incarnation. Its lease begins with it, at the latest now.
+// beginIncarnation records the start of a new incarnation. Its lease began no later than now.
 func (agent *agentState) beginIncarnation(now micros.Timestamp) {
 	if agent.incarnation != 0 {
-		// It went without an answer for a whole lease. Whether it is reached again has yet to be shown.
+		// The agent received no response for a whole lease. It counts as unreachable until there is evidence to the
+		// contrary.
 		agent.markUnreachable(now)
 	}
 	agent.leaseRenewedAt, agent.heartbeatSeq = now, 0
 }
 
-// observe applies a message that is not late.
-func (agent *agentState) observe(
+// applyMessage updates the state from a message that is not stale.
+func (agent *agentState) applyMessage(
 	now micros.Timestamp, heartbeat *wire.Heartbeat, source messageSource, token wire.FencingToken,
 ) {
 	acknowledged := heartbeat.FencingToken == token
@@ -81,75 +84,76 @@
 		agent.markUnreachable(now)
 	case !agent.tokenAcknowledged:
 		agent.markReachable()
-		// Until it had our token, an earlier leader's answer may have renewed its lease after the last heartbeat that we
-		// know of.
-		agent.answered(now)
+		// Until the agent had this term's token, an earlier leader may have renewed its lease, even after the last heartbeat
+		// known to this leader.
+		agent.recordResponse(now)
 	}
 	agent.tokenAcknowledged = acknowledged
-	agent.incarnation, agent.newestSeq = heartbeat.Incarnation, heartbeat.Sequence
+	agent.incarnation, agent.latestSeq = heartbeat.Incarnation, heartbeat.Sequence
 	if source == fromHeartbeat {
-		agent.lastHeartbeat = now // one that sends none is of no use, whatever it answers
+		agent.lastHeartbeatAt = now // push responses do not count: an agent that sends no heartbeats is of no use
 		agent.heartbeatSeq = heartbeat.Sequence
 	}
-	agent.pushWorks = agent.pushWorks || agent.relayedBy == "" || source == fromPushAnswer
+	agent.pushReachable = agent.pushReachable || agent.relayedBy == "" || source == fromPushResponse
 }
 
-// leaseExpired records that the lease of the present incarnation has provably expired: later messages of it are late.
-func (agent *agentState) leaseExpired() {
+// markLeaseExpired records that the lease of the current incarnation has provably expired: later messages from this
+// incarnation are stale.
+func (agent *agentState) markLeaseExpired() {
 	agent.expiredIncarnation = max(agent.expiredIncarnation, agent.incarnation)
 }
 
-// acceptOvertaken applies a heartbeat that was overtaken by the answer to a push.
+// acceptOvertaken records a heartbeat that was overtaken by a push response.
 func (agent *agentState) acceptOvertaken(now micros.Timestamp, heartbeat *wire.Heartbeat) {
-	agent.heartbeatSeq, agent.lastHeartbeat = heartbeat.Sequence, now
+	agent.heartbeatSeq, agent.lastHeartbeatAt = heartbeat.Sequence, now
 }
 
-// answered records that a message is answered, which renews the lease if the answer arrives.
-func (agent *agentState) answered(now micros.Timestamp) {
-	agent.lastAnswered, agent.leaseRenewedAt = now, now
+// recordResponse records that a response is sent, which renews the agent's lease if it arrives.
+func (agent *agentState) recordResponse(now micros.Timestamp) {
+	agent.lastResponseAt, agent.leaseRenewedAt = now, now
 }
 
-// routeHeartbeats records which controller relays the agent's heartbeats, and reports whether it has just left us: it
-// got no answer, so pushes may not reach it either. It is to be probed at once, since it may only have been cut off
-// itself, and be back.
-func (agent *agentState) routeHeartbeats(relayedBy string) (left bool) {
+// setRelay records which controller relays the agent's heartbeats, and reports whether the agent has just turned from
+// this leader to a relay. It does so after receiving no response, so pushes may not reach it either. It must be probed
+// at once, because the connection may have been lost only briefly and be restored already.
+func (agent *agentState) setRelay(relayedBy string) (movedToRelay bool) {
 	switch {
 	case relayedBy == "" && agent.relayedBy != "":
-		agent.pushWorks = true
+		agent.pushReachable = true
 	case relayedBy != "" && agent.relayedBy == "":
-		agent.pushWorks, agent.probedAt = false, 0
-		left = true
+		agent.pushReachable, agent.probedAt = false, 0
+		movedToRelay = true
 	}
 	agent.relayedBy = relayedBy
-	return left
+	return movedToRelay
 }
 
-// markUnreachable records that something shows that the agent may not receive what we send, though its messages arrive.
+// markUnreachable records evidence that the agent may not receive what the leader sends, although its messages arrive.
 func (agent *agentState) markUnreachable(now micros.Timestamp) {
 	if agent.unreachableSince == 0 {
 		agent.unreachableSince = now
 	}
 }
 
-// markReachable records that something shows that the agent receives what we send.
+// markReachable records evidence that the agent receives what the leader sends.
 func (agent *agentState) markReachable() { agent.unreachableSince = 0 }
 
-// reachableOnlyThroughRelay reports whether heartbeats come through another controller and pushes don't arrive.
+// reachableOnlyThroughRelay reports whether heartbeats are relayed by another controller and pushes do not arrive.
 func (agent *agentState) reachableOnlyThroughRelay() bool {
-	return agent.relayedBy != "" && !agent.pushWorks
+	return agent.relayedBy != "" && !agent.pushReachable
 }
 
-// heartbeatDeadline returns the longest time between two heartbeats of a healthy agent, with a second to spare.
-func (m *Manager) heartbeatDeadline() micros.Duration {
+// heartbeatTimeout returns the maximum interval between two heartbeats of a healthy agent, plus a margin of one second.
+func (m *Manager) heartbeatTimeout() micros.Duration {
 	return m.cfg.HeartbeatInterval.Scale(1.25) + micros.Second
 }
 
-// overdue reports whether a machine has not reported when it should have.
-func (m *Manager) overdue(now micros.Timestamp, machine *machineState) bool {
-	return now.Sub(machine.agent.lastAnswered) > m.heartbeatDeadline()
+// heartbeatOverdue reports whether the heartbeat timeout has passed since a heartbeat of a machine was last answered.
+func (m *Manager) heartbeatOverdue(now micros.Timestamp, machine *machineState) bool {
+	return now.Sub(machine.agent.lastResponseAt) > m.heartbeatTimeout()
 }
 
-// known reports whether it is known what runs on a machine: it reports as it should, and for this leader.
-func (m *Manager) known(now micros.Timestamp, machine *machineState) bool {
-	return machine.agent.reporting && machine.agent.tokenAcknowledged && !m.overdue(now, machine)
+// hasCurrentStatus reports whether the tasks running on a machine are known: its agent reports in time, to this leader.
+func (m *Manager) hasCurrentStatus(now micros.Timestamp, machine *machineState) bool {
+	return machine.agent.reporting && machine.agent.tokenAcknowledged && !m.heartbeatOverdue(now, machine)
 }
--- a/internal/manager/attempts.go
+++ b/internal/manager/attempts.go
@@ -12,69 +12,70 @@
 	"saffronbend/wire"
 )
 
-// attemptBits is the number of low bits of an attempt's identifier that count within a term. The others are the term's
-// fencing token, so that identifiers are unique across leaders.
+// attemptBits is the number of low bits of an attempt identifier that hold the attempt's number within its term. The
+// higher bits hold the term's fencing token, which makes identifiers unique across leaders.
 const attemptBits = 20
 
-// attemptIDs issues the identifiers of a term's attempts.
+// attemptIDs allocates the identifiers of the attempts of a term.
 type attemptIDs struct {
 	fencingToken wire.FencingToken
-	last         uint64 // number of the last attempt in this term
+	lastNumber   uint64 // of the latest attempt in this term
 }
 
-// exhausted reports whether the term has no identifiers left.
-func (ids *attemptIDs) exhausted() bool { return ids.last+1 >= 1<<attemptBits }
+// exhausted reports whether no identifiers are left in this term.
+func (ids *attemptIDs) exhausted() bool { return ids.lastNumber+1 >= 1<<attemptBits }
 
-// peek returns the next identifier without using it up.
+// peek returns the next identifier without allocating it.
 func (ids *attemptIDs) peek() wire.AttemptID {
-	return wire.AttemptID(uint64(ids.fencingToken)<<attemptBits | ids.last + 1)
+	return wire.AttemptID(uint64(ids.fencingToken)<<attemptBits | ids.lastNumber + 1)
 }
 
-// advance uses up the next identifier.
-func (ids *attemptIDs) advance() { ids.last++ }
+// advance allocates the identifier that peek returned.
+func (ids *attemptIDs) advance() { ids.lastNumber++ }
 
-// AttemptNumbersExhausted reports whether the term has no attempt numbers left. The leader must step down then.
-func (m *Manager) AttemptNumbersExhausted() bool { return m.attemptIDs.exhausted() }
+// AttemptIDsExhausted reports whether no attempt identifiers are left in this term. The leader must then step down.
+func (m *Manager) AttemptIDsExhausted() bool { return m.attemptIDs.exhausted() }
 
-// taskAttempt is an attempt to run a task that may exist: granted in this term or recovered from an earlier one, and
-// not provably gone.
+// taskAttempt is an attempt to run a task that may exist: it was granted in this term or recovered from an earlier one,
+// and has not provably terminated.
 type taskAttempt struct {
 	job            *jobState
 	taskIndex      int
 	taskName       string         // set by registerAttempt
-	id             wire.AttemptID // the tasks of a gang share one
+	id             wire.AttemptID // shared by the tasks of a gang
 	machine        *machineState
-	incarnation    wire.AgentIncarnation // of the machine's agent that it was granted to or reported by
-	placementBytes int                   // of its placement in the progress record
+	incarnation    wire.AgentIncarnation // of the agent to which it was granted or which reported it
+	placementBytes int                   // encoded size of its placement in the progress record
 
-	durable         bool // its placement is
-	grantedThisTerm bool // else an earlier leader has granted it, and only that leader's commands may launch it
-	usedReservation bool // placed on a machine that was reserved for its job
+	durable         bool // its placement is durable
+	grantedThisTerm bool // if false, only commands of the earlier leader that granted it may launch it
+	usedReservation bool // its machine was reserved for its job
 
 	launch launchState
 	lease  taskLease
 
-	listed        bool // in the newest heartbeat
+	listed        bool // the agent's latest message lists it
 	reportedState wire.TaskState
 	runningSince  micros.Timestamp // 0: it has not been reported as running
 
 	stop stopRequest
-	// pendingEviction is the cause for which it is stopped once its disruption is durable; empty: none is pending.
-	pendingEviction     disruption.Cause
-	checkpointSaved     bool // it exited after it had written its checkpoint
-	waitsForPeersImages bool // launched only when its gang peers have fetched their image
+	// pendingEviction is the cause for which the attempt is stopped once its disruption is durable; empty: no eviction is
+	// pending.
+	pendingEviction    disruption.Cause
+	checkpointSaved    bool // it exited after writing its checkpoint
+	waitsForPeerImages bool // launched only after its gang peers have fetched their image
 }
 
-// taskLease is the lease of an attempt, with the one job that may wait for its end. Expiry ends nothing: it is an
-// estimate for schedulers.
+// taskLease is the lease of an attempt and the one job that may wait for it. The expiry of a task lease does not stop
+// the attempt: it is an estimate that schedulers use.
 type taskLease struct {
 	expiry      micros.Timestamp
 	waiter      wire.JobID
 	waiterUntil micros.Timestamp
 }
 
-// admitWaiter makes a job the lease's waiter and reports whether it may wait: another one that waits goes first until
-// its time is up.
+// admitWaiter registers a job as the lease's waiter and reports whether it may wait. A job that already waits keeps its
+// place until its waiting time is over.
 func (lease *taskLease) admitWaiter(now micros.Timestamp, job wire.JobID, grace micros.Duration) bool {
 	if lease.waiter != "" && lease.waiter != job && now < lease.waiterUntil {
 		return false
@@ -84,15 +85,15 @@
 	return true
 }
 
-// stopRequest is the wish to end an attempt, with the time it has to write its checkpoint.
+// stopRequest is a pending request to stop an attempt, with the time that the attempt has to write its checkpoint.
 type stopRequest struct {
 	requested bool
 	graceS    float64
-	sentAt    micros.Timestamp // when a command with it was last sent; 0: not yet
+	sentAt    micros.Timestamp // when a command for it was last sent; 0: not yet
 }
 
-// request asks for a stop and reports whether a command has to be sent: for the first request, and for one with a
-// shorter grace.
+// request records a request to stop and reports whether a command must be sent: for the first request, and for one with
+// a shorter grace period.
 func (stop *stopRequest) request(graceS float64) bool {
 	if stop.requested && graceS >= stop.graceS {
 		return false
@@ -103,7 +104,7 @@
 
 func (attempt *taskAttempt) spec() *wire.Job { return attempt.job.spec() }
 
-// task returns the task that it is an attempt of.
+// task returns the task that the attempt belongs to.
 func (attempt *taskAttempt) task() disruption.Task {
 	return disruption.Task{Job: attempt.job.id(), Index: attempt.taskIndex}
 }
@@ -112,20 +113,20 @@
 	return attemptKey{task: attempt.taskName, attempt: attempt.id}
 }
 
-// launched reports whether the agent may know the attempt.
+// launched reports whether the agent may have received a command that launches the attempt.
 func (attempt *taskAttempt) launched() bool {
 	return !attempt.grantedThisTerm || attempt.launch.sent() || attempt.listed
 }
 
-// mayLaunch reports whether the attempt may be launched once it is durable itself: one of a gang only when all of them
-// are.
+// mayLaunch reports whether an attempt that is durable may be launched. The tasks of a gang may be launched only when
+// all of them are durable.
 func (attempt *taskAttempt) mayLaunch() bool {
 	peers := attempt.job.gang
-	return peers == nil || peers.MayLaunch() && (!attempt.waitsForPeersImages || attempt.job.imagesFetched())
+	return peers == nil || peers.MayLaunch() && (!attempt.waitsForPeerImages || attempt.job.imagesFetched())
 }
 
-// ending reports whether the attempt is to be stopped, now or once its disruption is durable.
-func (attempt *taskAttempt) ending() bool {
+// stopPending reports whether a stop of the attempt is requested, or will be once its disruption is durable.
+func (attempt *taskAttempt) stopPending() bool {
 	return attempt.stop.requested || attempt.pendingEviction != ""
 }
 
@@ -138,7 +139,8 @@
 	}
 }
 
-// placementSize returns the encoded size of a placement in bytes. One that cannot be encoded fits nowhere.
+// placementSize returns the encoded size of a placement in bytes. A placement that cannot be encoded gets a size that
+// fits into no record.
 func placementSize(placement state.Placement) int {
 	size, err := placement.EncodedSize()
 	if err != nil {
@@ -147,8 +149,8 @@
 	return size
 }
 
-// attemptsByID returns attempts in the order of their identifiers and tasks, so that decisions do not depend on the
-// order of a map.
+// attemptsByID returns attempts sorted by identifier and task, so that decisions do not depend on the map's iteration
+// order.
 func attemptsByID[K comparable](attempts map[K]*taskAttempt) []*taskAttempt {
 	sorted := slices.Collect(maps.Values(attempts))
 	slices.SortFunc(sorted, compareAttempts)
@@ -159,8 +161,8 @@
 	return cmp.Or(cmp.Compare(a.id, b.id), a.taskIndex-b.taskIndex)
 }
 
-// registerAttempt records that an attempt may exist from now on: for its job, its machine, its team's quota and its
-// gang. The room that was reserved for it is its own now.
+// registerAttempt records that an attempt may exist from now on, in its job, machine, team quota and gang. The attempt
+// takes over the capacity that was reserved for it.
 func (m *Manager) registerAttempt(attempt *taskAttempt) {
 	job := attempt.job
 	attempt.taskName = wire.TaskName(job.id(), attempt.taskIndex)
@@ -179,14 +181,14 @@
 	m.publisher.markJob(job)
 }
 
-// stopAttempt asks for the end of an attempt. One that was never launched ends at once.
+// stopAttempt requests that an attempt be stopped. An attempt that was never launched is released at once.
 func (m *Manager) stopAttempt(now micros.Timestamp, attempt *taskAttempt, graceS float64, cause disruption.Cause) {
 	m.beginDisruption(now, attempt, cause)
 	if neverLaunched(attempt) {
-		m.releaseAttempt(now, attempt, goneNeverLaunched)
+		m.releaseAttempt(now, attempt, provenNeverLaunched)
 		return
 	}
 	if attempt.stop.request(graceS) {
-		m.pushes.mark(attempt.machine)
+		m.pushes.addCandidate(attempt.machine)
 	}
 }
--- a/internal/manager/bench_test.go
+++ b/internal/manager/bench_test.go
@@ -12,10 +12,10 @@
 	"saffronbend/wire"
 )
 
-// fleetSizes are the numbers of machines for which costs are measured.
+// fleetSizes are the fleet sizes, in machines, that the benchmarks measure.
 var fleetSizes = []int{500, 1000, 2000, 4000}
 
-// runBySize runs a benchmark for each number of machines.
+// runBySize runs a benchmark for each fleet size.
 func runBySize(b *testing.B, run func(b *testing.B, machines int)) {
 	b.Helper()
 	for _, machines := range fleetSizes {
@@ -23,11 +23,11 @@
 	}
 }
 
-// newLargeFleet returns the Manager of a term with machines that run 8 tasks each. next returns the machines' unchanged
-// heartbeats in turn.
+// newLargeFleet returns a Manager with the given number of machines, each of which runs 8 tasks. next returns the
+// machines' heartbeats in turn, with only the sequence number changed.
 func newLargeFleet(b *testing.B, machines int) (m *Manager, now *micros.Timestamp, next func() *wire.Heartbeat) {
 	b.Helper()
-	const each = 8
+	const tasksPerMachine = 8
 	now = new(micros.Timestamp)
 	*now = 1000
 	m, err := New(*now, Config{
@@ -56,7 +56,7 @@
 	for range machines {
 		m.Heartbeat(*now, next(), "", true)
 	}
-	fillFleet(m, *now, heartbeats, each)
+	fillFleet(m, *now, heartbeats, tasksPerMachine)
 	for _, heartbeat := range heartbeats {
 		for _, attempt := range attemptsByID(m.machines.byID[heartbeat.Machine].attempts) {
 			heartbeat.Tasks = append(heartbeat.Tasks, runningTask(attempt.taskName, attempt.id))
@@ -82,16 +82,16 @@
 	return heartbeats
 }
 
-// fillFleet places the tasks of 100 jobs, so many on each machine, and commits the writes.
-func fillFleet(m *Manager, now micros.Timestamp, heartbeats []*wire.Heartbeat, each int) {
+// fillFleet places the tasks of 100 jobs, tasksPerMachine on each machine, and commits the writes.
+func fillFleet(m *Manager, now micros.Timestamp, heartbeats []*wire.Heartbeat, tasksPerMachine int) {
 	const jobs = 100
 	for j := range jobs {
 		id := wire.JobID(fmt.Sprintf("run-%06d", j+1))
-		rec := record(id, len(heartbeats)*each/jobs, nil)
+		rec := record(id, len(heartbeats)*tasksPerMachine/jobs, nil)
 		m.OpenRecordChanged(now, now, 0, rec, uint64(j+1))
 		for k := range len(heartbeats) / jobs {
 			machine := heartbeats[j*len(heartbeats)/jobs+k].Machine
-			request := lease.Request{Job: id, Machine: machine, Count: each, Duration: workerLease}
+			request := lease.Request{Job: id, Machine: machine, Count: tasksPerMachine, Duration: workerLease}
 			m.Grant(now, lease.Transaction{Requests: []lease.Request{request}})
 		}
 	}
@@ -104,7 +104,7 @@
 	}
 }
 
-// BenchmarkHeartbeat measures a heartbeat without changes.
+// BenchmarkHeartbeat measures a heartbeat that reports no changes.
 func BenchmarkHeartbeat(b *testing.B) {
 	runBySize(b, func(b *testing.B, machines int) {
 		b.Helper()
@@ -115,7 +115,7 @@
 	})
 }
 
-// BenchmarkPublishRound measures a quarter of a second of the leader: a twentieth of the machines report, then a
+// BenchmarkPublishRound measures the leader's work in a quarter of a second: a twentieth of the machines report, then a
 // snapshot and a follower's update are published.
 func BenchmarkPublishRound(b *testing.B) {
 	runBySize(b, func(b *testing.B, machines int) {
@@ -131,7 +131,7 @@
 	})
 }
 
-// BenchmarkMachinesListed measures a list of the cloud without changes.
+// BenchmarkMachinesListed measures a list of machines from the cloud that contains no changes.
 func BenchmarkMachinesListed(b *testing.B) {
 	runBySize(b, func(b *testing.B, machines int) {
 		b.Helper()
@@ -151,7 +151,8 @@
 	})
 }
 
-// BenchmarkTick measures what the leader does twice a second for the machines' leases and notices.
+// BenchmarkTick measures the periodic check of machines' leases and reclaim notices, which the leader runs twice a
+// second.
 func BenchmarkTick(b *testing.B) {
 	runBySize(b, func(b *testing.B, machines int) {
 		b.Helper()
@@ -162,8 +163,7 @@
 	})
 }
 
-// BenchmarkWholeSnapshot measures what a follower that has just connected costs the leader: the whole snapshot,
-// encoded.
+// BenchmarkWholeSnapshot measures the cost of a newly connected follower to the leader: encoding the whole snapshot.
 func BenchmarkWholeSnapshot(b *testing.B) {
 	runBySize(b, func(b *testing.B, machines int) {
 		b.Helper()
@@ -180,7 +180,7 @@
 	})
 }
 
-// BenchmarkHeap reports the memory that the Resource Manager holds for a full fleet.
+// BenchmarkHeap reports the heap memory that a Manager uses with a fully loaded fleet.
 func BenchmarkHeap(b *testing.B) {
 	runBySize(b, func(b *testing.B, machines int) {
 		b.Helper()
@@ -197,8 +197,8 @@
 	})
 }
 
-// BenchmarkPushesAllInFlight measures CommandPushes, which the leader calls all the time, while as many pushes as may
-// be are in flight and all machines are candidates.
+// BenchmarkPushesAllInFlight measures CommandPushes while the maximum number of pushes is in flight and every machine
+// is a candidate. The leader's event loop calls CommandPushes continually.
 func BenchmarkPushesAllInFlight(b *testing.B) {
 	runBySize(b, func(b *testing.B, machines int) {
 		b.Helper()
@@ -213,8 +213,8 @@
 	})
 }
 
-// BenchmarkReserveForWaitingJobs measures what the leader does twice a second while eight jobs of large tasks have
-// waited long and all machines are full of small ones.
+// BenchmarkReserveForWaitingJobs measures the reservation of machines, which the leader runs twice a second, while
+// eight jobs with large tasks have waited long and all machines are full of small tasks.
 func BenchmarkReserveForWaitingJobs(b *testing.B) {
 	runBySize(b, func(b *testing.B, machines int) {
 		b.Helper()
@@ -237,7 +237,7 @@
 	})
 }
 
-// BenchmarkRebalanceSnapshot measures what the leader does every two seconds for the planner of moves.
+// BenchmarkRebalanceSnapshot measures the input of the rebalancing planner, which the leader builds every two seconds.
 func BenchmarkRebalanceSnapshot(b *testing.B) {
 	runBySize(b, func(b *testing.B, machines int) {
 		b.Helper()
--- a/internal/manager/commands.go
+++ b/internal/manager/commands.go
@@ -6,26 +6,28 @@
 )
 
 const (
-	// maxAnswerCommands keeps the line of an answer below 64 KiB. The rest follows with the next heartbeat.
-	maxAnswerCommands = 400
-	// answerLifetime is how long after its heartbeat an agent accepts an answer.
-	answerLifetime = 4 * micros.Second
+	// maxResponseCommands keeps the encoded response below 64 KiB. Further commands follow with the next heartbeat.
+	maxResponseCommands = 400
+	// responseLifetime is how long after sending a heartbeat an agent accepts the response to it.
+	responseLifetime = 4 * micros.Second
 )
 
-// LaunchBeforeStopAfter returns until how long after a job's cancellation, at the earliest time at which it may have
-// been confirmed, an attempt may be launched and stopped in one answer, so that a late launch finds it known: the
-// agent must have received the answer before the cancel timeout is over.
-func LaunchBeforeStopAfter(cancelTimeout micros.Duration) micros.Duration {
-	return cancelTimeout - answerLifetime - micros.Second
+// LaunchAndStopWindow returns for how long after a job's cancellation one heartbeat response may both launch and stop
+// an attempt, so that a launch arriving late finds the attempt known to the agent. The window starts at the earliest
+// time at which the cancellation may have been confirmed. It ends early enough for the agent to receive the response
+// before the cancel timeout is over.
+func LaunchAndStopWindow(cancelTimeout micros.Duration) micros.Duration {
+	return cancelTimeout - responseLifetime - micros.Second
 }
 
-// answerCommands returns the commands that answer a heartbeat that has been reconciled: what to clear, stop and launch.
-func (m *Manager) answerCommands(
+// responseCommands returns the commands for the response to a heartbeat that has been reconciled: what the agent is to
+// clear, stop and launch.
+func (m *Manager) responseCommands(
 	now micros.Timestamp, machine *machineState, heartbeat *wire.Heartbeat, mayLaunch bool,
 ) []wire.Command {
 	commands := []wire.Command{}
 	for i := range heartbeat.Tasks {
-		if len(commands) >= maxAnswerCommands {
+		if len(commands) >= maxResponseCommands {
 			break
 		}
 		commands = m.appendTaskCommand(commands, machine, &heartbeat.Tasks[i])
@@ -34,7 +36,7 @@
 		if attempt.incarnation != heartbeat.Incarnation || !attempt.durable {
 			continue
 		}
-		if len(commands) >= maxAnswerCommands {
+		if len(commands) >= maxResponseCommands {
 			break
 		}
 		commands = m.appendAttemptCommands(now, commands, attempt, heartbeat.Sequence, mayLaunch)
@@ -42,13 +44,13 @@
 	return commands
 }
 
-// appendTaskCommand appends the command for a listed task that needs one by itself: exited tasks are cleared, orphans
-// are stopped.
+// appendTaskCommand appends the command that a listed task requires regardless of the known attempts: exited tasks are
+// cleared and orphan tasks are stopped.
 func (m *Manager) appendTaskCommand(
 	commands []wire.Command, machine *machineState, status *wire.TaskStatus,
 ) []wire.Command {
 	if status.State == wire.TaskExited {
-		if !m.resultUnwritten(status) && machine.clearTombstone(keyOf(status)) {
+		if !m.resultUnwritten(status) && machine.clearTombstone(attemptKeyOf(status)) {
 			commands = append(commands, wire.Command{Op: wire.OpClear, Task: status.Task, Attempt: status.Attempt})
 		}
 		return commands
@@ -59,8 +61,8 @@
 	return commands
 }
 
-// resultUnwritten reports whether an exited task has a result that is not durable yet: the task must not be cleared
-// before.
+// resultUnwritten reports whether an exited task has a result that is not durable yet. Such a task must not be cleared,
+// or the result could be lost.
 func (m *Manager) resultUnwritten(status *wire.TaskStatus) bool {
 	id, task, ok := wire.ParseTaskName(status.Task)
 	job := m.jobs.byID[id]
@@ -68,8 +70,8 @@
 		job.taskPhases[task] == taskDone && status.ExitReason == wire.ExitCompleted
 }
 
-// appendAttemptCommands appends the commands that an attempt needs in the answer to the heartbeat with a sequence
-// number.
+// appendAttemptCommands appends the commands that an attempt requires in the response to the heartbeat with the given
+// sequence number.
 func (m *Manager) appendAttemptCommands(
 	now micros.Timestamp, commands []wire.Command, attempt *taskAttempt, sequence wire.HeartbeatSeq, mayLaunch bool,
 ) []wire.Command {
@@ -81,23 +83,24 @@
 	case attempt.stop.requested:
 		if attempt.launch.push == pushOutcomeUnknown && m.mayStopLateLaunch(now, attempt.job) {
 			attempt.machine.tombstones[attempt.key()] = tombstone{job: attempt.job}
-			attempt.launch.answerSeq = sequence
+			attempt.launch.responseSeq = sequence
 			return append(commands, launchCommand(attempt), stopCommand(attempt, 0))
 		}
 	case mayLaunch && attempt.launch.push != pushInFlight && attempt.machine.agent.tokenAcknowledged &&
 		attempt.grantedThisTerm && attempt.mayLaunch():
-		attempt.launch.answerSeq = sequence
+		attempt.launch.responseSeq = sequence
 		return append(commands, launchCommand(attempt))
 	}
 	return commands
 }
 
-// mayStopLateLaunch reports whether an attempt of a job, whose launch was pushed with an unknown outcome, may be
-// launched and stopped in one answer, and never cleared, so that the late launch finds it known and starts nothing.
-// An agent that has gone without an answer until the cancel timeout is nearly over has begun a new incarnation by
-// then, since the timeout is longer than its lease; and agents drop answers that are older than answerLifetime.
+// mayStopLateLaunch reports whether an attempt of a job, after a push of its launch with an unknown outcome, may be
+// launched and stopped in one response. Such an attempt is never cleared, so that a push arriving late finds it known
+// to the agent and starts nothing. This is safe because an agent that has received no response until the cancel timeout
+// is nearly over has begun a new incarnation by then, since that timeout is longer than its lease; and because agents
+// discard responses that are older than responseLifetime.
 func (m *Manager) mayStopLateLaunch(now micros.Timestamp, job *jobState) bool {
-	return !job.final() || now < job.finalSince.Add(LaunchBeforeStopAfter(m.cfg.CancelTimeout))
+	return !job.final() || now < job.finalSince.Add(LaunchAndStopWindow(m.cfg.CancelTimeout))
 }
 
 func launchCommand(attempt *taskAttempt) wire.Command {
--- a/internal/manager/costs.go
+++ b/internal/manager/costs.go
@@ -7,28 +7,28 @@
 	"saffronbend/wire"
 )
 
-// costReportInterval is how often the costs are reported as an event.
+// costReportInterval is how often the costs are written to the operators' log.
 const costReportInterval = micros.Minute
 
-// costAccount is what the machines of this term have cost, by use. A machine's price is split by the share of its
-// processors.
+// costAccount accumulates the costs of the machines in this term by kind of use. The price of a machine is divided
+// according to the share of its CPUs that each use takes.
 type costAccount struct {
-	running  float64 // attempts that run
-	wasted   float64 // the part of running that ended without a result
-	fetching float64 // attempts that do not run yet
-	booting  float64 // machines that start
-	idle     float64 // processors without an attempt
-	silent   float64 // machines that do not report
+	running      float64 // attempts that run
+	wasted       float64 // the part of running that was spent on attempts that ended without a result
+	fetching     float64 // attempts that do not run yet
+	booting      float64 // machines that are starting
+	idle         float64 // CPUs without an attempt
+	notReporting float64 // machines that do not report
 
 	accountedUntil micros.Timestamp
 	reportedAt     micros.Timestamp
 }
 
 func (costs *costAccount) total() float64 {
-	return costs.running + costs.fetching + costs.booting + costs.idle + costs.silent
+	return costs.running + costs.fetching + costs.booting + costs.idle + costs.notReporting
 }
 
-// accountCosts adds the costs since the last call.
+// accountCosts adds the costs incurred since the last call.
 func (m *Manager) accountCosts(now micros.Timestamp) {
 	costs := &m.costs
 	if costs.accountedUntil == 0 {
@@ -46,7 +46,7 @@
 	}
 }
 
-// addMachine adds what a machine has cost in some hours.
+// addMachine adds the cost of a machine for a number of hours.
 func (costs *costAccount) addMachine(machine *machineState, hours float64) {
 	if machine.machineType == nil || machine.listing.state == wire.MachineFailed || machine.machineType.CPUs <= 0 {
 		return
@@ -56,7 +56,7 @@
 	case !machine.agent.reporting && machine.listing.state == wire.MachineStarting:
 		costs.booting += cost
 	case !machine.agent.reporting || !machine.agent.tokenAcknowledged:
-		costs.silent += cost
+		costs.notReporting += cost
 	default:
 		running, fetching := machine.cpuShares()
 		costs.running += cost * running
@@ -65,7 +65,8 @@
 	}
 }
 
-// cpuShares returns the shares of a machine's processors that attempts use which run, and which do not run yet.
+// cpuShares returns the shares of a machine's CPUs that are used by running attempts and by attempts that do not run
+// yet.
 func (machine *machineState) cpuShares() (running, fetching float64) {
 	for _, attempt := range machine.attempts {
 		share := attempt.spec().CPUs / machine.machineType.CPUs
@@ -78,7 +79,7 @@
 	return running, fetching
 }
 
-// addWastedRun adds a run that ended without a result.
+// addWastedRun adds the cost of an attempt that ended without a result.
 func (costs *costAccount) addWastedRun(now micros.Timestamp, attempt *taskAttempt) {
 	machine := attempt.machine
 	if attempt.runningSince == 0 || machine.machineType == nil || machine.machineType.CPUs <= 0 {
@@ -88,7 +89,7 @@
 	costs.wasted += share * now.Sub(attempt.runningSince).Seconds() / 3600
 }
 
-// hourlyPrice returns the machine's current price an hour. Its type must be known.
+// hourlyPrice returns the machine's current price per hour. The machine's type must be known.
 func (machine *machineState) hourlyPrice() float64 {
 	if machine.spot {
 		return machine.machineType.SpotPrice
@@ -103,5 +104,5 @@
 	m.event("machine costs in this term by use", "cost", math.Round(total*1000)/1000,
 		"running_pct", percent(costs.running), "wasted_pct", percent(costs.wasted),
 		"fetching_pct", percent(costs.fetching), "booting_pct", percent(costs.booting),
-		"idle_pct", percent(costs.idle), "silent_pct", percent(costs.silent), "machines", len(m.machines.byID))
+		"idle_pct", percent(costs.idle), "silent_pct", percent(costs.notReporting), "machines", len(m.machines.byID))
 }
--- a/internal/manager/costs_test.go
+++ b/internal/manager/costs_test.go
@@ -6,7 +6,7 @@
 	"saffronbend/wire"
 )
 
-// An hour of a machine is split by what its processors are used for.
+// Divides the cost of one hour of a machine by the use of its CPUs.
 func TestMachineCosts(t *testing.T) {
 	attempt := func(cpus float64, taskState wire.TaskState) *taskAttempt {
 		record := record("run-1", 1, func(job *wire.Job) { job.CPUs = cpus })
@@ -18,18 +18,18 @@
 		machine machineState
 		want    costAccount
 	}{
-		{"it starts", machineState{listing: cloudListing{state: wire.MachineStarting}}, costAccount{booting: 2}},
-		{"it does not report", machineState{listing: cloudListing{state: wire.MachineRunning}}, costAccount{silent: 2}},
-		{"it has failed", machineState{listing: cloudListing{state: wire.MachineFailed}}, costAccount{}},
-		{"it has another leader's token", machineState{agent: agentState{reporting: true}}, costAccount{silent: 2}},
-		{"it is idle", machineState{agent: agentState{reporting: true, tokenAcknowledged: true}}, costAccount{idle: 2}},
-		{"it is a spot machine",
+		{"starting", machineState{listing: cloudListing{state: wire.MachineStarting}}, costAccount{booting: 2}},
+		{"not reporting", machineState{listing: cloudListing{state: wire.MachineRunning}}, costAccount{notReporting: 2}},
+		{"failed", machineState{listing: cloudListing{state: wire.MachineFailed}}, costAccount{}},
+		{"another leader's token", machineState{agent: agentState{reporting: true}}, costAccount{notReporting: 2}},
+		{"idle", machineState{agent: agentState{reporting: true, tokenAcknowledged: true}}, costAccount{idle: 2}},
+		{"idle spot machine",
 			machineState{spot: true, agent: agentState{reporting: true, tokenAcknowledged: true}}, costAccount{idle: 1}},
-		{"half of it runs a task", machineState{
+		{"half of the CPUs run a task", machineState{
 			agent:    agentState{reporting: true, tokenAcknowledged: true},
 			attempts: map[string]*taskAttempt{"run-1/0": half},
 		}, costAccount{running: 1, idle: 1}},
-		{"a quarter of it fetches", machineState{
+		{"a quarter of the CPUs wait for an image", machineState{
 			agent:    agentState{reporting: true, tokenAcknowledged: true},
 			attempts: map[string]*taskAttempt{"run-1/0": half, "run-1/1": attempt(2, wire.TaskFetching)},
 		}, costAccount{running: 1, fetching: 0.5, idle: 0.5}},
--- a/internal/manager/disruptions.go
+++ b/internal/manager/disruptions.go
@@ -47,7 +47,7 @@
 // any more: the agent has our token.
 func (m *Manager) endDisruptionIfRunning(now micros.Timestamp, attempt *taskAttempt) {
 	disrupted, ok := m.ledger.Get(attempt.task())
-	if !ok || disrupted.Attempt == attempt.id && attempt.ending() {
+	if !ok || disrupted.Attempt == attempt.id && attempt.stopPending() {
 		return
 	}
 	m.endDisruption(now, attempt.job, attempt.taskIndex)
@@ -74,7 +74,7 @@
 		id, shardIndex, ok := state.ParseDisruptionKey(item.Key)
 		job := m.jobs.byID[id]
 		if !ok || job == nil {
-			m.writes.deleteOrphan(item)
+			m.writes.queueOrphanDeletion(item)
 			continue
 		}
 		var record state.DisruptionRecord
@@ -163,7 +163,7 @@
 		return nil
 	}
 	var evictions []*taskAttempt
-	first, end := job.tasksOf(shardIndex)
+	first, end := job.taskRange(shardIndex)
 	for task := first; task < end; task++ {
 		if attempt := job.active[task]; attempt != nil && attempt.pendingEviction != "" {
 			evictions = append(evictions, attempt)
--- a/internal/manager/disruptions_test.go
+++ b/internal/manager/disruptions_test.go
@@ -12,7 +12,7 @@
 
 // A loss counts once, whichever way it becomes known, and however often.
 func TestLossCountsOnce(t *testing.T) {
-	running := taskStatus("run-1/0", first, "running")
+	running := taskStatus("run-1/0", firstAttempt, "running")
 	for _, c := range []struct {
 		name string
 		lose func(*harness)
@@ -39,7 +39,7 @@
 			h.advance(20 * micros.Second)
 			h.commitWrites()
 			h.heartbeat("n-4-a", token, 1)
-			h.heartbeat("n-4-a", token, 1, taskStatus("run-1/0", first+1, "running"))
+			h.heartbeat("n-4-a", token, 1, taskStatus("run-1/0", firstAttempt+1, "running"))
 			h.heartbeatWithSeq(4, "n-1-a", token, 1, running)
 			h.tick()
 			h.want(h.openDisruptions(), "")
@@ -57,7 +57,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newDrainHarness(t, nil, nil, nil)
 			h.runTask()
-			h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, c.exit))
+			h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, c.exit))
 			h.want(h.openDisruptions(), "")
 		})
 	}
@@ -76,18 +76,18 @@
 // task already writes its checkpoint goes on.
 func TestDisruptionsSurviveTheLeader(t *testing.T) {
 	const before = 5<<attemptBits | 3
-	open := []wire.KeyValue{item("open/run-1", 4, record("run-1", 3, savesProgress))}
-	progress := []wire.KeyValue{item("tasks/run-1/0", 6, state.ProgressRecord{Active: []state.Placement{
+	open := []wire.KeyValue{storedItem("open/run-1", 4, record("run-1", 3, withCheckpoints))}
+	progress := []wire.KeyValue{storedItem("tasks/run-1/0", 6, state.ProgressRecord{Active: []state.Placement{
 		{Task: 0, Machine: "n-1-a", Attempt: before, Incarnation: 1},
 		{Task: 1, Machine: "n-1-a", Attempt: before + 1, Incarnation: 1},
 	}})}
 	disruptions := []wire.KeyValue{
-		item("disruption/run-1/0", 6, state.DisruptionRecord{Open: []state.OpenDisruption{
+		storedItem("disruption/run-1/0", 6, state.DisruptionRecord{Open: []state.OpenDisruption{
 			{Task: 0, Attempt: before, Cause: "drain"},
 			{Task: 1, Attempt: before + 1, Cause: "drain"},
 			{Task: 2, Attempt: before + 2, Cause: "lost"},
 		}}),
-		item("disruption/run-9/0", 7, state.DisruptionRecord{Open: []state.OpenDisruption{
+		storedItem("disruption/run-9/0", 7, state.DisruptionRecord{Open: []state.OpenDisruption{
 			{Task: 0, Attempt: before, Cause: "lost"},
 		}}),
 	}
@@ -108,7 +108,7 @@
 	h.submit("run-2", 1, func(j *wire.Job) { j.CPUs, j.PriorityName, j.Team = 8, "critical", "blue" })
 	h.advance(3 * micros.Second)
 	h.start("n-2-a")
-	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "running"))
+	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "running"))
 	h.m.Preempt(h.now, func() bool { return false })
 	h.want(h.openDisruptions(), "run-1/0 preemption")
 }
--- a/internal/manager/drains.go
+++ b/internal/manager/drains.go
@@ -94,7 +94,7 @@
 func (m *Manager) drainMachine(now micros.Timestamp, machine *machineState) drain.Machine {
 	drained := drain.Machine{
 		ID:           machine.id,
-		Heartbeating: m.known(now, machine),
+		Heartbeating: m.hasCurrentStatus(now, machine),
 		Deleting:     machine.deleting,
 		Empty:        machine.empty() && m.resultsDurable(machine),
 	}
@@ -149,7 +149,7 @@
 // addTeamUsage adds the tasks on a machine. What is on a machine that does not report may be lost already, so it
 // counts as disrupted until more is known.
 func (m *Manager) addTeamUsage(now micros.Timestamp, machine *machineState, usage map[wire.TeamName]drain.TeamUsage) {
-	known := m.known(now, machine)
+	known := m.hasCurrentStatus(now, machine)
 	for _, attempt := range machine.attempts {
 		if _, disrupted := m.ledger.Get(attempt.task()); disrupted || !attempt.launched() || attempt.job.final() {
 			continue
--- a/internal/manager/drains_test.go
+++ b/internal/manager/drains_test.go
@@ -16,7 +16,7 @@
 	h.submit("run-2", 4, nil)
 	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-1-a": true, "n-2-a": true}, nil)
 	h.want(h.grant("run-2", "n-2-a", 1), 0)
-	wait := lease.Transaction{Requests: []lease.Request{{Job: "run-2", Machine: "n-1-a", WaitFor: first}}}
+	wait := lease.Transaction{Requests: []lease.Request{{Job: "run-2", Machine: "n-1-a", WaitFor: firstAttempt}}}
 	h.want(h.m.Grant(h.now, wait).Granted[0], 0)
 	h.advance(micros.Minute)
 	h.start("n-2-a")
@@ -35,7 +35,7 @@
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
 	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-1-a": true}, nil)
-	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "ended done"))
+	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "ended done"))
 	h.want(h.m.DrainSnapshot(h.now).Machines["n-1-a"].Empty, false)
 	h.commitWrites()
 	h.want(h.m.DrainSnapshot(h.now).Machines["n-1-a"].Empty, true)
@@ -46,7 +46,7 @@
 func TestFetchingTaskMayRun(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.placeTask()
-	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "fetching"))
+	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "fetching"))
 	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-1-a": true}, nil)
 	h.want(h.m.DrainSnapshot(h.now).Machines["n-1-a"].Attempts[0].Checkpoints, false)
 }
--- a/internal/manager/estimates_test.go
+++ b/internal/manager/estimates_test.go
@@ -12,7 +12,7 @@
 // not.
 func TestEstimatesAreCorrectedByClass(t *testing.T) {
 	h := newHarness(t, nil, nil)
-	next := first
+	next := firstAttempt
 	for i := range 12 {
 		id := wire.JobID(fmt.Sprintf("run-%d", i))
 		h.submit(id, 1, func(j *wire.Job) { j.Class, j.EstimateS = "rush", 40 })
--- a/internal/manager/evictions.go
+++ b/internal/manager/evictions.go
@@ -74,7 +74,7 @@
 // load on its machine from the moment at which it is placed, though its task is still disrupted.
 func (m *Manager) leaving(attempt *taskAttempt) bool {
 	disrupted, ok := m.ledger.Get(attempt.task())
-	return attempt.ending() || ok && disrupted.Attempt == attempt.id || attempt.job.final()
+	return attempt.stopPending() || ok && disrupted.Attempt == attempt.id || attempt.job.final()
 }
 
 // destinationsFor returns a machine for the successor of each evicted attempt of a job; ok is false if there is not
--- a/internal/manager/exits.go
+++ b/internal/manager/exits.go
@@ -8,7 +8,7 @@
 	"saffronbend/wire"
 )
 
-// taskExit is a task that an agent lists as exited. It lists it until it is told to clear it.
+// taskExit is a task that an agent lists as exited. The agent keeps listing it until it is told to clear it.
 type taskExit struct {
 	machine *machineState
 	job     *jobState
@@ -16,40 +16,40 @@
 	status  *wire.TaskStatus
 }
 
-// of reports whether the exit is that of an attempt; nil: of none.
-func (exit *taskExit) of(attempt *taskAttempt) bool {
+// belongsTo reports whether the exited task is the given attempt, which may be nil.
+func (exit *taskExit) belongsTo(attempt *taskAttempt) bool {
 	return attempt != nil && attempt.id == exit.status.Attempt && attempt.machine == exit.machine
 }
 
-// completedTask is a task whose result was reported.
+// completedTask is a task whose result has been reported.
 type completedTask struct {
 	job  *jobState
 	task int
 }
 
-// applyExit applies that a task has exited; attempt is the task's active one, or nil.
+// applyExit handles the exit of a task. attempt is the task's active attempt, or nil.
 func (m *Manager) applyExit(now micros.Timestamp, exit taskExit, attempt *taskAttempt) {
-	if _, ok := exit.machine.tombstones[keyOf(exit.status)]; ok && attempt == nil {
-		return // applied before, and still listed because it is not cleared
+	if _, ok := exit.machine.tombstones[attemptKeyOf(exit.status)]; ok && attempt == nil {
+		return // handled before; still listed because it has not been cleared
 	}
 	switch {
 	case exit.status.ExitReason == wire.ExitCompleted:
 		m.applyCompletion(now, exit, attempt)
-	case exit.of(attempt):
-		m.applyUnfinishedExit(now, exit, attempt)
+	case exit.belongsTo(attempt):
+		m.applyUnsuccessfulExit(now, exit, attempt)
 	}
 }
 
-// applyCompletion applies a result. It counts from whichever attempt it comes.
+// applyCompletion handles the result of a task. The result is valid whichever attempt it comes from.
 func (m *Manager) applyCompletion(now micros.Timestamp, exit taskExit, attempt *taskAttempt) {
 	job := exit.job
 	if job.taskPhases[exit.task] < taskDone {
 		m.recordResult(now, exit, attempt)
 	}
 	exit.machine.useImage(now, job.spec(), true)
-	if exit.of(attempt) {
+	if exit.belongsTo(attempt) {
 		m.addTombstone(attempt, true)
-		m.releaseAttempt(now, attempt, exitOf(*exit.status))
+		m.releaseAttempt(now, attempt, exitProof(*exit.status))
 	} else if attempt != nil {
 		m.stopAttempt(now, attempt, 0, disruption.Lost)
 	}
@@ -59,10 +59,10 @@
 	if job.allDone() {
 		m.estimates.learn(job)
 	}
-	m.writes.queueFinal(job)
+	m.writes.queueFinalWrites(job)
 }
 
-// recordResult records the first result of a task, and what it says about the machine and the job's run time.
+// recordResult records the first result of a task, and what its run time shows about the machine and the job.
 func (m *Manager) recordResult(now micros.Timestamp, exit taskExit, attempt *taskAttempt) {
 	machine, job := exit.machine, exit.job
 	m.completeTask(now, job, exit.task)
@@ -70,8 +70,8 @@
 		machine.unwrittenResults = append(machine.unwrittenResults, completedTask{job: job, task: exit.task})
 	}
 	job.failuresByMachine = map[wire.MachineID]int{}
-	// Of a run that began under an earlier leader only the end is known.
-	if exit.of(attempt) && attempt.grantedThisTerm && attempt.runningSince != 0 {
+	// For an attempt that began under an earlier leader, only the end of the run is known.
+	if exit.belongsTo(attempt) && attempt.grantedThisTerm && attempt.runningSince != 0 {
 		runTime := now.Sub(attempt.runningSince)
 		m.recordRunTime(machine, job, runTime)
 		m.publisher.addRun(snapshot.CompletedRun{
@@ -84,8 +84,8 @@
 	}
 }
 
-// applyUnfinishedExit applies that an attempt has exited without a result.
-func (m *Manager) applyUnfinishedExit(now micros.Timestamp, exit taskExit, attempt *taskAttempt) {
+// applyUnsuccessfulExit handles the exit of an attempt that has no result.
+func (m *Manager) applyUnsuccessfulExit(now micros.Timestamp, exit taskExit, attempt *taskAttempt) {
 	switch {
 	case exit.job.gang != nil:
 		m.applyGangExit(now, exit, attempt)
@@ -93,20 +93,20 @@
 		m.recordFailure(now, exit.machine, exit.job)
 	}
 	m.addTombstone(attempt, false)
-	m.releaseAttempt(now, attempt, exitOf(*exit.status))
+	m.releaseAttempt(now, attempt, exitProof(*exit.status))
 }
 
-// applyGangExit applies why a task of a gang has ended without a result. That a peer is gone, or that the gang was
-// not complete in time, says nothing about the machine. What failed first does, and the gang is not placed there
-// again until it has succeeded elsewhere.
+// applyGangExit handles the exit of a gang's task that has no result. If the task exited because a peer had terminated
+// or because the gang was not complete in time, that says nothing about the machine. The first failure in a gang does:
+// the gang is not placed on that machine again until it has succeeded elsewhere.
 func (m *Manager) applyGangExit(now micros.Timestamp, exit taskExit, attempt *taskAttempt) {
-	first := exit.job.gang.Phase() != gang.Aborting
+	firstFailure := exit.job.gang.Phase() != gang.Aborting
 	switch reason := exit.status.ExitReason; {
 	case reason == wire.ExitStopped:
 		attempt.checkpointSaved = exit.status.CheckpointSaved
-	case first && reason == wire.ExitError:
+	case firstFailure && reason == wire.ExitError:
 		m.recordFailure(now, exit.machine, exit.job)
-	case first && refusedByMachine(reason):
+	case firstFailure && refusedByMachine(reason):
 		m.recordRefusal(exit.machine, exit.job)
 	}
 }
--- a/internal/manager/gangs.go
+++ b/internal/manager/gangs.go
@@ -15,12 +15,12 @@
 	case gang.Launch:
 		m.holdLaunchesForImages(job)
 		for _, attempt := range job.active {
-			m.pushes.mark(attempt.machine)
+			m.pushes.addCandidate(attempt.machine)
 		}
 	case gang.Stop:
 		for _, attempt := range attemptsByID(job.active) {
-			if m.overdue(now, attempt.machine) {
-				attempt.machine.health.unreliableUntil = now.Add(unreliableFor) // it may report again soon
+			if m.heartbeatOverdue(now, attempt.machine) {
+				attempt.machine.health.unreliableUntil = now.Add(unreliablePeriod) // it may report again soon
 			}
 			m.stopAttempt(now, attempt, 0, cause)
 		}
@@ -56,14 +56,14 @@
 		}
 	}
 	for _, attempt := range withImage {
-		attempt.waitsForPeersImages = longFetch
+		attempt.waitsForPeerImages = longFetch
 	}
 }
 
 // imagesFetched reports whether the tasks of a gang that had to fetch their image have it.
 func (job *jobState) imagesFetched() bool {
 	for _, attempt := range job.active {
-		if !attempt.waitsForPeersImages &&
+		if !attempt.waitsForPeerImages &&
 			attempt.reportedState != wire.TaskWaitingForGang && attempt.reportedState != wire.TaskRunning {
 			return false
 		}
@@ -75,7 +75,7 @@
 // does not arrive: its peers would wait for it in vain.
 func (m *Manager) abortUnlaunchableGangs(now micros.Timestamp, machine *machineState) {
 	unreachableSince := machine.agent.unreachableSince
-	if unreachableSince == 0 || now.Sub(unreachableSince) < m.heartbeatDeadline() {
+	if unreachableSince == 0 || now.Sub(unreachableSince) < m.heartbeatTimeout() {
 		return
 	}
 	for _, attempt := range attemptsByID(machine.attempts) {
@@ -102,8 +102,8 @@
 	switch taskState {
 	case wire.TaskWaitingForGang:
 		for _, attempt := range job.active {
-			if attempt.waitsForPeersImages {
-				m.pushes.mark(attempt.machine)
+			if attempt.waitsForPeerImages {
+				m.pushes.addCandidate(attempt.machine)
 			}
 		}
 	case wire.TaskRunning:
@@ -130,11 +130,11 @@
 	saveTime := micros.Seconds(job.spec().CheckpointSaveS)
 	for _, attempt := range job.active {
 		machine, agent := attempt.machine, &attempt.machine.agent
-		delay := m.heartbeatDeadline()
-		if agent.pushWorks && agent.relayedBy == "" {
+		delay := m.heartbeatTimeout()
+		if agent.pushReachable && agent.relayedBy == "" {
 			delay = pushDelay
 		}
-		if m.overdue(now, machine) || agent.unreachableSince != 0 || delay > m.cfg.GangPeerTimeout ||
+		if m.heartbeatOverdue(now, machine) || agent.unreachableSince != 0 || delay > m.cfg.GangPeerTimeout ||
 			machine.reclaimAt != 0 && now.Add(delay+saveTime) > machine.reclaimAt {
 			return false
 		}
--- a/internal/manager/gangs_test.go
+++ b/internal/manager/gangs_test.go
@@ -14,7 +14,7 @@
 
 // twoTaskGang makes a job a gang that writes checkpoints.
 func twoTaskGang(job *wire.Job) {
-	savesProgress(job)
+	withCheckpoints(job)
 	job.Kind, job.CPUs = wire.KindGang, 8
 }
 
@@ -67,7 +67,7 @@
 	h.heartbeat("n-2-a", token, 1, taskStatus("run-1/1", id, "ended halted"))
 	h.want(h.gangPhase(), gang.Idle)
 	h.start("n-1-a", "n-2-a", "n-3-a")
-	h.want(h.m.suits(h.m.machines.byID["n-1-a"], h.m.jobs.byID["run-1"]), false) // it has failed there
+	h.want(h.m.eligibleFor(h.m.machines.byID["n-1-a"], h.m.jobs.byID["run-1"]), false) // it has failed there
 	h.grantGang("n-2-a", "n-3-a")
 }
 
@@ -80,7 +80,7 @@
 			h.heartbeat("n-1-a", token, 1)
 			h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", id, "ended "+string(reason)))
 			machine := h.m.machines.byID["n-1-a"]
-			h.want(h.m.suits(machine, h.m.jobs.byID["run-1"]), false)
+			h.want(h.m.eligibleFor(machine, h.m.jobs.byID["run-1"]), false)
 			h.want(machine.health.consecutiveFailures, 0)
 		})
 	}
@@ -99,16 +99,16 @@
 // So it does in the records of an earlier leader.
 func TestRecoveredGangIsDoneWithOneOfItsTasks(t *testing.T) {
 	done := state.EncodeDoneBitmap(2, func(task int) bool { return task == 0 })
-	open := openItem(record("run-1", 2, twoTaskGang))
-	progress := []wire.KeyValue{item(state.ProgressKey("run-1", 0), 6, state.ProgressRecord{Done: done})}
+	open := storedOpenJob(record("run-1", 2, twoTaskGang))
+	progress := []wire.KeyValue{storedItem(state.ProgressKey("run-1", 0), 6, state.ProgressRecord{Done: done})}
 	h := newHarness(t, open, progress)
 	h.want(h.m.jobs.byID["run-1"].allDone(), true)
 }
 
 // A gang of which only a part is recorded is stopped: its peers were never placed.
 func TestPartOfRecoveredGangIsStopped(t *testing.T) {
-	open := openItem(record("run-1", 2, twoTaskGang))
-	h := newHarness(t, open, placementItem(1))
+	open := storedOpenJob(record("run-1", 2, twoTaskGang))
+	h := newHarness(t, open, storedProgress(1))
 	h.want(h.gangPhase(), gang.Aborting)
 	h.heartbeat("n-1-a", token-1, 1, taskStatus("run-1/0", 99, "running"))
 	h.want(h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", 99, "running")), command("stop", "run-1/0", 99))
--- a/internal/manager/grants.go
+++ b/internal/manager/grants.go
@@ -52,7 +52,7 @@
 // rollBack withdraws what a transaction was granted before one of its requests failed.
 func (m *Manager) rollBack(now micros.Timestamp, granted []*taskAttempt) {
 	for _, attempt := range granted {
-		m.releaseAttempt(now, attempt, goneNeverLaunched)
+		m.releaseAttempt(now, attempt, provenNeverLaunched)
 	}
 }
 
--- a/internal/manager/harness_test.go
+++ b/internal/manager/harness_test.go
@@ -16,32 +16,33 @@
 )
 
 const (
-	token       = 7
+	token       = 7 // fencing token of the term under test
 	workerLease = 10 * micros.Second
-	// first is the identifier of the first attempt of the term.
-	first = token<<attemptBits | 1
-	// recovered is the identifier of the attempt that placementItem records: an earlier leader has granted it.
-	recovered = 99
+	// firstAttempt is the identifier of the first attempt of the term.
+	firstAttempt = token<<attemptBits | 1
+	// recoveredAttempt is the identifier of the attempt in the record that storedProgress returns. An earlier leader
+	// granted it.
+	recoveredAttempt = 99
 )
 
-// harness drives a Manager step by step, so that commands, heartbeats and writes can cross in any way.
+// harness drives a Manager step by step, so that commands, heartbeats and writes can be interleaved in any order.
 type harness struct {
 	*testing.T
 	m        *Manager
 	now      micros.Timestamp
 	seq      wire.HeartbeatSeq
-	revision uint64 // of the key-value store
-	// renewers are the records of controllers that renew worker leases in the leader's stead.
+	revision uint64 // current revision of the key-value store
+	// renewers are the records of the controllers that renew worker leases on behalf of the leader.
 	renewers []wire.KeyValue
 }
 
 func newHarness(t *testing.T, open, progress []wire.KeyValue) *harness {
 	t.Helper()
-	return newHarnessWith(t, open, progress, func(*Config) {})
+	return newHarnessWithConfig(t, open, progress, func(*Config) {})
 }
 
-// newHarnessWith returns a harness of a Manager with a configuration that differs from the usual.
-func newHarnessWith(t *testing.T, open, progress []wire.KeyValue, change func(*Config)) *harness {
+// newHarnessWithConfig returns a harness whose Manager has the default test configuration as modified by change.
+func newHarnessWithConfig(t *testing.T, open, progress []wire.KeyValue, change func(*Config)) *harness {
 	t.Helper()
 	cfg := Config{
 		FencingToken:      token,
@@ -66,10 +67,10 @@
 	return &harness{T: t, m: m, now: 1000, revision: 100}
 }
 
-// newDrainHarness returns a harness of a Manager that tracks disruptions.
+// newDrainHarness returns a harness whose Manager tracks disruptions.
 func newDrainHarness(t *testing.T, open, progress, disruptions []wire.KeyValue) *harness {
 	t.Helper()
-	h := newHarnessWith(t, open, progress, func(c *Config) {
+	h := newHarnessWithConfig(t, open, progress, func(c *Config) {
 		c.TrackDisruptions, c.ReservationTTL = true, 30*micros.Second
 	})
 	if err := h.m.RestoreDisruptions(h.now, disruptions); err != nil {
@@ -78,7 +79,7 @@
 	return h
 }
 
-// want fails the test unless two values are equal.
+// want fails the test unless got equals want.
 func (h *harness) want(got, want any) {
 	h.Helper()
 	if got != want {
@@ -88,7 +89,7 @@
 
 func (h *harness) advance(d micros.Duration) { h.now = h.now.Add(d) }
 
-// tick calls Tick twice if the first call requests the records of lease renewers.
+// tick calls Tick, and calls it again after reading the records of lease renewers if the first call requested them.
 func (h *harness) tick() {
 	h.m.Tick(h.now)
 	if h.m.NeedsLeaseRenewers() {
@@ -97,9 +98,9 @@
 	}
 }
 
-// Jobs and records.
+// Jobs and records
 
-// record returns the open record of a job of team red, with tasks of 4 processors.
+// record returns the open record of a job of team red whose tasks need 4 CPUs each.
 func record(id wire.JobID, tasks int, change func(*wire.Job)) state.OpenJobRecord {
 	job := wire.Job{
 		ID: id, Team: "red", Kind: wire.KindArray, PriorityName: "normal", Tasks: tasks,
@@ -111,20 +112,20 @@
 	return state.OpenJobRecord{Job: job, ShardSize: 48}
 }
 
-// cancelledRecord returns the open record of a job that its user has cancelled.
+// cancelledRecord returns the open record of a job that a user has cancelled.
 func cancelledRecord(id wire.JobID) state.OpenJobRecord {
-	rec := record(id, 1, savesProgress)
+	rec := record(id, 1, withCheckpoints)
 	rec.FinalState = wire.JobCancelled
 	return rec
 }
 
-// savesProgress makes a job's tasks write checkpoints.
-func savesProgress(job *wire.Job) { job.CheckpointIntervalS, job.CheckpointSaveS = 5, 1 }
+// withCheckpoints makes the tasks of a job write checkpoints.
+func withCheckpoints(job *wire.Job) { job.CheckpointIntervalS, job.CheckpointSaveS = 5, 1 }
 
-// smallTasks makes a job's tasks so small that hundreds fit on a machine.
-func smallTasks(job *wire.Job) { job.CPUs, job.MemoryGB = 0.1, 0.1 }
+// withSmallTasks makes the tasks of a job so small that hundreds fit on a machine.
+func withSmallTasks(job *wire.Job) { job.CPUs, job.MemoryGB = 0.1, 0.1 }
 
-func item(key string, version uint64, value any) wire.KeyValue {
+func storedItem(key string, version uint64, value any) wire.KeyValue {
 	data, err := json.Marshal(value)
 	if err != nil {
 		panic(err)
@@ -132,30 +133,30 @@
 	return wire.KeyValue{Key: key, Value: data, Version: version}
 }
 
-// openItem returns the open record of job run-1 as the store lists it.
-func openItem(rec state.OpenJobRecord) []wire.KeyValue {
-	return []wire.KeyValue{item(state.OpenJobKey("run-1"), 5, rec)}
+// storedOpenJob returns the open record of job run-1 in the form in which the store lists it.
+func storedOpenJob(rec state.OpenJobRecord) []wire.KeyValue {
+	return []wire.KeyValue{storedItem(state.OpenJobKey("run-1"), 5, rec)}
 }
 
-// placementItem returns the progress record of job run-1 with the attempt recovered on n-1-a, as the store
-// lists it.
-func placementItem(incarnation wire.AgentIncarnation) []wire.KeyValue {
-	placement := state.Placement{Task: 0, Machine: "n-1-a", Attempt: recovered, Incarnation: incarnation}
+// storedProgress returns the progress record of job run-1, with recoveredAttempt placed on n-1-a, in the form in which
+// the store lists it.
+func storedProgress(incarnation wire.AgentIncarnation) []wire.KeyValue {
+	placement := state.Placement{Task: 0, Machine: "n-1-a", Attempt: recoveredAttempt, Incarnation: incarnation}
 	return []wire.KeyValue{
-		item(state.ProgressKey("run-1", 0), 6, state.ProgressRecord{Active: []state.Placement{placement}}),
+		storedItem(state.ProgressKey("run-1", 0), 6, state.ProgressRecord{Active: []state.Placement{placement}}),
 	}
 }
 
 // firstTask returns the first task of a job.
 func firstTask(job wire.JobID) disruption.Task { return disruption.Task{Job: job} }
 
-// submit adds a job of some tasks, as the watch would deliver it.
+// submit adds a job with the given number of tasks, as the watch would deliver it.
 func (h *harness) submit(id wire.JobID, tasks int, change func(*wire.Job)) {
 	h.revision++
 	h.m.OpenRecordChanged(h.now, h.now, 0, record(id, tasks, change), h.revision)
 }
 
-// cancel cancels job run-1 of one task.
+// cancel cancels job run-1, which must have one task.
 func (h *harness) cancel() {
 	rec := record("run-1", 1, nil)
 	rec.FinalState = wire.JobCancelled
@@ -163,24 +164,24 @@
 	h.m.OpenRecordChanged(h.now, h.now, 0, rec, h.revision)
 }
 
-// Agents.
+// Agents
 
-// start brings machines up whose agents have acknowledged our token.
+// start starts machines whose agents have acknowledged this term's token.
 func (h *harness) start(machines ...wire.MachineID) {
 	for _, machine := range machines {
 		h.heartbeat(machine, token, 1)
 	}
 }
 
-// list has the cloud list a machine as running.
-func (h *harness) list(id wire.MachineID) {
+// listMachine delivers a list from the cloud that contains one machine, which runs.
+func (h *harness) listMachine(id wire.MachineID) {
 	h.m.MachinesListed(h.now, []wire.Machine{
 		{ID: id, Addr: "10.1.0.1:9000", Type: "small", Zone: "a", State: wire.MachineRunning},
 	})
 }
 
-// heartbeat sends a machine's heartbeat with tasks such as "run-1/0 5 running". It returns the commands of the answer
-// such as "launch run-1/0 5", or "dropped" if there is no answer.
+// heartbeat sends a machine's heartbeat with tasks in a form such as "run-1/0 5 running". It returns the commands of
+// the response in a form such as "launch run-1/0 5", or "dropped" if there is no response.
 func (h *harness) heartbeat(
 	machine wire.MachineID, fencingToken wire.FencingToken, incarnation wire.AgentIncarnation, tasks ...string,
 ) string {
@@ -201,19 +202,19 @@
 		_, _ = fmt.Sscan(task, &status.Task, &status.Attempt, &status.State, &status.ExitReason)
 		heartbeat.Tasks = append(heartbeat.Tasks, status)
 	}
-	answer, _ := h.m.Heartbeat(h.now, heartbeat, "", true)
-	if answer == nil {
+	response, _ := h.m.Heartbeat(h.now, heartbeat, "", true)
+	if response == nil {
 		return "dropped"
 	}
-	return commandsText(answer.Commands)
+	return commandsText(response.Commands)
 }
 
-// taskStatus returns a task's status in the words of heartbeat.
+// taskStatus returns the status of a task in the form that heartbeat expects.
 func taskStatus(task string, attempt wire.AttemptID, status string) string {
 	return fmt.Sprintf("%s %d %s", task, attempt, status)
 }
 
-// command returns a command in the words of heartbeat's result.
+// command returns a command in the form that heartbeat returns.
 func command(op, task string, attempt wire.AttemptID) string {
 	return fmt.Sprintf("%s %s %d", op, task, attempt)
 }
@@ -226,8 +227,8 @@
 	return strings.Join(texts, "; ")
 }
 
-// pushAnswer returns the status with which the agent on n-1-a answers a push.
-func pushAnswer(incarnation wire.AgentIncarnation, seq wire.HeartbeatSeq, tasks ...wire.TaskStatus) *wire.Heartbeat {
+// pushResponse returns the status with which the agent on n-1-a responds to a push.
+func pushResponse(incarnation wire.AgentIncarnation, seq wire.HeartbeatSeq, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{
 		Machine: "n-1-a", Type: "small", Zone: "a", Incarnation: incarnation, Sequence: seq, FencingToken: token,
 		Tasks: tasks,
@@ -238,20 +239,20 @@
 	return wire.TaskStatus{Task: task, Attempt: attempt, State: wire.TaskRunning}
 }
 
-// pushExecuted reports that a push was executed.
-func (h *harness) pushExecuted(push CommandPush, answer *wire.Heartbeat) {
-	h.m.CommandPushDone(h.now, push, PushExecuted, answer)
+// pushExecuted reports to the Manager that the agent executed a push.
+func (h *harness) pushExecuted(push CommandPush, response *wire.Heartbeat) {
+	h.m.CommandPushDone(h.now, push, PushExecuted, response)
 }
 
-// Leases and writes.
+// Leases and writes
 
-// grant requests leases for tasks of a job on a machine and returns how many are granted.
+// grant requests leases for tasks of a job on a machine and returns the number of leases granted.
 func (h *harness) grant(job wire.JobID, machine wire.MachineID, tasks int) int {
 	request := lease.Request{Job: job, Machine: machine, Count: tasks, Duration: workerLease}
 	return h.m.Grant(h.now, lease.Transaction{Requests: []lease.Request{request}}).Granted[0]
 }
 
-// grantAll requests leases of which either all are granted or none, and returns how many are.
+// grantAll requests leases in an all-or-nothing transaction and returns the number of leases granted.
 func (h *harness) grantAll(requests ...lease.Request) int {
 	granted := 0
 	for _, n := range h.m.Grant(h.now, lease.Transaction{AllOrNothing: true, Requests: requests}).Granted {
@@ -260,20 +261,19 @@
 	return granted
 }
 
-// commit commits a write.
 func (h *harness) commit(batch *WriteBatch) {
 	h.revision++
 	h.m.WriteCommitted(h.now, batch.ID, h.revision)
 }
 
-// commitWrites commits all writes that are due.
+// commitWrites commits writes until none is due.
 func (h *harness) commitWrites() {
 	for batch := h.m.NextWrite(h.now); batch != nil; batch = h.m.NextWrite(h.now) {
 		h.commit(batch)
 	}
 }
 
-// nextWrite returns the next write without committing it, and its keys; a key that is deleted begins with "-".
+// nextWrite returns the next write without committing it, and the keys that it changes; "-" precedes a deleted key.
 func (h *harness) nextWrite() (batch *WriteBatch, keys string) {
 	batch = h.m.NextWrite(h.now)
 	if batch == nil {
@@ -289,21 +289,21 @@
 	return batch, strings.Join(texts, " ")
 }
 
-// checkWrite fails the test unless a write keeps within a number of changes, and each encoded value within a size.
+// checkWrite fails the test if a write has more than maxOps changes or an encoded value longer than maxBytes.
 func (h *harness) checkWrite(batch *WriteBatch, maxBytes, maxOps int) {
 	h.Helper()
 	if len(batch.Changes) > maxOps {
-		h.Errorf("%d changes, %d are allowed", len(batch.Changes), maxOps)
+		h.Errorf("write has %d changes, limit is %d", len(batch.Changes), maxOps)
 	}
 	for _, change := range batch.Changes {
 		data, err := json.Marshal(change.Value)
 		if err != nil || len(data) > maxBytes {
-			h.Errorf("%s has %d bytes, %d are allowed (%v)", change.Key, len(data), maxBytes, err)
+			h.Errorf("value of %s has %d bytes, limit is %d (encoding error: %v)", change.Key, len(data), maxBytes, err)
 		}
 	}
 }
 
-// placeTask places the one task of job run-1 on n-1-a, durably.
+// placeTask places the only task of job run-1 on n-1-a and makes the placement durable.
 func (h *harness) placeTask() {
 	h.start("n-1-a")
 	h.submit("run-1", 1, nil)
@@ -311,20 +311,20 @@
 	h.commitWrites()
 }
 
-// runTask runs the one task of job run-1 on n-1-a, while n-2-a is empty.
+// runTask runs the only task of job run-1 on n-1-a; n-2-a is idle.
 func (h *harness) runTask() {
 	h.start("n-1-a", "n-2-a")
-	h.submit("run-1", 1, savesProgress)
+	h.submit("run-1", 1, withCheckpoints)
 	h.grant("run-1", "n-1-a", 1)
 	h.commitWrites()
 	h.heartbeat("n-1-a", token, 1)
-	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "running"))
+	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "running"))
 	h.commitWrites()
 }
 
-// What the Manager shows.
+// Observed state
 
-// openDisruptions returns the open disruptions, such as "run-1/0 drain".
+// openDisruptions returns the open disruptions in a form such as "run-1/0 drain".
 func (h *harness) openDisruptions() string {
 	var texts []string
 	for _, disrupted := range h.m.ledger.All() {
@@ -333,7 +333,8 @@
 	return strings.Join(texts, ", ")
 }
 
-// cpusByMachine returns the processors in use on each machine as rebalancing counts them, reserved ones included.
+// cpusByMachine returns the CPUs in use on each machine, including reserved ones, as the rebalancing snapshot counts
+// them.
 func (h *harness) cpusByMachine() string {
 	var texts []string
 	for _, machine := range h.m.RebalanceSnapshot(h.now, nil).Machines {
@@ -351,7 +352,7 @@
 	return strings.Join(texts, ", ")
 }
 
-// reservedMachines returns the machines that are reserved for a waiting job, by identifier.
+// reservedMachines returns the machines that are reserved for a waiting job, sorted by identifier.
 func (h *harness) reservedMachines(job wire.JobID) []wire.MachineID {
 	var ids []wire.MachineID
 	for id, machine := range h.m.machines.byID {
--- a/internal/manager/health.go
+++ b/internal/manager/health.go
@@ -6,37 +6,40 @@
 )
 
 const (
-	// failuresToQuarantine is how many attempts in a row may not fail on a machine.
+	// failuresToQuarantine is the number of consecutive failed attempts after which a machine is quarantined.
 	failuresToQuarantine = 2
-	// slowRunsToQuarantine is how many tasks in a row may not run far too slowly on a machine.
+	// slowRunsToQuarantine is the number of consecutive slow runs after which a machine is quarantined.
 	slowRunsToQuarantine = 2
-	// slowRunFactor is how many times longer than the job's other tasks a run takes that is far too slow.
+	// slowRunFactor is how many times longer than the mean of the job's other runs a run must take to count as slow.
 	slowRunFactor = 3
-	// minRunsToCompare is how many runs of a job at a usual speed it takes to call another one slow.
+	// minRunsToCompare is the number of runs of a job at normal speed that are needed before another run can count as
+	// slow.
 	minRunsToCompare = 2
-	// machinesToBlameJob is on how many machines a job's attempts fail until the job is at fault.
-	machinesToBlameJob = 3
-	// maxJobBackoff bounds the time for which a job at fault isn't placed.
+	// minFailingMachinesForBackoff is the number of machines on which attempts of a job must fail before the failures are
+	// attributed to the job instead of the machines.
+	minFailingMachinesForBackoff = 3
+	// maxJobBackoff bounds the time for which a failing job is not placed.
 	maxJobBackoff = micros.Minute
-	// unreliableFor is how long a machine is a poor place for gangs after one has failed by its silence.
-	unreliableFor = micros.Minute
+	// unreliablePeriod is how long a machine is avoided for gangs after a gang failed because the machine stopped
+	// reporting.
+	unreliablePeriod = micros.Minute
 )
 
-// machineHealth is what failed and slow runs say about a machine. A quarantined machine gets nothing new; the fleet
-// drains and replaces it.
+// machineHealth summarizes what failed and slow runs show about a machine. A quarantined machine receives no new tasks;
+// the fleet drains and replaces it.
 type machineHealth struct {
 	quarantineReason    string // empty: not quarantined
 	consecutiveFailures int
 	consecutiveSlowRuns int
-	unreliableUntil     micros.Timestamp // a gang has failed by the machine's silence
+	unreliableUntil     micros.Timestamp // set when a gang failed because the machine stopped reporting
 }
 
-// unreliable reports whether the machine is a poor place for a gang's tasks.
+// unreliable reports whether the machine should be avoided for the tasks of a gang.
 func (health *machineHealth) unreliable(now micros.Timestamp) bool {
 	return health.consecutiveFailures > 0 || health.consecutiveSlowRuns > 0 || now < health.unreliableUntil
 }
 
-// quarantine makes a machine get nothing new, unless it is quarantined already.
+// quarantine excludes a machine from new placements, unless it is quarantined already.
 func (m *Manager) quarantine(machine *machineState, reason string) {
 	if machine.health.quarantineReason != "" {
 		return
@@ -45,10 +48,10 @@
 	m.event("machine quarantined", "machine", machine.id, "reason", reason)
 }
 
-// recordRunTime compares a run with the job's other runs. It quarantines a machine on which tasks in a row took far
-// longer than they took elsewhere.
+// recordRunTime compares the duration of a run with the job's other runs. It quarantines a machine on which consecutive
+// tasks took much longer than on other machines.
 func (m *Manager) recordRunTime(machine *machineState, job *jobState, runTime micros.Duration) {
-	// Start and end are only seen with heartbeats.
+	// The start and the end of a run are observed only with heartbeats.
 	uncertainty := 2 * m.cfg.HeartbeatInterval
 	if job.normalRuns >= minRunsToCompare &&
 		runTime > slowRunFactor*job.normalRunTime/micros.Duration(job.normalRuns)+uncertainty {
@@ -59,37 +62,37 @@
 		job.normalRunTime += runTime
 	}
 	if machine.health.consecutiveSlowRuns >= slowRunsToQuarantine {
-		m.quarantine(machine, "runs its tasks far too slowly")
+		m.quarantine(machine, "consecutive tasks far slower than on other machines")
 	}
 }
 
-// recordFailure blames the machine or the job for a failed attempt. A machine on which attempts fail in a row is
-// quarantined; a job that fails on several machines is at fault itself and backs off.
+// recordFailure attributes a failed attempt to the machine or to the job. A machine with consecutive failures is
+// quarantined. If a job has failed on several machines, the failure is attributed to the job, which then backs off.
 func (m *Manager) recordFailure(now micros.Timestamp, machine *machineState, job *jobState) {
 	job.failuresByMachine[machine.id]++
-	if machines := len(job.failuresByMachine); machines >= machinesToBlameJob {
+	if machines := len(job.failuresByMachine); machines >= minFailingMachinesForBackoff {
 		const maxDoublings = 6
-		backoff := micros.Second << min(maxDoublings, machines-machinesToBlameJob+1)
+		backoff := micros.Second << min(maxDoublings, machines-minFailingMachinesForBackoff+1)
 		job.backoffUntil = now.Add(min(backoff, maxJobBackoff))
 		m.publisher.markJob(job)
-		m.event("job backs off: it fails on every machine", "job", job.id(),
+		m.event("job backs off after failures on several machines", "job", job.id(),
 			"backoff_s", job.backoffUntil.Sub(now).Seconds())
 		return
 	}
 	machine.health.consecutiveFailures++
 	if machine.health.consecutiveFailures >= failuresToQuarantine {
-		m.quarantine(machine, "fails its tasks")
+		m.quarantine(machine, "consecutive task failures")
 	}
 }
 
-// recordRefusal notes that a machine had no room for a task of a gang: the gang is not placed there again until it has
-// succeeded elsewhere.
+// recordRefusal records that an agent refused to start a task of a gang. The gang is not placed on that machine again
+// until it has succeeded elsewhere.
 func (m *Manager) recordRefusal(machine *machineState, job *jobState) {
 	job.failuresByMachine[machine.id]++
 	m.publisher.markJob(job)
 }
 
-// refusedByMachine reports whether the agent has not started a task because of what else is on its machine.
+// refusedByMachine reports whether the agent refused to start a task because of other work on its machine.
 func refusedByMachine(reason wire.ExitReason) bool {
 	return reason == wire.ExitInsufficientResources || reason == wire.ExitConflictingAttempt
 }
--- a/internal/manager/health_test.go
+++ b/internal/manager/health_test.go
@@ -9,8 +9,8 @@
 	"saffronbend/wire"
 )
 
-// A job that fails on three machines is at fault itself: it backs off, and the third machine is not blamed.
-func TestJobThatFailsEverywhereBacksOff(t *testing.T) {
+// A job that fails on three machines backs off, and the third machine is not blamed for the failure.
+func TestJobThatFailsOnSeveralMachinesBacksOff(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a", "n-2-a", "n-3-a")
 	h.submit("run-1", 1, nil)
@@ -18,7 +18,7 @@
 		h.want(h.grant("run-1", m, 1), 1)
 		h.commitWrites()
 		h.heartbeat(m, token, 1)
-		h.heartbeat(m, token, 1, fmt.Sprintf("run-1/0 %d ended error", first+i))
+		h.heartbeat(m, token, 1, fmt.Sprintf("run-1/0 %d ended error", firstAttempt+i))
 	}
 	h.want(h.grant("run-1", "n-3-a", 1), 0)
 	h.want(h.m.machines.byID["n-3-a"].health.quarantineReason, "")
@@ -27,20 +27,20 @@
 	h.want(h.grant("run-1", "n-3-a", 1), 1)
 }
 
-// A machine that is far slower than the others for the same job, twice in a row, is quarantined.
+// A machine that runs two consecutive tasks of a job far slower than other machines do is quarantined.
 func TestSlowMachineIsQuarantined(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.submit("run-1", 6, func(j *wire.Job) { j.CPUs = 8 })
-	next := first
-	run := func(machine wire.MachineID, s micros.Duration) {
+	next := firstAttempt
+	run := func(machine wire.MachineID, duration micros.Duration) {
 		h.start(machine)
 		h.want(h.grant("run-1", machine, 1), 1)
 		h.commitWrites()
-		task := fmt.Sprintf("run-1/%d %d ", next-first, next)
+		task := fmt.Sprintf("run-1/%d %d ", next-firstAttempt, next)
 		next++
 		h.heartbeat(machine, token, 1)
 		h.heartbeat(machine, token, 1, task+"running")
-		h.advance(s)
+		h.advance(duration)
 		h.heartbeat(machine, token, 1, task+"ended done")
 		h.commitWrites()
 	}
@@ -52,20 +52,22 @@
 	h.want(h.m.machines.byID["n-1-a"].health.quarantineReason, "")
 	h.start("n-2-a")
 	h.want(h.grant("run-1", "n-2-a", 1), 0)
-	h.want(h.grant("run-1", "n-1-a", 1), 0) // silent by now
+	h.want(h.grant("run-1", "n-1-a", 1), 0) // its heartbeat is overdue
 	h.start("n-1-a")
 	h.want(h.grant("run-1", "n-1-a", 1), 1)
 }
 
-// A run that began under an earlier leader looks shorter than it was. It is no measure for the runs after it, which
-// would quarantine their machine.
+// A run that began under an earlier leader appears shorter than it was. It must not be the reference for later runs, or
+// their machines would be quarantined as slow.
 func TestRunsOfEarlierLeaderAreNotCompared(t *testing.T) {
-	open := []wire.KeyValue{item(state.OpenJobKey("run-1"), 5, record("run-1", 4, nil))}
+	open := []wire.KeyValue{storedItem(state.OpenJobKey("run-1"), 5, record("run-1", 4, nil))}
 	var active []state.Placement
 	for i := range 2 {
 		active = append(active, state.Placement{Task: i, Machine: "n-1-a", Attempt: wire.AttemptID(90 + i), Incarnation: 1})
 	}
-	h := newHarness(t, open, []wire.KeyValue{item(state.ProgressKey("run-1", 0), 6, state.ProgressRecord{Active: active})})
+	h := newHarness(t, open, []wire.KeyValue{
+		storedItem(state.ProgressKey("run-1", 0), 6, state.ProgressRecord{Active: active}),
+	})
 	h.heartbeat("n-1-a", token, 1, "run-1/0 90 running", "run-1/1 91 running")
 	h.advance(micros.Second / 2)
 	h.heartbeat("n-1-a", token, 1, "run-1/0 90 ended done", "run-1/1 91 ended done")
--- a/internal/manager/images.go
+++ b/internal/manager/images.go
@@ -8,23 +8,23 @@
 	"saffronbend/wire"
 )
 
-// imageCache models the images on a machine's disk, by name: the most recently used ones, as many as it holds.
+// imageCache models the images on a machine's disk, by name. It keeps the most recently used images that fit.
 type imageCache map[string]*cachedImage
 
 type cachedImage struct {
 	sizeGB   float64
 	lastUsed micros.Timestamp
-	ready    bool // else it is being fetched
+	ready    bool // if false, it is being fetched
 }
 
-// ready reports whether an image is there.
+// ready reports whether an image is completely fetched.
 func (cache imageCache) ready(name string) bool {
 	image := cache[name]
 	return image != nil && image.ready
 }
 
-// use records that a task uses an image, or has it fetched, and drops the images that the disk has no room for then.
-// capacityGB 0: not known, any number of them fits.
+// use records that a task uses an image or waits for it to be fetched, and evicts the images for which the disk has no
+// space left. If capacityGB is 0, the capacity is unknown and nothing is evicted.
 func (cache imageCache) use(now micros.Timestamp, spec *wire.Job, ready bool, capacityGB float64) {
 	image := cache[spec.Image]
 	if image == nil {
@@ -45,8 +45,8 @@
 	}
 }
 
-// leastRecentlyUsed returns the size of all images, and the name of the one to drop first: it is there and was not used
-// just now; empty: there is none.
+// leastRecentlyUsed returns the total size of all images and the name of the one to evict first, which is ready and was
+// not used at the current time; empty: there is none.
 func (cache imageCache) leastRecentlyUsed(now micros.Timestamp) (totalGB float64, oldest string) {
 	for name, image := range cache {
 		totalGB += image.sizeGB
@@ -61,7 +61,7 @@
 	return totalGB, oldest
 }
 
-// dropAbandonedFetches drops the images that were being fetched for tasks that are gone.
+// dropAbandonedFetches removes the images that were being fetched for tasks that no longer exist.
 func (cache imageCache) dropAbandonedFetches(now micros.Timestamp) {
 	for name, image := range cache {
 		if !image.ready && image.lastUsed != now {
@@ -70,7 +70,7 @@
 	}
 }
 
-// names returns the names of the images that are there and of those being fetched, each sorted.
+// names returns the names of the ready images and of those being fetched, each sorted.
 func (cache imageCache) names() (ready, fetching []string) {
 	for _, name := range slices.Sorted(maps.Keys(cache)) {
 		if cache[name].ready {
@@ -82,7 +82,7 @@
 	return ready, fetching
 }
 
-// useImage records that a task of a job uses its image on a machine, or has it fetched.
+// useImage records that a task of a job uses its image on a machine, or waits for it to be fetched.
 func (machine *machineState) useImage(now micros.Timestamp, spec *wire.Job, ready bool) {
 	capacityGB := 0.0
 	if machine.machineType != nil {
--- a/internal/manager/images_test.go
+++ b/internal/manager/images_test.go
@@ -8,7 +8,7 @@
 	"saffronbend/wire"
 )
 
-// The cache holds the most recently used images that fit on the disk.
+// Checks which images the cache keeps: the most recently used ones that fit on the disk.
 func TestImageCache(t *testing.T) {
 	type use struct {
 		at    micros.Timestamp
@@ -19,17 +19,17 @@
 		name       string
 		capacityGB float64
 		uses       []use
-		want       string // images that are there, and that are being fetched
+		want       string // ready images, then images being fetched
 	}{
 		{"all fit", 10, []use{{1, "a", true}, {2, "b", true}}, "[a b] []"},
-		{"the least recently used is dropped", 10, []use{{1, "a", true}, {2, "b", true}, {3, "c", true}}, "[b c] []"},
-		{"use counts, not age", 10, []use{{1, "a", true}, {2, "b", true}, {3, "a", true}, {4, "c", true}}, "[a c] []"},
-		{"the first by name of equally old ones", 10, []use{{1, "b", true}, {1, "a", true}, {2, "c", true}}, "[b c] []"},
-		{"one that is being fetched is not dropped", 10, []use{{1, "a", false}, {2, "b", true}, {3, "c", true}},
-			"[c] [a]"},
-		{"what is used now is not dropped", 10, []use{{1, "a", true}, {1, "b", true}, {1, "c", true}}, "[a b c] []"},
-		{"the capacity is not known", 0, []use{{1, "a", true}, {2, "b", true}, {3, "c", true}}, "[a b c] []"},
-		{"a fetched image stays ready", 10, []use{{1, "a", true}, {2, "a", false}}, "[a] []"},
+		{"least recently used is evicted", 10, []use{{1, "a", true}, {2, "b", true}, {3, "c", true}}, "[b c] []"},
+		{"repeated use keeps an image", 10,
+			[]use{{1, "a", true}, {2, "b", true}, {3, "a", true}, {4, "c", true}}, "[a c] []"},
+		{"equally old: first by name is evicted", 10, []use{{1, "b", true}, {1, "a", true}, {2, "c", true}}, "[b c] []"},
+		{"image being fetched is not evicted", 10, []use{{1, "a", false}, {2, "b", true}, {3, "c", true}}, "[c] [a]"},
+		{"image in use is not evicted", 10, []use{{1, "a", true}, {1, "b", true}, {1, "c", true}}, "[a b c] []"},
+		{"capacity is unknown", 0, []use{{1, "a", true}, {2, "b", true}, {3, "c", true}}, "[a b c] []"},
+		{"fetched image stays ready", 10, []use{{1, "a", true}, {2, "a", false}}, "[a] []"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cache := imageCache{}
@@ -44,7 +44,7 @@
 	}
 }
 
-// A fetch is abandoned when no task waits for the image any more.
+// A fetch is abandoned when no task waits for the image any longer.
 func TestAbandonedFetches(t *testing.T) {
 	cache := imageCache{}
 	cache.use(1, &wire.Job{Image: "a"}, true, 0)
@@ -53,6 +53,6 @@
 	cache.dropAbandonedFetches(2)
 	ready, fetching := cache.names()
 	if got := fmt.Sprint(ready, fetching); got != "[a] [c]" {
-		t.Errorf("got %s", got)
+		t.Errorf("got %s, want [a] [c]", got)
 	}
 }
--- a/internal/manager/jobs.go
+++ b/internal/manager/jobs.go
@@ -210,7 +210,7 @@
 	job := m.jobs.byID[id]
 	if job == nil {
 		job = m.addJob(now, wall, record, version)
-		m.writes.queueFinal(job)
+		m.writes.queueFinalWrites(job)
 		return
 	}
 	if version <= job.version {
@@ -234,10 +234,10 @@
 	job.finalState = finalState
 	job.finalSince = min(now, notBefore)
 	job.completionInFlight = false
-	m.writes.withdrawCompletion(job)
+	m.writes.cancelCompletion(job)
 	m.ledger.EndJob(job.id())
 	m.stopJob(now, job)
-	m.writes.queueFinal(job)
+	m.writes.queueFinalWrites(job)
 	m.publisher.markJob(job)
 }
 
--- a/internal/manager/launch_test.go
+++ b/internal/manager/launch_test.go
@@ -7,7 +7,7 @@
 	"saffronbend/wire"
 )
 
-// An attempt is launched, by a push or an answer, only once its placement is durable.
+// An attempt is launched only once its placement is durable, by a push as well as by a heartbeat response.
 func TestLaunchOnlyWhenDurable(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a")
@@ -16,10 +16,10 @@
 	h.want(h.heartbeat("n-1-a", token, 1), "")
 	h.want(len(h.m.CommandPushes(h.now, true)), 0)
 	h.commitWrites()
-	h.want(h.heartbeat("n-1-a", token, 1), command("launch", "run-1/0", first))
+	h.want(h.heartbeat("n-1-a", token, 1), command("launch", "run-1/0", firstAttempt))
 }
 
-// Identifiers of attempts are unique across leaders.
+// Attempt identifiers contain the fencing token, which makes them unique across leaders.
 func TestAttemptIDsContainTheFencingToken(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a")
@@ -30,19 +30,19 @@
 	h.want(rec.Active[0].Attempt>>attemptBits, wire.AttemptID(token))
 }
 
-// The outcomes of a push and what may follow from them.
+// Checks the launch state after each outcome of a push.
 func TestPushedLaunchStates(t *testing.T) {
 	for _, c := range []struct {
-		name      string
-		outcomes  []PushOutcome // of pushes, one after the other
-		state     pushState
-		sent      bool // the agent may have received a launch
-		mayArrive bool // a push that was not answered may yet arrive
-		answerSeq wire.HeartbeatSeq
+		name        string
+		outcomes    []PushOutcome // of consecutive pushes
+		state       pushState
+		sent        bool // the agent may have received a launch
+		mayArrive   bool // a push without a response may still arrive
+		responseSeq wire.HeartbeatSeq
 	}{
 		{"never pushed", nil, pushNone, false, false, 0},
-		{"executed", []PushOutcome{PushExecuted}, pushAnswered, true, false, 1},
-		{"refused", []PushOutcome{PushRefused}, pushAnswered, false, false, 0},
+		{"executed", []PushOutcome{PushExecuted}, pushResponseReceived, true, false, 1},
+		{"refused", []PushOutcome{PushRefused}, pushResponseReceived, false, false, 0},
 		{"not sent", []PushOutcome{PushNotSent}, pushNone, false, false, 0},
 		{"refused, then not sent", []PushOutcome{PushRefused, PushNotSent}, pushNone, false, false, 0},
 		{"outcome unknown", []PushOutcome{PushOutcomeUnknown}, pushOutcomeUnknown, true, true, 0},
@@ -50,30 +50,32 @@
 		t.Run(c.name, func(t *testing.T) {
 			var launch launchState
 			for _, outcome := range c.outcomes {
-				launch.pushed()
+				launch.markPushed()
 				if !launch.sent() || !launch.mayArriveByPush() {
-					t.Error("a push in flight counts as neither sent nor on its way")
+					t.Error("launch with a push in flight is not reported as sent and possibly arriving by push")
 				}
 				launch.resolvePush(outcome)
 			}
-			if launch.push != c.state || launch.answerSeq != c.answerSeq {
-				t.Errorf("state %d, answer %d", launch.push, launch.answerSeq)
+			if launch.push != c.state || launch.responseSeq != c.responseSeq {
+				t.Errorf("got state %d and response sequence number %d, want %d and %d",
+					launch.push, launch.responseSeq, c.state, c.responseSeq)
 			}
 			if launch.sent() != c.sent || launch.mayArriveByPush() != c.mayArrive {
-				t.Errorf("sent %v, may arrive %v", launch.sent(), launch.mayArriveByPush())
+				t.Errorf("got sent %v, may arrive %v, want %v, %v",
+					launch.sent(), launch.mayArriveByPush(), c.sent, c.mayArrive)
 			}
 		})
 	}
 }
 
-// What is known of a push to an attempt that the agent had reported by itself, or whose earlier push has no outcome,
-// is not forgotten.
+// Once the outcome of a push is unknown, later outcomes do not reset the state: the earlier push may still take effect.
+// This also holds for an attempt that the agent has already listed.
 func TestPushOutcomeStaysUnknown(t *testing.T) {
 	for _, outcome := range []PushOutcome{PushExecuted, PushRefused, PushNotSent} {
 		launch := launchState{push: pushOutcomeUnknown}
 		launch.resolvePush(outcome)
 		if launch.push != pushOutcomeUnknown {
-			t.Errorf("after outcome %d the state is %d", outcome, launch.push)
+			t.Errorf("after outcome %d: got state %d, want %d", outcome, launch.push, pushOutcomeUnknown)
 		}
 	}
 }
--- a/internal/manager/lease_expiry.go
+++ b/internal/manager/lease_expiry.go
@@ -8,17 +8,18 @@
 	"saffronbend/wire"
 )
 
-// leaseRenewers is what is known of controllers that renew worker leases in the leader's stead, while it is silent.
-// Each leaves records in the key-value store: one while it is active, and one that changes whenever it begins.
+// leaseRenewers is what is known about controllers that renew worker leases on behalf of the leader while it does not
+// respond. Each of them maintains two records in the key-value store: one that exists while it is active, and one that
+// changes whenever it becomes active.
 type leaseRenewers struct {
-	lastActive       micros.Timestamp // when one may last have been active
-	knownUntil       micros.Timestamp // up to when it is known
+	lastActive       micros.Timestamp // latest time at which a renewer may have been active
+	knownUntil       micros.Timestamp // lastActive takes into account all renewers up to this time
 	activeAtLastRead bool
-	startVersions    map[string]uint64 // of the records that change with each beginning, by key
+	startVersions    map[string]uint64 // versions of the records that change with each activation, by key
 	readRequested    bool
 }
 
-// observe applies the records as they were read by a request that was sent at the given time.
+// observe applies the records as read by a request that was sent at the given time.
 func (renewers *leaseRenewers) observe(now, sent micros.Timestamp, records []wire.KeyValue) {
 	startVersions := map[string]uint64{}
 	active := false
@@ -29,7 +30,7 @@
 			startVersions[record.Key] = record.Version
 		}
 	}
-	// One that was active at the last read may have gone on until just now.
+	// A renewer that was active at the last read may have remained active until just now.
 	if active || renewers.activeAtLastRead || !maps.Equal(startVersions, renewers.startVersions) {
 		renewers.lastActive = now
 	}
@@ -37,18 +38,19 @@
 	renewers.knownUntil = sent
 }
 
-// leaseExpiry returns when the lease of a machine's agent has expired, unless a controller unknown to us has renewed
-// it. Only answers with our token renew the lease of an agent that has acknowledged it, and the heartbeat that we
-// answered last was sent before we received it. An incarnation that is first seen in the answer to a push lives for a
-// whole lease, though nobody has answered it. The agent's clock may differ from ours by 0.05% each way.
+// leaseExpiry returns when the lease of a machine's agent expires, unless a controller not known to this leader has
+// renewed it. Only responses with this term's token renew the lease of an agent that has acknowledged the token. A
+// heartbeat was sent before this leader received it, so counting the lease from when the heartbeat was answered is on
+// the safe side. The lease of an incarnation that is first seen in a push response lasts its full duration although no
+// heartbeat of it has been answered. The agent's clock may differ from this controller's by 0.05% in either direction.
 func (m *Manager) leaseExpiry(machine *machineState) micros.Timestamp {
 	clockDrift := m.cfg.WorkerLease / 500
 	renewed := max(machine.agent.leaseRenewedAt, m.leaseRenewers.lastActive)
 	return renewed.Add(m.cfg.WorkerLease + clockDrift + m.cfg.LeaseMargin)
 }
 
-// leaseExpiryProven reports whether nobody can have renewed the lease of a machine's agent in our stead until it
-// expired. If that is not known, it requests that the records be read.
+// leaseExpiryProven reports whether it is certain that no other controller renewed the lease of a machine's agent
+// before the lease expired. If that is not certain, it requests that the records of the renewers be read.
 func (m *Manager) leaseExpiryProven(machine *machineState) bool {
 	if m.leaseRenewers.knownUntil > m.leaseExpiry(machine) {
 		return true
@@ -57,15 +59,15 @@
 	return false
 }
 
-// NeedsLeaseRenewers reports whether the records of the controllers that renew leases in our stead have to be read. It
-// resets the request.
+// NeedsLeaseRenewers reports whether the records of the controllers that renew leases on behalf of the leader must be
+// read. It resets the request.
 func (m *Manager) NeedsLeaseRenewers() bool {
 	requested := m.leaseRenewers.readRequested
 	m.leaseRenewers.readRequested = false
 	return requested
 }
 
-// LeaseRenewersRead applies those records, read by a request that was sent at the given time.
+// LeaseRenewersRead applies the records of the lease renewers, as read by a request that was sent at the given time.
 func (m *Manager) LeaseRenewersRead(now, sent micros.Timestamp, records []wire.KeyValue) {
 	m.leaseRenewers.observe(now, sent, records)
 }
--- a/internal/manager/listing.go
+++ b/internal/manager/listing.go
@@ -5,34 +5,34 @@
 	"saffronbend/wire"
 )
 
-// cloudListing is what the cloud's lists of machines say about one of them.
+// cloudListing is what the cloud's lists of machines show about one machine.
 type cloudListing struct {
 	state       wire.MachineState
-	first, last micros.Timestamp // when it was listed; 0: never
-	missedLists int              // lists without it since it was last listed
+	first, last micros.Timestamp // when it was first and last listed; 0: never
+	missedLists int              // consecutive lists that did not contain it
 }
 
-// missing reports whether the machine is no longer listed though it was. A list may be older than the one before, so
-// only a machine that was listed for long enough can be missing.
+// missing reports whether the machine has disappeared from the cloud's lists. A list may be older than the previous
+// one, so a machine can be missing only after it has been listed for some time.
 func (listing *cloudListing) missing(listLag micros.Duration) bool {
-	const lagsToSettle = 4
-	return listing.missedLists > 0 && listing.first != 0 && listing.last.Sub(listing.first) > lagsToSettle*listLag
+	const minLagsListed = 4
+	return listing.missedLists > 0 && listing.first != 0 && listing.last.Sub(listing.first) > minLagsListed*listLag
 }
 
-// listedOnce records that a list names the machine.
-func (listing *cloudListing) listedOnce(now micros.Timestamp, state wire.MachineState) {
+// recordListed records that a list contains the machine, in the given state.
+func (listing *cloudListing) recordListed(now micros.Timestamp, state wire.MachineState) {
 	if listing.first == 0 {
 		listing.first = now
 	}
 	listing.last = now
 	listing.missedLists = 0
-	// A list may be older than the one before, but failed is final.
+	// A list may be older than the previous one, but a failure is final.
 	if listing.state != wire.MachineFailed {
 		listing.state = state
 	}
 }
 
-// publishedListing is what a list may change of a published machine. Most lists change nothing.
+// publishedListing holds the published properties of a machine that a list may change. Most lists change none of them.
 type publishedListing struct {
 	typeName string
 	state    wire.MachineState
@@ -47,7 +47,7 @@
 	}
 }
 
-// MachinesListed applies the cloud's list of machines. That a machine is not in it proves nothing.
+// MachinesListed applies the cloud's list of machines. The absence of a machine from the list proves nothing.
 func (m *Manager) MachinesListed(now micros.Timestamp, list []wire.Machine) {
 	m.machines.listed = true
 	seen := map[wire.MachineID]bool{}
@@ -56,7 +56,7 @@
 			continue
 		}
 		seen[list[i].ID] = true
-		m.applyListed(now, &list[i])
+		m.applyListEntry(now, &list[i])
 	}
 	for _, machine := range m.machines.byID {
 		if !seen[machine.id] && machine.listing.last != 0 {
@@ -66,9 +66,9 @@
 	}
 }
 
-// applyListed applies one entry of the cloud's list.
-func (m *Manager) applyListed(now micros.Timestamp, listed *wire.Machine) {
-	machine := m.machines.ensure(now, listed.ID)
+// applyListEntry applies one entry of the cloud's list.
+func (m *Manager) applyListEntry(now micros.Timestamp, listed *wire.Machine) {
+	machine := m.machines.getOrCreate(now, listed.ID)
 	before := machine.publishedListing()
 	if machine.typeName == "" {
 		machine.typeName, machine.zone, machine.spot = listed.Type, listed.Zone, listed.Spot
@@ -78,11 +78,11 @@
 	if listed.Addr != "" {
 		machine.address = listed.Addr
 	}
-	// A machine that has just started is silent from now on, not since it was rented.
+	// The time without heartbeats counts from when the machine has started, not from when it was rented.
 	if listed.State == wire.MachineRunning && machine.listing.state != wire.MachineRunning && !machine.agent.reporting {
-		machine.agent.lastHeartbeat = now
+		machine.agent.lastHeartbeatAt = now
 	}
-	machine.listing.listedOnce(now, listed.State)
+	machine.listing.recordListed(now, listed.State)
 	if before != machine.publishedListing() {
 		m.publisher.markMachine(machine)
 	}
--- a/internal/manager/machines.go
+++ b/internal/manager/machines.go
@@ -10,16 +10,16 @@
 	"saffronbend/wire"
 )
 
-// machineState is a machine that the cloud has rented or listed, that an agent has reported from, or that a record
-// names.
+// machineState is the state of a machine that the cloud has rented out or listed, whose agent has reported, or that a
+// record refers to.
 type machineState struct {
 	id           wire.MachineID
-	address      string // of its agent, HOST:PORT; empty: not known
+	address      string // of its agent, HOST:PORT; empty: unknown
 	typeName     string
 	zone         string
 	spot         bool
-	machineType  *wire.MachineType // nil: not known
-	registeredAt micros.Timestamp  // when it was rented, as far as is known
+	machineType  *wire.MachineType // nil: unknown
+	registeredAt micros.Timestamp  // when it was rented, as far as known
 
 	listing cloudListing
 	agent   agentState
@@ -27,28 +27,28 @@
 	images  imageCache
 
 	deleting  bool             // its deletion has been requested
-	reclaimAt micros.Timestamp // when the cloud reclaims it; 0: no notice
+	reclaimAt micros.Timestamp // when the cloud reclaims it; 0: no reclaim notice
 
 	attempts map[string]*taskAttempt // by task name
-	// orphanTasks are tasks in the newest heartbeat that no attempt accounts for, by name. They are stopped, and use the
-	// machine's resources until then.
+	// orphanTasks holds, by name, the tasks in the agent's latest message that belong to no known attempt. They are
+	// stopped, and use the machine's resources until then.
 	orphanTasks map[string]wire.TaskStatus
 	tombstones  map[attemptKey]tombstone
-	// unwrittenResults are results that came from here and may not be durable.
+	// unwrittenResults holds the results from this machine that may not be durable yet.
 	unwrittenResults []completedTask
-	idleSince        micros.Timestamp // since when it has no attempts
+	idleSince        micros.Timestamp // time since which it has had no attempts
 
-	reservedForJob wire.JobID // the waiting job that alone gets room here; empty: none
+	reservedForJob wire.JobID // the only job that may be placed here; empty: not reserved
 	preempted      preemptedRoom
 	reservations   map[disruption.Task]*reservation // for successors of evicted attempts
 
-	publishedUsable bool // as in the last snapshot
+	publishedUsable bool // usable according to the last snapshot
 }
 
-// machineTable holds the machines, and what the cloud offers.
+// machineTable holds the machines and the machine types that the cloud offers.
 type machineTable struct {
 	byID map[wire.MachineID]*machineState
-	// deleted are the machines that the cloud has confirmed as deleted: late heartbeats of them count for nothing.
+	// deleted contains the machines whose deletion the cloud has confirmed. Heartbeats from them are ignored.
 	deleted map[wire.MachineID]bool
 	types   map[string]*wire.MachineType
 	listed  bool // the cloud has listed its machines in this term
@@ -62,14 +62,14 @@
 	}
 }
 
-// ensure returns a machine, which it registers if it is new.
-func (table *machineTable) ensure(now micros.Timestamp, id wire.MachineID) *machineState {
+// getOrCreate returns a machine, and registers it if it is new.
+func (table *machineTable) getOrCreate(now micros.Timestamp, id wire.MachineID) *machineState {
 	machine := table.byID[id]
 	if machine == nil {
 		machine = &machineState{
 			id:           id,
 			registeredAt: now,
-			agent:        agentState{lastHeartbeat: now, pushWorks: true},
+			agent:        agentState{lastHeartbeatAt: now, pushReachable: true},
 			images:       imageCache{},
 			attempts:     map[string]*taskAttempt{},
 			orphanTasks:  map[string]wire.TaskStatus{},
@@ -81,7 +81,7 @@
 	return machine
 }
 
-// sorted returns the machines by identifier.
+// sorted returns the machines sorted by identifier.
 func (table *machineTable) sorted() []*machineState {
 	machines := make([]*machineState, 0, len(table.byID))
 	for _, machine := range table.byID {
@@ -94,7 +94,7 @@
 // Types returns the machine types by name.
 func (m *Manager) Types() map[string]*wire.MachineType { return m.machines.types }
 
-// SetTypes sets the machine types that the cloud rents out.
+// SetTypes sets the machine types that the cloud offers.
 func (m *Manager) SetTypes(types []wire.MachineType) {
 	for i := range types {
 		m.machines.types[types[i].Name] = &types[i]
@@ -105,13 +105,13 @@
 	}
 }
 
-// MachinesScaledOut registers machines that the cloud has rented out by a request.
+// MachinesScaledOut registers the machines that the cloud has rented out in response to a request.
 func (m *Manager) MachinesScaledOut(now micros.Timestamp, request wire.ScaleOutRequest, ids []wire.MachineID) {
 	for _, id := range ids {
 		if m.machines.deleted[id] {
 			continue
 		}
-		machine := m.machines.ensure(now, id)
+		machine := m.machines.getOrCreate(now, id)
 		if machine.typeName == "" {
 			machine.typeName, machine.zone, machine.spot = request.Type, request.Zone, request.Spot
 			machine.machineType = m.machines.types[request.Type]
@@ -121,7 +121,7 @@
 	}
 }
 
-// DeletionRequested records that the deletion of machines is being requested: they get nothing new.
+// DeletionRequested records that the deletion of machines is being requested. They receive no new tasks.
 func (m *Manager) DeletionRequested(ids []wire.MachineID) {
 	for _, id := range ids {
 		if machine := m.machines.byID[id]; machine != nil {
@@ -131,7 +131,7 @@
 	}
 }
 
-// MachinesDeleted records that the cloud has confirmed the deletion of machines: they and all on them are gone.
+// MachinesDeleted records that the cloud has confirmed the deletion of machines: all attempts on them have terminated.
 func (m *Manager) MachinesDeleted(now micros.Timestamp, ids []wire.MachineID) {
 	for _, id := range ids {
 		if machine := m.machines.byID[id]; machine != nil {
@@ -142,8 +142,8 @@
 	}
 }
 
-// Tick applies what follows from the passing of time alone: expired worker leases and reservations, machines that are
-// about to be reclaimed, probes that are due. It is called a few times a second.
+// Tick handles everything that depends on the passage of time alone: expired worker leases and reservations, upcoming
+// reclaims of machines, and probes that are due. It is called a few times a second.
 func (m *Manager) Tick(now micros.Timestamp) {
 	m.accountCosts(now)
 	m.expireReservations(now)
@@ -158,7 +158,7 @@
 	agent := &machine.agent
 	if agent.reporting && agent.tokenAcknowledged && now > m.leaseExpiry(machine) && m.leaseExpiryProven(machine) {
 		m.event("machine lost: worker lease expired", "machine", machine.id, "tasks", len(machine.attempts))
-		agent.leaseExpired()
+		agent.markLeaseExpired()
 		m.releaseMachine(now, machine)
 	}
 	if machine.reclaimAt != 0 {
@@ -166,26 +166,26 @@
 	}
 	m.abortUnlaunchableGangs(now, machine)
 	if machine.needsProbe() && m.shouldProbe(now, machine) {
-		m.pushes.mark(machine)
+		m.pushes.addCandidate(machine)
 	}
-	// Whether a machine that has yet to acknowledge our token is still expected soon depends on the time alone.
+	// Whether a machine that has not acknowledged this term's token is expected to be usable soon depends on time alone.
 	if machine.publishedUsable != m.usable(now, machine) ||
 		!agent.tokenAcknowledged && machine.listing.state != wire.MachineStarting {
 		m.publisher.markMachine(machine)
 	}
 }
 
-// usable reports whether a machine gets new tasks now.
+// usable reports whether a machine can receive new tasks now.
 func (m *Manager) usable(now micros.Timestamp, machine *machineState) bool {
 	agent := &machine.agent
 	return agent.reporting && agent.tokenAcknowledged && agent.unreachableSince == 0 &&
 		machine.machineType != nil && machine.reclaimAt == 0 && !machine.deleting && !m.cordons[machine.id] &&
 		machine.health.quarantineReason == "" &&
-		now.Sub(agent.lastAnswered) < min(m.cfg.WorkerLease/2, 2*m.cfg.HeartbeatInterval+micros.Second)
+		now.Sub(agent.lastResponseAt) < min(m.cfg.WorkerLease/2, 2*m.cfg.HeartbeatInterval+micros.Second)
 }
 
-// freeResources returns the resources that no attempt, orphan task or reservation uses. It may be negative, and it is
-// nothing while an orphan task's demand is not known.
+// freeResources returns the resources of a machine that no attempt, orphan task or reservation uses. The result may be
+// negative. It is zero if the demand of an orphan task is unknown.
 func (m *Manager) freeResources(machine *machineState) resources.Vector {
 	if machine.machineType == nil {
 		return resources.Vector{}
@@ -208,19 +208,19 @@
 	return free
 }
 
-// suits reports whether tasks of a job may run on a machine that gets new ones, by the job's demands, its zones and its
-// failures.
-func (m *Manager) suits(machine *machineState, job *jobState) bool {
+// eligibleFor reports whether tasks of a job may run on a machine, according to the job's demands, its zones and its
+// failures. It does not check whether the machine is usable.
+func (m *Manager) eligibleFor(machine *machineState, job *jobState) bool {
 	return job.spec().Allows(machine.machineType, machine.zone, machine.spot) &&
 		zoneAllows(job, machine.zone) && job.failuresByMachine[machine.id] == 0
 }
 
-// tasksWhenEmpty returns how many tasks of a job fit on the machine when nothing else runs there.
-func (machine *machineState) tasksWhenEmpty(job *jobState) int {
+// maxTasksWhenEmpty returns the number of tasks of a job that fit on the machine if nothing else runs there.
+func (machine *machineState) maxTasksWhenEmpty(job *jobState) int {
 	return resources.ForMachine(machine.machineType).MaxTasks(resources.ForTask(job.spec()), wire.MaxTasks)
 }
 
-// empty reports whether no task can run on the machine.
+// empty reports whether no task can be running on the machine.
 func (machine *machineState) empty() bool {
 	return len(machine.attempts) == 0 && len(machine.orphanTasks) == 0
 }
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -1,18 +1,20 @@
-// Package manager is the Resource Manager, the state machine that the leading controller runs for one term.
+// Package manager implements the Resource Manager, the state machine that the leading controller runs for one term.
 //
-// It owns what the leader knows of machines with their agents, of jobs with their tasks, of attempts with their leases,
-// and of the teams' quota use. From these it decides which lease requests are granted, which commands agents receive,
-// which records are written before a launch, which running work is preempted or evicted, and when an attempt is
-// provably gone, so that its task may start elsewhere. It publishes snapshots of its state for schedulers, the fleet,
-// drains and rebalancing.
+// It owns the leader's view of machines and their agents, jobs and their tasks, task attempts and their leases, and the
+// teams' quota usage. From this view it decides which lease requests are granted, which commands agents receive, which
+// records are written before a launch, which running work is preempted or evicted, and when an attempt has provably
+// terminated, so that its task may be started elsewhere. It publishes snapshots of its state for the schedulers, the
+// fleet, drains and rebalancing.
 //
-// The leader's term calls it, from one goroutine: a Manager is not safe for concurrent use. It performs no I/O, starts
-// no goroutine and reads no clock: the caller passes the time, carries out the writes and pushes that the Manager
-// returns, and reports their outcomes. It never chooses a machine for a waiting task (package scheduler does), never
-// rents or deletes machines (package fleet does) and never decides who leads (package election does).
+// The leader's term calls the Manager from a single goroutine: it is not safe for concurrent use. The Manager performs
+// no I/O, starts no goroutines and reads no clock: the caller passes the current time, executes the writes and pushes
+// that the Manager returns, and reports their outcomes. The Manager does not choose machines for waiting tasks (see
+// package scheduler), does not rent or delete machines (see package fleet) and does not decide which controller leads
+// (see package election).
 //
-// Its safety rules are argued in docs/design.md. In short: an attempt is durable before its launch, its task starts
-// elsewhere only when the attempt is provably gone, and quota and capacity count every attempt that may exist.
+// docs/design.md argues why its rules are safe. In short: an attempt's placement is durable before its launch, a task
+// is started elsewhere only after its previous attempt has provably terminated, and quota and capacity account for
+// every attempt that may still exist. An attempt has terminated when no process of it runs or can still be started.
 package manager
 
 import (
@@ -25,47 +27,47 @@
 	"saffronbend/wire"
 )
 
-// Config holds what a Manager must know beforehand. Durations are in microseconds.
+// Config holds the parameters of a Manager. Durations are in microseconds.
 type Config struct {
-	// FencingToken is the token of the leader's term. An agent that reports a higher one proves the term to be over.
+	// FencingToken is the fencing token of the leader's term. If an agent reports a higher token, the term is over.
 	FencingToken wire.FencingToken
-	// Teams are the teams with their guarantees and limits.
+	// Teams lists the teams with their guarantees and limits.
 	Teams []settings.Team
-	// WorkerLease is how long an agent goes on without an answer before it stops its tasks.
+	// WorkerLease is how long an agent that gets no responses to its heartbeats keeps its tasks running.
 	WorkerLease micros.Duration
-	// HeartbeatInterval is the usual time between two heartbeats of an agent.
+	// HeartbeatInterval is the nominal interval between two heartbeats of an agent.
 	HeartbeatInterval micros.Duration
-	// LeaseMargin is added to a worker lease before it counts as expired.
+	// LeaseMargin is added to the duration of a worker lease before the lease is considered expired.
 	LeaseMargin micros.Duration
-	// CancelTimeout is how long after its confirmation a cancellation has taken effect at the latest.
+	// CancelTimeout is the maximum time between the confirmation of a cancellation and its taking effect.
 	CancelTimeout micros.Duration
 	// GangWaitTimeout is how long a task waits for its gang peers before it gives up.
 	GangWaitTimeout micros.Duration
-	// GangPeerTimeout is how soon the tasks of a gang notice that a peer is gone, and how long a task that has written
-	// its checkpoint waits for the others.
+	// GangPeerTimeout is the maximum time until the tasks of a gang detect that a peer has terminated. It is also how
+	// long a task that has written its checkpoint waits for its peers.
 	GangPeerTimeout micros.Duration
-	// ListLag is how old the cloud's list of machines usually is at most.
+	// ListLag is the usual maximum age of the cloud's list of machines.
 	ListLag micros.Duration
-	// Tuning holds the operators' options for scheduling.
+	// Tuning holds the operators' scheduling options.
 	Tuning settings.Tuning
-	// TrackDisruptions enables the ledger of disrupted tasks, for drains and rebalancing.
+	// TrackDisruptions enables the disruption ledger, which drains and rebalancing need.
 	TrackDisruptions bool
-	// ReservationTTL is how long room is reserved for the successor of an evicted attempt.
+	// ReservationTTL is how long capacity stays reserved for the successor of an evicted attempt.
 	ReservationTTL micros.Duration
-	// MaxCommandPushes bounds the command pushes in flight: each takes a connection.
+	// MaxCommandPushes bounds the number of command pushes in flight, since each one occupies a connection.
 	MaxCommandPushes int
 	// StoreLimits holds the limits of the key-value store.
 	StoreLimits settings.StoreLimits
 }
 
-// Manager holds the state of one term. Create it with New.
+// Manager holds the state of one leader term. Use New to create one.
 type Manager struct {
 	cfg       Config
 	termStart micros.Timestamp
 
 	jobs          jobTable
 	machines      machineTable
-	cordons       map[wire.MachineID]bool // machines that get nothing new
+	cordons       map[wire.MachineID]bool // machines that receive no new tasks
 	leaseRenewers leaseRenewers
 
 	quota      quotaUsage
@@ -74,7 +76,7 @@
 	writes writePipeline
 	pushes pushQueue
 
-	// resumePreemptionAt is the job at which the next round of preemption begins; empty: at the most urgent.
+	// resumePreemptionAt is the job with which the next preemption round starts; empty: the job of the highest priority.
 	resumePreemptionAt wire.JobID
 	estimates          runTimeEstimator
 	costs              costAccount
@@ -86,12 +88,12 @@
 
 	ledger       *disruption.Ledger // nil: disruptions are not tracked
 	reservations reservationTable
-	// replacements counts, by job, the tasks that cannot be evicted for lack of room elsewhere.
+	// replacements counts, by job, the tasks whose eviction waits for free capacity on another machine.
 	replacements map[wire.JobID]int
 	vacatedPools []drain.VacatedPool
 }
 
-// Event is a message for the operators' log: its attributes are alternating keys and values, as for log/slog.
+// Event is a message for the operators' log. Attrs holds alternating keys and values, as in log/slog.
 type Event struct {
 	Message string
 	Attrs   []any
@@ -101,14 +103,14 @@
 	m.events = append(m.events, Event{Message: message, Attrs: attrs})
 }
 
-// Events returns the events since the last call.
+// Events returns the events recorded since the last call.
 func (m *Manager) Events() []Event {
 	events := m.events
 	m.events = nil
 	return events
 }
 
-// SetTeamAssignments sets which controller places the jobs of which team, by team.
+// SetTeamAssignments sets, by team, the controller that schedules the team's jobs.
 func (m *Manager) SetTeamAssignments(assignments map[wire.TeamName]string) {
 	if !maps.Equal(assignments, m.teamAssignments) {
 		m.teamAssignments = assignments
@@ -116,7 +118,7 @@
 	}
 }
 
-// SetStoreAvailable sets whether the key-value store serves this controller.
+// SetStoreAvailable sets whether the key-value store currently serves this controller.
 func (m *Manager) SetStoreAvailable(available bool) {
 	if available != m.storeAvailable {
 		m.storeAvailable = available
--- a/internal/manager/moves.go
+++ b/internal/manager/moves.go
@@ -55,7 +55,7 @@
 		ID:           machine.id,
 		Capacity:     resources.ForMachine(machine.machineType),
 		Free:         m.freeResources(machine),
-		Heartbeating: m.known(now, machine),
+		Heartbeating: m.hasCurrentStatus(now, machine),
 		Usable:       m.usable(now, machine) && machine.reservedForJob == "",
 		Cordoned:     m.cordons[machine.id],
 		FetchGBPS:    machine.machineType.FetchGBPS,
@@ -121,7 +121,7 @@
 	}
 	free := m.freeResources(machine)
 	return !slices.ContainsFunc(executor.waiting, func(other *jobState) bool {
-		return m.suits(machine, other) && free.Fits(resources.ForTask(other.spec()))
+		return m.eligibleFor(machine, other) && free.Fits(resources.ForTask(other.spec()))
 	})
 }
 
@@ -147,7 +147,7 @@
 
 // suitsMove reports whether a task of a job can be moved to a machine.
 func (m *Manager) suitsMove(now micros.Timestamp, machine *machineState, job *jobState) bool {
-	return m.usable(now, machine) && !m.preemptedForOther(now, machine, job) && m.suits(machine, job) &&
+	return m.usable(now, machine) && !m.preemptedForOther(now, machine, job) && m.eligibleFor(machine, job) &&
 		m.freeResources(machine).Fits(resources.ForTask(job.spec()))
 }
 
--- a/internal/manager/moves_test.go
+++ b/internal/manager/moves_test.go
@@ -16,7 +16,7 @@
 func TestMovedTaskIsLoadOnItsDestination(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
-	need := record("run-1", 1, savesProgress).Job.CPUs
+	need := record("run-1", 1, withCheckpoints).Job.CPUs
 	before, after := fmt.Sprintf("n-1-a %g, n-2-a 0", need), fmt.Sprintf("n-1-a 0, n-2-a %g", need)
 	h.want(h.cpusByMachine(), before)
 	h.want(h.m.Move(h.now, firstTask("run-1"), "n-2-a"), rebalance.Moved)
@@ -24,17 +24,18 @@
 	h.want(h.cpusByMachine(), after)
 	h.want(h.m.Move(h.now, firstTask("run-1"), "n-2-a"), rebalance.AlreadyStopping)
 	h.commitWrites()
-	h.want(h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "running")), command("stop", "run-1/0", first))
+	h.want(h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "running")),
+		command("stop", "run-1/0", firstAttempt))
 	h.want(h.cpusByMachine(), after)
-	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "ended halted"))
+	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "ended halted"))
 	h.want(h.cpusByMachine(), after)
 	h.want(h.grant("run-1", "n-2-a", 1), 1)
 	h.want(h.cpusByMachine(), after)
 	h.commitWrites()
-	h.heartbeat("n-2-a", token, 1, taskStatus("run-1/0", first+1, "fetching"))
+	h.heartbeat("n-2-a", token, 1, taskStatus("run-1/0", firstAttempt+1, "fetching"))
 	h.want(h.cpusByMachine(), after)
 	h.want(h.m.Move(h.now, firstTask("run-1"), "n-1-a"), rebalance.AlreadyStopping)
-	h.heartbeat("n-2-a", token, 1, taskStatus("run-1/0", first+1, "running"))
+	h.heartbeat("n-2-a", token, 1, taskStatus("run-1/0", firstAttempt+1, "running"))
 	h.want(h.openDisruptions(), "")
 	h.want(h.cpusByMachine(), after)
 }
@@ -48,7 +49,7 @@
 	h.m.MachinesDeleted(h.now, []wire.MachineID{"n-2-a"})
 	h.commit(batch)
 	h.want(h.openDisruptions(), "")
-	h.want(h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "running")), "")
+	h.want(h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "running")), "")
 	h.want(len(h.m.CommandPushes(h.now, true)), 0)
 }
 
@@ -60,7 +61,7 @@
 	h.want(h.m.Move(h.now, firstTask("run-1"), "n-9-a"), rebalance.NoCapacity)
 	h.want(h.m.Move(h.now, firstTask("run-9"), "n-2-a"), rebalance.AttemptEnded)
 	h.want(h.m.MoveExecutor(h.now).MayHost(firstTask("run-1"), "n-2-a"), true)
-	h.submit("run-2", 1, savesProgress)
+	h.submit("run-2", 1, withCheckpoints)
 	h.want(h.m.MoveExecutor(h.now).MayHost(firstTask("run-1"), "n-2-a"), false) // its room is for work that waits
 	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-2-a": true}, nil)
 	h.want(h.m.Move(h.now, firstTask("run-1"), "n-2-a"), rebalance.NoCapacity)
@@ -88,11 +89,11 @@
 	batch, _ := earlier.nextWrite()
 	earlier.want(batch.Changes[1].Value.(state.DisruptionRecord).Open[0].ReservedMachine, wire.MachineID("n-2-a"))
 
-	open := []wire.KeyValue{item("open/run-1", 4, record("run-1", 1, savesProgress))}
-	progress := []wire.KeyValue{item("tasks/run-1/0", 6, state.ProgressRecord{Active: []state.Placement{
+	open := []wire.KeyValue{storedItem("open/run-1", 4, record("run-1", 1, withCheckpoints))}
+	progress := []wire.KeyValue{storedItem("tasks/run-1/0", 6, state.ProgressRecord{Active: []state.Placement{
 		{Task: 0, Machine: "n-1-a", Attempt: before, Incarnation: 1},
 	}})}
-	disruptions := []wire.KeyValue{item("disruption/run-1/0", 6, state.DisruptionRecord{Open: []state.OpenDisruption{
+	disruptions := []wire.KeyValue{storedItem("disruption/run-1/0", 6, state.DisruptionRecord{Open: []state.OpenDisruption{
 		{Task: 0, Attempt: before, Cause: "rebalance", ReservedMachine: "n-2-a"},
 	}})}
 	for name, there := range map[string]bool{"its machine reports": true, "its machine is gone": false} {
@@ -119,7 +120,7 @@
 func TestSilentMachinesAreNotKnown(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.start("n-1-a", "n-2-a")
-	h.advance(h.m.heartbeatDeadline() + micros.Second)
+	h.advance(h.m.heartbeatTimeout() + micros.Second)
 	h.start("n-1-a")
 	status := h.m.RebalanceSnapshot(h.now, nil)
 	h.want(status.Machines[0].Heartbeating && status.Machines[0].Usable, true)
--- a/internal/manager/preemption.go
+++ b/internal/manager/preemption.go
@@ -99,7 +99,7 @@
 // of them being placed. A new leader first waits for its machines' heartbeats: before, a job that waited under the
 // last one would find no room though there is some.
 func (m *Manager) waitingFor(now micros.Timestamp, longer micros.Duration) []*jobState {
-	if now.Sub(m.termStart) <= min(longer, m.heartbeatDeadline()) {
+	if now.Sub(m.termStart) <= min(longer, m.heartbeatTimeout()) {
 		return nil
 	}
 	return m.jobs.byArrival(func(job *jobState) bool {
@@ -117,7 +117,7 @@
 		}
 		target := &preemptionTarget{machine: machine, room: m.freeResources(machine)}
 		for _, attempt := range machine.attempts {
-			if attempt.ending() {
+			if attempt.stopPending() {
 				target.room = target.room.AddTasks(resources.ForTask(attempt.spec()), 1)
 			} else if m.preemptible(now, attempt) {
 				target.victims = append(target.victims, attempt)
@@ -172,7 +172,7 @@
 	var targets []*preemptionTarget
 	for _, target := range round.targets {
 		machine := target.machine
-		if round.m.suits(machine, job) && (machine.reservedForJob == "" || machine.reservedForJob == job.id()) {
+		if round.m.eligibleFor(machine, job) && (machine.reservedForJob == "" || machine.reservedForJob == job.id()) {
 			targets = append(targets, target)
 		}
 	}
--- a/internal/manager/preemption_test.go
+++ b/internal/manager/preemption_test.go
@@ -18,13 +18,13 @@
 	h.grant("run-1", "n-1-a", 2)
 	h.commitWrites()
 	h.heartbeat("n-1-a", token, 1)
-	red := []string{taskStatus("run-1/0", first, "running"), taskStatus("run-1/1", first+1, "running")}
+	red := []string{taskStatus("run-1/0", firstAttempt, "running"), taskStatus("run-1/1", firstAttempt+1, "running")}
 	h.heartbeat("n-1-a", token, 1, red...)
 	h.submit("run-2", 2, func(j *wire.Job) { j.Team = "blue" })
 	h.advance(micros.Second)
 	h.m.Preempt(h.now, func() bool { return false })
-	h.want(h.heartbeat("n-1-a", token, 1, red...), command("stop", "run-1/0", first))
-	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "ended halted"), red[1])
+	h.want(h.heartbeat("n-1-a", token, 1, red...), command("stop", "run-1/0", firstAttempt))
+	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "ended halted"), red[1])
 	h.want(h.grant("run-2", "n-1-a", 1), 1)
 	h.advance(micros.Second)
 	h.m.Preempt(h.now, func() bool { return false })
--- a/internal/manager/progress.go
+++ b/internal/manager/progress.go
@@ -6,16 +6,16 @@
 	"saffronbend/wire"
 )
 
-// progressShard is what is known of one of a job's progress records, each of which holds the done tasks and the
-// placements of a range of tasks.
+// progressShard describes one of a job's progress records. Each record holds the done tasks and the placements of a
+// range of the job's tasks.
 type progressShard struct {
 	version          uint64 // 0: the record does not exist
-	dirty            bool   // the record has to be written
+	dirty            bool   // the record must be written
 	dirtySince       micros.Timestamp
-	launchPending    bool // a launch waits for the write
+	launchPending    bool // a launch waits until the record is written
 	deletionInFlight bool
-	placementBytes   int // encoded size of the placements that the record has to hold
-	// disruptions is the record of the disrupted tasks among those of the shard.
+	placementBytes   int // encoded size of the placements that the record must hold
+	// disruptions is the record of the disrupted tasks in the shard's range.
 	disruptions disruptionRecord
 }
 
@@ -25,7 +25,7 @@
 	index int
 }
 
-// markDirty queues the progress record of a task for writing. launch says that a launch waits for the write.
+// markDirty queues the progress record of a task for writing. launch says whether a launch waits for the write.
 func (pipeline *writePipeline) markDirty(now micros.Timestamp, job *jobState, task int, launch bool) {
 	shard := job.shardOf(task)
 	shard.launchPending = shard.launchPending || launch
@@ -36,7 +36,7 @@
 	}
 }
 
-// markWritten records that a write contains the shard as it is now.
+// markWritten records that a write contains the current state of the shard.
 func (shard *progressShard) markWritten() { shard.dirty, shard.launchPending = false, false }
 
 // recordDeletions returns the changes that delete a shard's records.
@@ -52,8 +52,8 @@
 	return changes
 }
 
-// tasksOf returns the range of tasks of a shard: first to end, which is not included.
-func (job *jobState) tasksOf(shardIndex int) (first, end int) {
+// taskRange returns the range of the tasks in a shard; end is exclusive.
+func (job *jobState) taskRange(shardIndex int) (first, end int) {
 	first = shardIndex * job.record.ShardSize
 	return first, min(first+job.record.ShardSize, len(job.taskPhases))
 }
--- a/internal/manager/published.go
+++ b/internal/manager/published.go
@@ -32,7 +32,7 @@
 		QuarantineReason: machine.health.quarantineReason,
 		Unlisted:         listing.missing(m.cfg.ListLag),
 		RegisteredAt:     machine.registeredAt,
-		LastHeartbeat:    agent.lastHeartbeat,
+		LastHeartbeat:    agent.lastHeartbeatAt,
 		UnreachableSince: agent.unreachableSince,
 		NeedsDeletion:    !agent.tokenAcknowledged && len(machine.attempts) > 0,
 		ExpectedSoon:     m.expectedSoon(now, machine),
@@ -54,7 +54,7 @@
 	}
 	agent := &machine.agent
 	return machine.listing.state == wire.MachineStarting && !agent.reporting ||
-		!agent.tokenAcknowledged && now.Sub(agent.lastHeartbeat) < m.cfg.WorkerLease
+		!agent.tokenAcknowledged && now.Sub(agent.lastHeartbeatAt) < m.cfg.WorkerLease
 }
 
 // publishedLeases returns the leases on a machine by job.
@@ -116,7 +116,7 @@
 			published.ActiveByZone[attempt.machine.zone]++
 		}
 	}
-	if len(job.failuresByMachine) < machinesToBlameJob {
+	if len(job.failuresByMachine) < minFailingMachinesForBackoff {
 		published.AvoidMachines = slices.Sorted(maps.Keys(job.failuresByMachine))
 	}
 	return published
--- a/internal/manager/pushes.go
+++ b/internal/manager/pushes.go
@@ -8,36 +8,36 @@
 	"saffronbend/wire"
 )
 
-// maxPushCommands bounds the commands of one push.
+// maxPushCommands bounds the number of commands in one push.
 const maxPushCommands = 100
 
-// CommandPush is a set of commands that does not wait for the agent's next heartbeat.
+// CommandPush is a set of commands that is sent to an agent without waiting for its next heartbeat.
 type CommandPush struct {
 	Machine wire.MachineID
 	Addr    string // of the machine's agent, HOST:PORT
 	Body    wire.CommandPush
 }
 
-// pushQueue holds the machines for which there may be something to push, and counts the pushes in flight.
+// pushQueue holds the machines to which there may be commands or a probe to push, and counts the pushes in flight.
 type pushQueue struct {
 	candidates  map[wire.MachineID]bool
 	inFlight    int
 	maxInFlight int
 }
 
-// mark adds a machine to the candidates.
-func (queue *pushQueue) mark(machine *machineState) { queue.candidates[machine.id] = true }
+// addCandidate adds a machine to the candidates.
+func (queue *pushQueue) addCandidate(machine *machineState) { queue.candidates[machine.id] = true }
 
-// full reports whether no further push may be in flight.
+// full reports whether the maximum number of pushes is in flight.
 func (queue *pushQueue) full() bool { return queue.inFlight >= queue.maxInFlight }
 
-// CommandPushes returns the pushes to be sent now: launches that have become durable, stops, and empty pushes, or
-// probes, by which an agent may show that it is reached. Each machine has at most one push in flight, whose outcome
-// the caller reports with CommandPushDone. Only machines that have changed since the last call are looked at.
-// mayLaunch is false while nothing may be launched by a push.
+// CommandPushes returns the pushes to send now: launches that have become durable, stops, and empty pushes (probes),
+// which give an agent the opportunity to show that it is reachable. At most one push per machine is in flight; the
+// caller reports its outcome with CommandPushDone. Only candidates, machines that may have changed since the last call,
+// are examined. mayLaunch is false while launches must not be pushed.
 func (m *Manager) CommandPushes(now micros.Timestamp, mayLaunch bool) []CommandPush {
 	if len(m.pushes.candidates) == 0 || m.pushes.full() {
-		return nil // candidates remain; what is not pushed goes with answers to heartbeats
+		return nil // the candidates remain; commands are also sent in heartbeat responses
 	}
 	var pushes []CommandPush
 	for _, id := range slices.Sorted(maps.Keys(m.pushes.candidates)) {
@@ -58,7 +58,7 @@
 	return pushes
 }
 
-// nextPush returns what is to be pushed to a machine now, if anything is: a probe if it may not be reached, or
+// nextPush returns the push to send to a machine now, if any: a probe if the machine may be unreachable, otherwise
 // commands.
 func (m *Manager) nextPush(now micros.Timestamp, machine *machineState, mayLaunch bool) (push CommandPush, ok bool) {
 	if machine.needsProbe() {
@@ -69,7 +69,7 @@
 		return m.newPush(machine, machine.latestKnownIncarnation(), []wire.Command{}), true
 	}
 	agent := &machine.agent
-	if !agent.reporting || !agent.tokenAcknowledged || !agent.pushWorks || len(machine.attempts) == 0 {
+	if !agent.reporting || !agent.tokenAcknowledged || !agent.pushReachable || len(machine.attempts) == 0 {
 		return CommandPush{}, false
 	}
 	commands := pushCommands(now, machine, mayLaunch)
@@ -86,7 +86,8 @@
 	}
 }
 
-// pushCommands returns the commands for the attempts on a machine that were not sent before, and records them as sent.
+// pushCommands returns the commands for the attempts on a machine that have not been sent yet, and records them as
+// sent.
 func pushCommands(now micros.Timestamp, machine *machineState, mayLaunch bool) []wire.Command {
 	var commands []wire.Command
 	for _, attempt := range attemptsByID(machine.attempts) {
@@ -98,32 +99,32 @@
 			attempt.stop.sentAt = now
 			commands = append(commands, stopCommand(attempt, attempt.stop.graceS))
 		case mayLaunch && mayPushLaunch(attempt):
-			attempt.launch.pushed()
+			attempt.launch.markPushed()
 			commands = append(commands, launchCommand(attempt))
 		}
 	}
 	return commands
 }
 
-// mayPushLaunch reports whether an attempt's launch may be pushed: no launch of it was sent that the agent has
-// executed or may yet execute, and the machine has few tombstones.
+// mayPushLaunch reports whether an attempt's launch may be pushed: no launch that was sent before has been or may still
+// be executed, and the number of tombstones on the machine is below the limit.
 func mayPushLaunch(attempt *taskAttempt) bool {
 	return attempt.grantedThisTerm && !attempt.stop.requested && !attempt.listed &&
-		attempt.launch.answerSeq == 0 && attempt.launch.push != pushOutcomeUnknown &&
+		attempt.launch.responseSeq == 0 && attempt.launch.push != pushOutcomeUnknown &&
 		len(attempt.machine.tombstones) < maxTombstones && attempt.mayLaunch()
 }
 
-// needsProbe reports whether a machine is to be asked by an empty push whether it is reached: one that may not be,
-// and one that runs but has not reported to this leader. Its agent may act for an earlier leader that is cut off from
-// all but its agents, and learns of us only so.
+// needsProbe reports whether a machine's connectivity must be tested with an empty push: it may be unreachable, or it
+// runs but has not reported in this term. In the latter case, its agent may still follow an earlier leader that is
+// partitioned from everything but its agents, and the probe is the only way for it to learn of this leader.
 func (machine *machineState) needsProbe() bool {
 	agent := &machine.agent
 	return agent.unreachableSince != 0 || agent.reachableOnlyThroughRelay() ||
 		!agent.reporting && machine.listing.state == wire.MachineRunning
 }
 
-// latestKnownIncarnation returns the incarnation that a machine's agent is in as far as is known. If it is in
-// another, its answer shows that.
+// latestKnownIncarnation returns the latest known incarnation of a machine's agent. If the agent is in another one, its
+// response to the push shows that.
 func (machine *machineState) latestKnownIncarnation() wire.AgentIncarnation {
 	latest := max(1, machine.agent.incarnation)
 	for _, attempt := range machine.attempts {
@@ -132,47 +133,47 @@
 	return latest
 }
 
-// shouldProbe reports whether it is time to probe a machine that needs it. One that has reported and has yet to
-// acknowledge our token most likely does so with its next heartbeat; most of a new leader's machines report within
-// the first seconds.
+// shouldProbe reports whether a probe of a machine that needs one is due. A machine that has reported but not yet
+// acknowledged this term's token is likely to do so with its next heartbeat. Most machines report to a new leader
+// within the first seconds of its term.
 func (m *Manager) shouldProbe(now micros.Timestamp, machine *machineState) bool {
 	const (
 		interval     = 3 * micros.Second
 		longInterval = 15 * micros.Second
-		termSettles  = 2 * micros.Second
+		startupDelay = 2 * micros.Second
 	)
 	agent := &machine.agent
-	if !agent.reporting && now.Sub(m.termStart) < termSettles {
+	if !agent.reporting && now.Sub(m.termStart) < startupDelay {
 		return false
 	}
 	sinceProbe := now.Sub(agent.probedAt)
 	if !agent.reporting || agent.reachableOnlyThroughRelay() {
 		return agent.probedAt == 0 || sinceProbe >= longInterval
 	}
-	patience := micros.Duration(0)
-	if !agent.tokenAcknowledged && agent.lastAnswered != 0 {
-		patience = m.heartbeatDeadline()
+	delay := micros.Duration(0)
+	if !agent.tokenAcknowledged && agent.lastResponseAt != 0 {
+		delay = m.heartbeatTimeout()
 	}
-	return now.Sub(agent.unreachableSince) >= patience && (agent.probedAt == 0 || sinceProbe >= interval)
+	return now.Sub(agent.unreachableSince) >= delay && (agent.probedAt == 0 || sinceProbe >= interval)
 }
 
-// PushOutcome is what is known of a push after it was attempted.
+// PushOutcome is what is known about a push after it was attempted.
 type PushOutcome int
 
-// The outcomes. An executed or refused push has an answer: the agent's status.
+// The possible outcomes of a push. An executed or refused push has a response: the agent's status.
 const (
-	// PushOutcomeUnknown: there was no answer. The push may yet be executed.
+	// PushOutcomeUnknown: no response was received. The push may still be executed.
 	PushOutcomeUnknown PushOutcome = iota
-	// PushNotSent: the push was not sent and never will be.
+	// PushNotSent: the push was not sent and will not be.
 	PushNotSent
-	// PushRefused: the agent has refused it, since it was for another fencing token or incarnation.
+	// PushRefused: the agent refused the push because it was meant for another fencing token or incarnation.
 	PushRefused
-	// PushExecuted: the agent has executed it.
+	// PushExecuted: the agent executed the push.
 	PushExecuted
 )
 
-// CommandPushDone applies the outcome of a push, and the agent's status if it has answered (nil: it has not). deposed
-// reports that the agent has seen a higher fencing token: the term is over.
+// CommandPushDone applies the outcome of a push, and the agent's status if it responded (nil: no response). superseded
+// reports that the agent has seen a higher fencing token, so the term is over.
 func (m *Manager) CommandPushDone(
 	now micros.Timestamp, push CommandPush, outcome PushOutcome, status *wire.Heartbeat,
 ) (superseded bool) {
@@ -182,26 +183,26 @@
 		return false
 	}
 	machine.agent.pushInFlight = false
-	m.pushes.mark(machine)
+	m.pushes.addCandidate(machine)
 	for _, command := range push.Body.Commands {
 		if command.Op == wire.OpStart {
 			machine.resolvePushedLaunch(command, outcome)
 		}
 	}
 	if status == nil {
-		machine.agent.pushWorks = false
+		machine.agent.pushReachable = false
 		return false
 	}
 	if status.FencingToken > m.cfg.FencingToken {
 		return true
 	}
 	if status.Machine == push.Machine {
-		m.applyPushAnswer(now, machine, push.Body.Incarnation, outcome, status)
+		m.applyPushResponse(now, machine, push.Body.Incarnation, outcome, status)
 	}
 	return false
 }
 
-// resolvePushedLaunch applies the outcome of a push to the attempt that it was to launch, unless that is gone.
+// resolvePushedLaunch applies the outcome of a push to the attempt that it launches, unless that has been released.
 func (machine *machineState) resolvePushedLaunch(command wire.Command, outcome PushOutcome) {
 	attempt := machine.attempts[command.Task]
 	if attempt != nil && attempt.id == command.Attempt {
@@ -209,14 +210,15 @@
 	}
 }
 
-// applyPushAnswer applies the status with which an agent has answered a push that was meant for an incarnation.
-func (m *Manager) applyPushAnswer(
+// applyPushResponse applies the status with which an agent responded to a push that was meant for the given
+// incarnation.
+func (m *Manager) applyPushResponse(
 	now micros.Timestamp, machine *machineState, incarnation wire.AgentIncarnation,
 	outcome PushOutcome, status *wire.Heartbeat,
 ) {
-	applied := m.applyHeartbeat(now, status, fromPushAnswer) != nil
+	applied := m.applyHeartbeat(now, status, fromPushResponse) != nil
 	if applied && outcome == PushRefused && status.Incarnation != incarnation {
-		machine.agent.probedAt = 0 // that was another incarnation; the right one is known now
+		machine.agent.probedAt = 0 // probe again at once, now that the current incarnation is known
 	}
 	if outcome == PushExecuted && machine.agent.incarnation == incarnation {
 		machine.agent.markReachable()
--- a/internal/manager/pushes_test.go
+++ b/internal/manager/pushes_test.go
@@ -8,9 +8,9 @@
 	"saffronbend/wire"
 )
 
-// An agent that begins a new incarnation though we answer it is not reached. Its machine gets nothing until something
-// shows that it is: here, that it executes an empty push.
-func TestUnreachableMachineGetsNothingUntilProbed(t *testing.T) {
+// An agent that begins a new incarnation although its heartbeats are answered is unreachable. Its machine receives no
+// new tasks until there is evidence that it is reachable, here by executing an empty push.
+func TestUnreachableMachineGetsNoTasksUntilProbed(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.placeTask()
 	h.heartbeat("n-1-a", token, 2)
@@ -18,71 +18,75 @@
 	h.advance(workerLease)
 	h.heartbeat("n-1-a", token, 3)
 	h.want(h.grant("run-1", "n-1-a", 1), 0)
-	d := h.m.CommandPushes(h.now, true)
-	h.want(len(d), 1)
-	h.want(len(d[0].Body.Commands), 0)
-	h.m.CommandPushDone(h.now, d[0], PushOutcomeUnknown, nil)
+	pushes := h.m.CommandPushes(h.now, true)
+	h.want(len(pushes), 1)
+	h.want(len(pushes[0].Body.Commands), 0)
+	h.m.CommandPushDone(h.now, pushes[0], PushOutcomeUnknown, nil)
 	h.want(h.grant("run-1", "n-1-a", 1), 0)
 	h.advance(4 * micros.Second)
 	h.heartbeat("n-1-a", token, 3)
-	d = h.m.CommandPushes(h.now, true)
-	h.want(len(d), 1)
+	pushes = h.m.CommandPushes(h.now, true)
+	h.want(len(pushes), 1)
 	h.seq++
-	h.pushExecuted(d[0], pushAnswer(3, h.seq))
+	h.pushExecuted(pushes[0], pushResponse(3, h.seq))
 	h.want(h.grant("run-1", "n-1-a", 1), 1)
 }
 
-// An agent that does not execute the launch in an answer counts as unreachable until it does.
+// An agent that does not execute the launch in a heartbeat response counts as unreachable until it does.
 func TestMachineIsUnreachableIfLaunchIsNotExecuted(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a")
 	h.submit("run-1", 2, nil)
 	h.grant("run-1", "n-1-a", 1)
 	h.commitWrites()
-	launch := command("launch", "run-1/0", first)
+	launch := command("launch", "run-1/0", firstAttempt)
 	h.want(h.heartbeat("n-1-a", token, 1), launch)
 	h.want(h.heartbeat("n-1-a", token, 1), launch)
 	h.want(h.grant("run-1", "n-1-a", 1), 0)
-	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "running"))
+	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "running"))
 	h.want(h.grant("run-1", "n-1-a", 1), 1)
 }
 
-// A pushed launch of unknown outcome is repeated in an answer, and its attempt is never cleared: the late push would
-// start it again.
+// A pushed launch with an unknown outcome is repeated in a heartbeat response. Its attempt is never cleared, since the
+// push may still arrive and would start the attempt again.
 func TestPushedLaunchOfUnknownOutcomeIsRepeated(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.placeTask()
-	d := h.m.CommandPushes(h.now, true)
-	h.want(len(d), 1)
-	h.want(h.heartbeat("n-1-a", token, 1), "") // in flight: neither gone nor repeated
-	h.m.CommandPushDone(h.now, d[0], PushOutcomeUnknown, nil)
-	h.want(h.heartbeat("n-1-a", token, 1), command("launch", "run-1/0", first))
-	h.want(h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "ended error")), "")
+	pushes := h.m.CommandPushes(h.now, true)
+	h.want(len(pushes), 1)
+	h.want(h.heartbeat("n-1-a", token, 1), "") // in flight: neither released nor repeated
+	h.m.CommandPushDone(h.now, pushes[0], PushOutcomeUnknown, nil)
+	h.want(h.heartbeat("n-1-a", token, 1), command("launch", "run-1/0", firstAttempt))
+	h.want(h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "ended error")), "")
 	h.want(h.grant("run-1", "n-1-a", 1), 1)
 }
 
-// A pushed launch that was never sent cannot arrive late: it goes with the next answer, and is cleared once it has
-// exited.
+// A pushed launch that was never sent cannot arrive late: it is sent with the next heartbeat response, and the attempt
+// is cleared once it has exited.
 func TestPushedLaunchThatWasNotSent(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.placeTask()
 	h.m.CommandPushDone(h.now, h.m.CommandPushes(h.now, true)[0], PushNotSent, nil)
-	h.want(h.heartbeat("n-1-a", token, 1), command("launch", "run-1/0", first))
-	h.want(h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "ended error")), command("clear", "run-1/0", first))
+	h.want(h.heartbeat("n-1-a", token, 1), command("launch", "run-1/0", firstAttempt))
+	h.want(
+		h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "ended error")),
+		command("clear", "run-1/0", firstAttempt),
+	)
 }
 
-// When the job is cancelled, the late push must find the attempt known: it is launched and stopped in one answer, and
-// never cleared.
+// After a job is cancelled, a late push of a launch must find the attempt known to the agent: the attempt is launched
+// and stopped in one response, and never cleared.
 func TestPushedLaunchOfUnknownOutcomeOfCancelledJob(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.placeTask()
 	h.m.CommandPushDone(h.now, h.m.CommandPushes(h.now, true)[0], PushOutcomeUnknown, nil)
 	h.cancel()
-	h.want(h.heartbeat("n-1-a", token, 1), fmt.Sprintf("launch run-1/0 %d; stop run-1/0 %d", first, first))
-	h.want(h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "ended halted")), "")
+	h.want(h.heartbeat("n-1-a", token, 1),
+		fmt.Sprintf("launch run-1/0 %d; stop run-1/0 %d", firstAttempt, firstAttempt))
+	h.want(h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "ended halted")), "")
 }
 
-// The pushes in flight are bounded; the others follow as answers arrive.
+// The number of pushes in flight is bounded; further pushes are sent as responses arrive.
 func TestPushesInFlightAreBounded(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a", "n-2-a", "n-3-a")
@@ -91,38 +95,39 @@
 		h.grant("run-1", m, 1)
 	}
 	h.commitWrites()
-	out := h.m.CommandPushes(h.now, true)
-	h.want(len(out), 2)
+	pushes := h.m.CommandPushes(h.now, true)
+	h.want(len(pushes), 2)
 	h.want(len(h.m.CommandPushes(h.now, true)), 0)
-	// The leader calls it all the time: while all are in flight that must cost nothing.
+	// The leader's event loop calls it continually: it must not allocate while the maximum number is in flight.
 	h.want(testing.AllocsPerRun(10, func() { h.m.CommandPushes(h.now, true) }), 0.0)
-	h.m.CommandPushDone(h.now, out[0], PushOutcomeUnknown, nil)
-	out = h.m.CommandPushes(h.now, true)
-	h.want(len(out), 1)
-	h.want(out[0].Machine, wire.MachineID("n-3-a"))
+	h.m.CommandPushDone(h.now, pushes[0], PushOutcomeUnknown, nil)
+	pushes = h.m.CommandPushes(h.now, true)
+	h.want(len(pushes), 1)
+	h.want(pushes[0].Machine, wire.MachineID("n-3-a"))
 }
 
-// A copy of a pushed launch that was executed may arrive again: an attempt that exited without a result is not
-// cleared, since its task may be elsewhere by then.
+// A copy of a pushed launch that was executed may arrive again. An attempt that exited without a result is therefore
+// not cleared: its task may have been started elsewhere by then.
 func TestPushedAttemptWithoutResultIsNotCleared(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.placeTask()
 	push := h.m.CommandPushes(h.now, true)[0]
 	h.seq++
-	h.pushExecuted(push, pushAnswer(1, h.seq, runningTask("run-1/0", first)))
-	h.want(h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "ended halted")), "")
+	h.pushExecuted(push, pushResponse(1, h.seq, runningTask("run-1/0", firstAttempt)))
+	h.want(h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "ended halted")), "")
 	h.want(h.grant("run-1", "n-1-a", 1), 1)
 }
 
-// Nor is one with a result, as long as its job could be cancelled: the copy would start it again after the
-// cancellation. Where the team has a limit, the second start could break that, and it is never cleared.
+// A pushed attempt with a result is not cleared while its job could still be cancelled: a late copy of the push would
+// start it again after the cancellation. If the team has a limit, a second start could exceed the limit, so that the
+// attempt is never cleared.
 func TestPushedAttemptWithResultIsClearedWithItsJob(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		team          wire.TeamName
 		whenJobIsDone string
 	}{
-		{"a team without a limit", "blue", command("clear", "run-1/0", first)},
+		{"a team without a limit", "blue", command("clear", "run-1/0", firstAttempt)},
 		{"a team with a limit", "red", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -133,20 +138,21 @@
 			h.commitWrites()
 			push := h.m.CommandPushes(h.now, true)[0]
 			h.seq++
-			h.pushExecuted(push, pushAnswer(1, h.seq, runningTask("run-1/0", first), runningTask("run-1/1", first+1)))
-			done := taskStatus("run-1/0", first, "ended done")
-			h.heartbeat("n-1-a", token, 1, done, taskStatus("run-1/1", first+1, "running"))
+			h.pushExecuted(push, pushResponse(1, h.seq,
+				runningTask("run-1/0", firstAttempt), runningTask("run-1/1", firstAttempt+1)))
+			done := taskStatus("run-1/0", firstAttempt, "ended done")
+			h.heartbeat("n-1-a", token, 1, done, taskStatus("run-1/1", firstAttempt+1, "running"))
 			h.advance(minProgressDelay)
 			h.commitWrites()
-			h.want(h.heartbeat("n-1-a", token, 1, done, taskStatus("run-1/1", first+1, "running")), "")
-			h.heartbeat("n-1-a", token, 1, done, taskStatus("run-1/1", first+1, "ended done"))
+			h.want(h.heartbeat("n-1-a", token, 1, done, taskStatus("run-1/1", firstAttempt+1, "running")), "")
+			h.heartbeat("n-1-a", token, 1, done, taskStatus("run-1/1", firstAttempt+1, "ended done"))
 			h.commitWrites()
 			h.want(h.heartbeat("n-1-a", token, 1, done), c.whenJobIsDone)
 		})
 	}
 }
 
-// A machine with many tombstones gets no more pushed launches, so that its heartbeats stay short.
+// A machine with the maximum number of tombstones gets no more pushed launches, so that its heartbeats stay short.
 func TestMachineWithManyTombstonesGetsNoPushedLaunch(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.placeTask()
@@ -155,28 +161,28 @@
 		h.m.machines.byID["n-1-a"].tombstones[key] = tombstone{job: h.m.jobs.byID["run-1"]}
 	}
 	h.want(len(h.m.CommandPushes(h.now, true)), 0)
-	h.want(h.heartbeat("n-1-a", token, 1), command("launch", "run-1/0", first))
+	h.want(h.heartbeat("n-1-a", token, 1), command("launch", "run-1/0", firstAttempt))
 }
 
-// A machine that runs but does not report to a new leader is probed, in the incarnation in which its tasks were
-// placed: its agent may act for an earlier leader that is cut off from all but its agents. The proof of its lease's
-// expiry counts from when it had our token, not from before.
+// A machine that runs but does not report to a new leader is probed, with the incarnation in which its tasks were
+// placed: its agent may still follow an earlier leader that is partitioned from everything but its agents. The expiry
+// of its lease counts from when the agent acknowledged this term's token.
 func TestMachineThatDoesNotReportIsProbed(t *testing.T) {
-	open := openItem(record("run-1", 1, nil))
-	progress := placementItem(3)
+	open := storedOpenJob(record("run-1", 1, nil))
+	progress := storedProgress(3)
 	h := newHarness(t, open, progress)
-	h.list("n-1-a")
+	h.listMachine("n-1-a")
 	h.tick()
-	h.want(len(h.m.CommandPushes(h.now, true)), 0) // it may yet report by itself
+	h.want(len(h.m.CommandPushes(h.now, true)), 0) // the machine may still report without a probe
 	h.advance(2 * micros.Second)
 	h.tick()
-	d := h.m.CommandPushes(h.now, true)
-	h.want(len(d), 1)
-	h.want(d[0].Body.Incarnation, wire.AgentIncarnation(3))
-	h.want(len(d[0].Body.Commands), 0)
+	pushes := h.m.CommandPushes(h.now, true)
+	h.want(len(pushes), 1)
+	h.want(pushes[0].Body.Incarnation, wire.AgentIncarnation(3))
+	h.want(len(pushes[0].Body.Commands), 0)
 	// An earlier leader may have renewed its lease until now.
 	h.advance(9 * micros.Second)
-	h.pushExecuted(d[0], pushAnswer(3, 9, runningTask("run-1/0", 99)))
+	h.pushExecuted(pushes[0], pushResponse(3, 9, runningTask("run-1/0", recoveredAttempt)))
 	h.advance(workerLease)
 	h.tick()
 	h.start("n-2-a")
--- a/internal/manager/reclaim.go
+++ b/internal/manager/reclaim.go
@@ -7,7 +7,7 @@
 	"saffronbend/wire"
 )
 
-// applyReclaimNotice records that the cloud reclaims a spot machine in some seconds.
+// applyReclaimNotice records the cloud's notice that it will reclaim a spot machine in inS seconds.
 func (m *Manager) applyReclaimNotice(now micros.Timestamp, machine *machineState, inS float64) {
 	if machine.reclaimAt == 0 {
 		m.event("spot machine will be reclaimed", "machine", machine.id, "in_s", inS, "tasks", len(machine.attempts))
@@ -15,12 +15,12 @@
 	machine.reclaimAt = now.Add(micros.Seconds(inS))
 }
 
-// prepareForReclaim stops what can write a checkpoint before a spot machine is reclaimed. Work that cannot goes on:
-// it may finish in time.
+// prepareForReclaim stops the attempts that can write a checkpoint before a spot machine is reclaimed. Attempts that
+// cannot keep running, since they may finish in time.
 func (m *Manager) prepareForReclaim(now micros.Timestamp, machine *machineState) {
 	for _, attempt := range attemptsByID(machine.attempts) {
 		if peers := attempt.job.gang; peers != nil && peers.Phase() == gang.Launched {
-			// It would lose this machine before it is done, and begins elsewhere at once.
+			// The gang cannot finish on this machine. Stopping it now lets it start elsewhere at once.
 			m.applyGangAction(now, attempt.job, peers.Preempt(), disruption.Reclaimed)
 			continue
 		}
@@ -30,8 +30,8 @@
 	}
 }
 
-// mustCheckpointBeforeReclaim reports whether an attempt can write a checkpoint and has to begin with it now. Its
-// command may have to wait for the next heartbeat when pushes fail.
+// mustCheckpointBeforeReclaim reports whether an attempt can write a checkpoint and must begin to do so now. The time
+// needed includes the interval to the next heartbeat, because the stop command waits for it if pushes fail.
 func (m *Manager) mustCheckpointBeforeReclaim(now micros.Timestamp, attempt *taskAttempt) bool {
 	const margin = 3 * micros.Second
 	spec := attempt.spec()
@@ -43,9 +43,9 @@
 	return now.Add(needed) >= attempt.machine.reclaimAt
 }
 
-// stopForReclaim has an attempt write its checkpoint and stop. A gang does so as a whole if it can in time; if it
-// cannot and would not be done in time, it is stopped at once: its progress since the last checkpoint is lost in any
-// case.
+// stopForReclaim makes an attempt write its checkpoint and stop. A gang does so as a whole if all of its tasks can in
+// time. If they cannot, and the gang is not expected to finish in time either, it is stopped at once: its progress
+// since the last checkpoint is lost in any case.
 func (m *Manager) stopForReclaim(now micros.Timestamp, attempt *taskAttempt) {
 	job := attempt.job
 	switch peers := job.gang; {
--- a/internal/manager/reconcile.go
+++ b/internal/manager/reconcile.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// reconcileTask applies the status of one task that an agent lists. What no attempt accounts for is an orphan.
+// reconcileTask applies the status of one listed task. A task that belongs to no known attempt is an orphan.
 func (m *Manager) reconcileTask(now micros.Timestamp, machine *machineState, status *wire.TaskStatus) {
 	id, task, ok := wire.ParseTaskName(status.Task)
 	job := m.jobs.byID[id]
@@ -51,8 +51,8 @@
 	machine.useImage(now, job.spec(), status.State != wire.TaskFetching)
 }
 
-// adoptTask registers a task that runs though no attempt of it is known. To start it elsewhere would be to run it
-// twice. Only a heartbeat with this term's token shows that it runs: an older one may be a late copy.
+// adoptTask registers a task that runs although no attempt of it is known. Starting it elsewhere would run it twice.
+// Only a heartbeat with this term's token shows that the task runs: an older one may be a delayed copy.
 func (m *Manager) adoptTask(
 	now micros.Timestamp, machine *machineState, job *jobState, task int, id wire.AttemptID,
 ) *taskAttempt {
@@ -67,7 +67,7 @@
 	m.registerAttempt(attempt)
 	m.writes.markDirty(now, job, task, false)
 	if job.gang != nil {
-		// It is not of an attempt of the whole gang that is known, so it ends.
+		// The task does not belong to a known attempt of the whole gang, so it is stopped.
 		m.applyGangAction(now, job, job.gang.RecoveryDone(), disruption.Gang)
 		if job.gang.Phase() == gang.Aborting {
 			m.stopAttempt(now, attempt, 0, disruption.Gang)
@@ -76,12 +76,12 @@
 	return attempt
 }
 
-// applyTaskState applies that an agent lists an attempt in a state in which it may run.
+// applyTaskState handles an attempt that an agent lists in a state other than exited.
 func (m *Manager) applyTaskState(now micros.Timestamp, attempt *taskAttempt, taskState wire.TaskState) {
 	job, agent := attempt.job, &attempt.machine.agent
 	attempt.listed = true
 	if attempt.reportedState == "" && attempt.grantedThisTerm && attempt.incarnation == agent.incarnation {
-		agent.markReachable() // it has executed our launch
+		agent.markReachable() // it has executed the launch that this leader sent
 	}
 	if attempt.reportedState == taskState {
 		return
@@ -97,7 +97,7 @@
 	}
 }
 
-// reconcileUnlisted applies that an agent does not list an attempt.
+// reconcileUnlisted handles an attempt, unless the agent lists it.
 func (m *Manager) reconcileUnlisted(now micros.Timestamp, attempt *taskAttempt, source messageSource) {
 	agent := &attempt.machine.agent
 	if attempt.listed || attempt.incarnation != agent.incarnation || !agent.tokenAcknowledged || !attempt.durable {
@@ -105,10 +105,10 @@
 	}
 	launch := &attempt.launch
 	if source == fromHeartbeat && attempt.grantedThisTerm && attempt.reportedState == "" &&
-		launch.answerSeq != 0 && launch.answerSeq < agent.newestSeq && launch.push != pushInFlight {
-		agent.markUnreachable(now) // the answer with its launch has not arrived
+		launch.responseSeq != 0 && launch.responseSeq < agent.latestSeq && launch.push != pushInFlight {
+		agent.markUnreachable(now) // the response with its launch has not arrived
 	}
-	if absenceProvesGone(attempt, agent) {
-		m.releaseAttempt(now, attempt, goneUnknownToAgent)
+	if absenceProvesTermination(attempt, agent) {
+		m.releaseAttempt(now, attempt, provenUnknownToAgent)
 	}
 }
--- a/internal/manager/reconcile_test.go
+++ b/internal/manager/reconcile_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A task with a result is cleared only once that is durable.
+// A task with a result is cleared only once the result is durable.
 func TestResultIsDurableBeforeClear(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a")
@@ -13,28 +13,28 @@
 	h.grant("run-1", "n-1-a", 2)
 	h.commitWrites()
 	h.heartbeat("n-1-a", token, 1)
-	ended := taskStatus("run-1/0", first, "ended done")
-	running := taskStatus("run-1/1", first+1, "running")
+	ended := taskStatus("run-1/0", firstAttempt, "ended done")
+	running := taskStatus("run-1/1", firstAttempt+1, "running")
 	h.want(h.heartbeat("n-1-a", token, 1, ended, running), "")
 	h.advance(minProgressDelay)
 	h.commitWrites()
-	h.want(h.heartbeat("n-1-a", token, 1, ended, running), command("clear", "run-1/0", first))
+	h.want(h.heartbeat("n-1-a", token, 1, ended, running), command("clear", "run-1/0", firstAttempt))
 }
 
-// A task in an unknown state counts as existing; one that exited for an unknown reason as one without a result.
+// A task in an unknown state counts as existing. A task that exited for an unknown reason has no result.
 func TestUnknownStatesAndReasons(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.placeTask()
 	h.heartbeat("n-1-a", token, 1)
-	h.heartbeat("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d melting", first))
+	h.heartbeat("n-1-a", token, 1, fmt.Sprintf("run-1/0 %d melting", firstAttempt))
 	h.want(h.grant("run-1", "n-1-a", 1), 0)
-	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "ended eclipse"))
+	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "ended eclipse"))
 	h.want(h.grant("run-1", "n-1-a", 1), 1)
 }
 
-// A task that runs though no record names it is adopted, not started elsewhere.
+// A running task that is not recorded anywhere is adopted, and not started elsewhere.
 func TestUnrecordedTaskIsAdopted(t *testing.T) {
-	h := newHarness(t, openItem(record("run-1", 1, nil)), nil)
+	h := newHarness(t, storedOpenJob(record("run-1", 1, nil)), nil)
 	h.start("n-2-a")
 	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", 99, "running"))
 	h.want(h.grant("run-1", "n-2-a", 1), 0)
@@ -46,15 +46,16 @@
 	h.want(keys, "tasks/run-1/0")
 }
 
-// A task of another attempt than the one that may exist is an orphan: it is stopped, and uses the machine until then.
+// A task of an attempt other than the known one is an orphan: it is stopped, and uses the machine's resources until
+// then.
 func TestOrphanTaskIsStopped(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.placeTask()
-	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "running"))
+	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "running"))
 	h.start("n-2-a")
 	h.want(h.heartbeat("n-2-a", token, 1, taskStatus("run-1/0", 99, "running")), command("stop", "run-1/0", 99))
 	h.submit("run-2", 2, nil)
 	h.want(h.grant("run-2", "n-2-a", 2), 1)
-	h.heartbeat("n-2-a", token, 1, taskStatus("run-9/0", 99, "running")) // its demand is not known
+	h.heartbeat("n-2-a", token, 1, taskStatus("run-9/0", 99, "running")) // the resource demand of run-9 is unknown
 	h.want(h.grant("run-2", "n-2-a", 1), 0)
 }
--- a/internal/manager/recovery.go
+++ b/internal/manager/recovery.go
@@ -11,16 +11,16 @@
 )
 
 // New returns the Manager of a term that begins now, recovered from the records in the key-value store. openJobs and
-// progress are the records below the open and the progress prefix; wall is the wall clock in microseconds since the
-// epoch, for the age of jobs. It fails with a state.RecordError if a record cannot be decoded.
+// progress are the records with the open-job and the progress prefix. wall is the wall-clock time in microseconds since
+// the epoch, from which the age of jobs is computed. New fails with a state.RecordError if a record cannot be decoded.
 //
-// What a new leader knows is exactly what these records say: the jobs, which of their tasks are done, and for each
-// other task whether an attempt of it may exist, on which machine, under which number and agent incarnation. Since
-// every attempt is durable before its launch, no attempt of an earlier leader should be missing; should an agent
-// report a task all the same that no record names, adoptTask registers it. A recovered attempt counts against quota
-// and capacity until it is provably gone. Leases, run times, images, health and connectivity are not recorded: they
-// are learned anew from heartbeats, and until a machine has sent one that carries this term's token it gets nothing
-// new. Disruptions and the machines reserved for successors follow with RestoreDisruptions.
+// A new leader knows exactly what these records say: the jobs, which of their tasks are done, and for each other task
+// whether an attempt of it may exist, on which machine, and with which identifier and agent incarnation. Since every
+// attempt is durable before its launch, no attempt of an earlier leader should be missing. If an agent nevertheless
+// reports a task that no record contains, adoptTask registers it. A recovered attempt counts against quota and capacity
+// until it has provably terminated. Leases, run times, images, health and connectivity are not recorded: they are
+// learned again from heartbeats, and a machine receives no new tasks until it has sent a heartbeat with this term's
+// token. RestoreDisruptions subsequently recovers the disruptions and the machines reserved for successors.
 func New(now micros.Timestamp, cfg Config, wall int64, openJobs, progress []wire.KeyValue) (*Manager, error) {
 	m := newEmptyManager(now, cfg)
 	if err := m.recoverJobs(now, wall, openJobs); err != nil {
@@ -58,8 +58,8 @@
 	return m
 }
 
-// recoverJobs adds the jobs in the order in which they were accepted. The key-value store lists them by their
-// identifiers, which users choose.
+// recoverJobs adds the jobs in the order in which they were accepted. The key-value store lists them by identifier, and
+// identifiers are chosen by users.
 func (m *Manager) recoverJobs(now micros.Timestamp, wall int64, openJobs []wire.KeyValue) error {
 	type versionedRecord struct {
 		record  state.OpenJobRecord
@@ -81,14 +81,14 @@
 	return nil
 }
 
-// recoverProgress restores done tasks and attempts from the progress records. A record without a job is one that a
-// late copy of an earlier leader's write has created again: it counts for nothing and is deleted.
+// recoverProgress restores done tasks and attempts from the progress records. A record without a job was created again
+// by a late copy of an earlier leader's write. It is ignored and deleted.
 func (m *Manager) recoverProgress(now micros.Timestamp, progress []wire.KeyValue) error {
 	for _, item := range progress {
 		id, shardIndex, ok := state.ParseProgressKey(item.Key)
 		job := m.jobs.byID[id]
 		if !ok || job == nil {
-			m.writes.deleteOrphan(item)
+			m.writes.queueOrphanDeletion(item)
 			continue
 		}
 		var record state.ProgressRecord
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// recoverAttempts registers the attempts that earlier leaders have placed. When their leases expire is not recorded:
-// they count as granted now, for the duration of a first lease.
+// recoverAttempts registers the attempts that earlier leaders placed. The expiry of their leases is not recorded, so
+// they are treated as granted now, for the duration of a first lease.
 func (m *Manager) recoverAttempts(now micros.Timestamp, job *jobState, placements []state.Placement) {
 	for _, placement := range placements {
 		if placement.Task < 0 || placement.Task >= len(job.taskPhases) || job.taskPhases[placement.Task] != taskWaiting {
@@ -115,7 +115,7 @@
 			job:         job,
 			taskIndex:   placement.Task,
 			id:          placement.Attempt,
-			machine:     m.machines.ensure(now, placement.Machine),
+			machine:     m.machines.getOrCreate(now, placement.Machine),
 			incarnation: placement.Incarnation,
 			durable:     true,
 			lease:       taskLease{expiry: now.Add(m.cfg.Tuning.FirstLease)},
@@ -123,16 +123,16 @@
 	}
 }
 
-// resumeJob continues a job once all its records have been read.
+// resumeJob continues a job after all of its records have been read.
 func (m *Manager) resumeJob(now micros.Timestamp, job *jobState) {
-	// No earlier leader has placed a task of it, so it has waited since it was accepted. When one of another job's tasks
-	// was last placed is not recorded.
+	// No earlier leader has placed a task of this job, so it has been waiting since it was accepted. For other jobs, the
+	// time of the last placement is not recorded.
 	if len(job.active) == 0 && job.done == 0 {
 		job.waitingSince = job.acceptedAt
 	}
 	m.finishGangRecovery(now, job)
 	if job.final() {
-		m.stopJob(now, job) // cancelled under an earlier leader: tasks of it may still run
+		m.stopJob(now, job) // cancelled under an earlier leader: its tasks may still be running
 	}
-	m.writes.queueFinal(job)
+	m.writes.queueFinalWrites(job)
 }
--- a/internal/manager/reservations_test.go
+++ b/internal/manager/reservations_test.go
@@ -20,7 +20,7 @@
 	h.want(view.Machines[1].CPUs, 0.0)
 	h.want(len(view.Machines[1].Reserved), 0)
 	h.commitWrites()
-	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "ended halted"))
+	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "ended halted"))
 	view = h.m.Snapshot(h.now)
 	h.want(fmt.Sprint(view.Machines[1].Reserved), "[{run-1 {4 0 1}}]")
 	h.advance(31 * micros.Second)
--- a/internal/manager/tombstones.go
+++ b/internal/manager/tombstones.go
@@ -2,31 +2,32 @@
 
 import "saffronbend/wire"
 
-// maxTombstones bounds the tombstones of a machine, and so the length of its heartbeats: one with more gets its
-// launches in answers to them, which do not arrive late.
+// maxTombstones bounds the number of tombstones on a machine, and so the length of its heartbeats. A machine that
+// reaches the limit gets its launches in heartbeat responses, which do not arrive late.
 const maxTombstones = 128
 
-// attemptKey identifies an attempt on a machine: the tasks of a gang share its identifier.
+// attemptKey identifies an attempt on a machine. The task is part of the key because the tasks of a gang share an
+// attempt identifier.
 type attemptKey struct {
 	task    string
 	attempt wire.AttemptID
 }
 
-// keyOf returns the key of the attempt that an agent lists.
-func keyOf(status *wire.TaskStatus) attemptKey {
+// attemptKeyOf returns the key of the attempt in a task status.
+func attemptKeyOf(status *wire.TaskStatus) attemptKey {
 	return attemptKey{task: status.Task, attempt: status.Attempt}
 }
 
-// tombstone is an exited attempt that its agent must go on knowing: once cleared, a late copy of the push that launched
-// it would start it again, while its task may be elsewhere or its job be cancelled.
+// tombstone marks an exited attempt that its agent must keep listing. If the agent cleared the attempt, a late copy of
+// the push that launched it would start it again, although its task may be running elsewhere or its job be cancelled.
 type tombstone struct {
 	job *jobState
-	// clearableWhenJobDone: it may be cleared when its job is done, which cannot be cancelled any more.
+	// clearableWhenJobDone: the attempt may be cleared once its job is done, since it can no longer be cancelled then.
 	clearableWhenJobDone bool
 }
 
-// addTombstone keeps an exited attempt if its launch was pushed. Where its team has a limit, a second start would
-// break that, so it is never cleared.
+// addTombstone adds a tombstone for an exited attempt whose launch was pushed. If the attempt's team has a limit, a
+// second start could exceed it, so the attempt is never cleared.
 func (m *Manager) addTombstone(attempt *taskAttempt, done bool) {
 	if attempt.launch.push == pushNone {
 		return
@@ -37,7 +38,7 @@
 	}
 }
 
-// clearTombstone reports whether the agent may clear an exited attempt, and removes its tombstone then.
+// clearTombstone reports whether the agent may clear an exited attempt, and if so removes the attempt's tombstone.
 func (machine *machineState) clearTombstone(key attemptKey) bool {
 	found, ok := machine.tombstones[key]
 	if ok && (!found.clearableWhenJobDone || found.job.finalState != wire.JobDone) {
--- a/internal/manager/waiting_reservations.go
+++ b/internal/manager/waiting_reservations.go
@@ -71,7 +71,7 @@
 
 func (round *waitingReservations) count(machine *machineState, job *jobState) {
 	round.reserved++
-	round.tasks[job.id()] += machine.tasksWhenEmpty(job)
+	round.tasks[job.id()] += machine.maxTasksWhenEmpty(job)
 }
 
 // reserve reserves a machine for a job.
@@ -129,7 +129,7 @@
 		if job.spec().SameZone {
 			zone = machine.zone
 		}
-		capacity[zone] += machine.tasksWhenEmpty(job)
+		capacity[zone] += machine.maxTasksWhenEmpty(job)
 		free[zone] += m.freeResources(machine).MaxTasks(resources.ForTask(job.spec()), wire.MaxTasks)
 		if machine.reservedForJob != "" {
 			free[zone] += wire.MaxTasks // it stays where it has begun
@@ -145,7 +145,7 @@
 
 // mayHostWhenFree reports whether a machine may take a job's tasks once it has room.
 func (m *Manager) mayHostWhenFree(now micros.Timestamp, machine *machineState, job *jobState) bool {
-	return m.usable(now, machine) && m.suits(machine, job)
+	return m.usable(now, machine) && m.eligibleFor(machine, job)
 }
 
 // machinesBySoonestRoom returns the machines that may be reserved for a job, first those on which a task of it should
--- a/internal/manager/waiting_reservations_test.go
+++ b/internal/manager/waiting_reservations_test.go
@@ -21,7 +21,7 @@
 	h.want(h.grant("run-2", "n-1-a", 1), 0)
 	h.commitWrites()
 	h.heartbeat("n-1-a", token, 1)
-	h.heartbeat("n-1-a", token, 1, taskStatus("run-2/0", first, "ended done"))
+	h.heartbeat("n-1-a", token, 1, taskStatus("run-2/0", firstAttempt, "ended done"))
 	h.want(h.grant("run-1", "n-1-a", 1), 1)
 	h.start("n-2-a")
 	h.want(h.grant("run-2", "n-2-a", 1), 1)
--- a/internal/manager/write_limits.go
+++ b/internal/manager/write_limits.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// completionOps is how many changes make a job final: of its status and its open record.
+	// completionOps is the number of changes that make a job final: to its status record and its open record.
 	completionOps = 2
-	// minWriteOps and minValueBytes bound how far refusals lower the limits: a job must be able to become final, and a
-	// progress record to hold one placement.
+	// minWriteOps and minValueBytes are lower bounds for the limits after refused writes: a job must be able to become
+	// final, and a progress record must be able to hold one placement.
 	minWriteOps   = completionOps
 	minValueBytes = 256
-	// writeHoldTime is how long a job's records are not written after a write of them was refused that cannot be made
-	// smaller.
-	writeHoldTime = micros.Minute
+	// refusedWriteBackoff is how long a job's records are not written after the key-value store refused a write of them
+	// that cannot be made smaller.
+	refusedWriteBackoff = micros.Minute
 )
 
-// writeLimits bounds what the leader writes: at first by the settings, then, should the key-value store refuse
-// something all the same, by what it accepted. Records may be larger than the limit if they were written under a
-// higher one: they are not written again before what they have to hold fits.
+// writeLimits bounds the size of writes. The limits are initially those in the settings. If the key-value store refuses
+// a write nevertheless, they are lowered. A record that was written under a higher limit may exceed the current one. It
+// is not written again until its contents fit.
 type writeLimits struct {
-	maxOps        int // changes in a transaction
-	maxValueBytes int // encoded size of a value
+	maxOps        int // number of changes in a transaction
+	maxValueBytes int // encoded size of a value in bytes
 }
 
 func newWriteLimits(limits settings.StoreLimits) writeLimits {
@@ -37,17 +37,17 @@
 	}
 }
 
-// hasSpace reports whether the progress record of a task has space for so many bytes more.
-func (limits *writeLimits) hasSpace(job *jobState, task, moreBytes int) bool {
+// hasSpace reports whether the progress record of a task has space for additionalBytes more bytes of placements.
+func (limits *writeLimits) hasSpace(job *jobState, task, additionalBytes int) bool {
 	placementBytes := 0
 	if shard := job.shards[job.shardIndex(task)]; shard != nil {
 		placementBytes = shard.placementBytes
 	}
-	return placementBytes+moreBytes+state.ProgressRecordOverhead(job.record.ShardSize) <= limits.maxValueBytes
+	return placementBytes+additionalBytes+state.ProgressRecordOverhead(job.record.ShardSize) <= limits.maxValueBytes
 }
 
-// lower lowers the limits after a transaction with so many changes, whose largest value had so many bytes, was
-// refused. It reports false if they cannot be lowered further.
+// lower lowers the limits after a transaction was refused. changes is the number of its changes, largestBytes the size
+// of its largest value. It returns false if the limits cannot be lowered any further.
 func (limits *writeLimits) lower(changes, largestBytes int) bool {
 	switch {
 	case changes > minWriteOps:
@@ -60,42 +60,42 @@
 	return true
 }
 
-// WriteRefused applies that the key-value store will never execute a write as it is, since its limits are lower than
-// the settings say; largestBytes is the size of the write's largest value. It reports true if the limits were
-// lowered: what has to be written is built anew within them. It reports false if they cannot be: the write's records
-// are not written for a while.
+// WriteRefused handles a write that the key-value store will never execute in its current form, because the store's
+// limits are lower than those in the settings. largestBytes is the size of the largest value in the write. It returns
+// true if the limits were lowered: the pending changes are then written in smaller transactions. It returns false if
+// the limits cannot be lowered: the records in the write are then not written for a while.
 func (m *Manager) WriteRefused(now micros.Timestamp, batch *WriteBatch, largestBytes int) bool {
 	lowered := m.writes.limits.lower(len(batch.Changes), largestBytes)
 	if lowered {
-		m.event("write limits lowered: the key-value store accepts less than the settings say",
+		m.event("write limits lowered: key-value store refused a write within the configured limits",
 			"max_changes", m.writes.limits.maxOps, "max_value_bytes", m.writes.limits.maxValueBytes)
 	} else if write := m.writes.inFlight; write != nil {
 		for _, id := range write.jobIDs() {
 			if job := m.jobs.byID[id]; job != nil {
-				job.writesHeldUntil = now.Add(writeHoldTime)
+				job.writesHeldUntil = now.Add(refusedWriteBackoff)
 			}
 		}
 	}
 	m.WriteConflicted(now, batch.ID)
-	m.withdrawUnwritable(now)
+	m.releaseUnwritableAttempts(now)
 	return lowered
 }
 
-// withdrawUnwritable withdraws what was granted and cannot be recorded, since the progress record is too large for the
-// limits now: nothing of it has been launched.
-func (m *Manager) withdrawUnwritable(now micros.Timestamp) {
+// releaseUnwritableAttempts releases the attempts whose placements cannot be recorded because the progress record now
+// exceeds the limits. None of them has been launched.
+func (m *Manager) releaseUnwritableAttempts(now micros.Timestamp) {
 	for _, key := range slices.Clone(m.writes.dirtyShards) {
 		job := m.jobs.byID[key.job]
 		if job == nil {
 			continue
 		}
-		first, _ := job.tasksOf(key.index)
+		first, _ := job.taskRange(key.index)
 		if m.writes.limits.hasSpace(job, first, 0) {
 			continue
 		}
 		for _, attempt := range attemptsByID(job.active) {
 			if job.shardIndex(attempt.taskIndex) == key.index && attempt.grantedThisTerm && !attempt.durable {
-				m.releaseAttempt(now, attempt, goneNeverLaunched)
+				m.releaseAttempt(now, attempt, provenNeverLaunched)
 			}
 		}
 	}
--- a/internal/manager/write_order.go
+++ b/internal/manager/write_order.go
@@ -7,26 +7,27 @@
 	"saffronbend/internal/micros"
 )
 
-// Progress that no launch waits for may wait for more of it in the same record. A leader that ends meanwhile loses
-// nothing: agents go on listing exited tasks until they are told to clear them. Where writes take long, as when the
-// store allows few changes a second, such progress gives way to the launches and the results that people wait for.
+// Progress records for which no launch waits are written with a delay, so that one write covers several changes. If the
+// leader's term ends in the meantime, nothing is lost: agents keep listing exited tasks until they are told to clear
+// them. The delay grows with the duration of writes. If writes take long, for example because the store allows only few
+// changes a second, such progress thereby yields to launches and to the results that users wait for.
 const (
 	minProgressDelay       = 2 * micros.Second
 	maxProgressDelay       = 15 * micros.Second
 	writesPerProgressDelay = 10
 )
 
-// priorityHeadStart is by how much earlier a record counts as changed for each step of its job's priority, when not all
-// that are due can be written at once.
+// priorityHeadStart is the time by which a record is treated as having changed earlier, for each step of its job's
+// priority. It applies when not all records that are due can be written at once.
 const priorityHeadStart = 10 * micros.Second
 
-// progressDelay returns how long progress that no launch waits for is gathered at present.
+// progressDelay returns the current delay of progress records for which no launch waits.
 func (pipeline *writePipeline) progressDelay() micros.Duration {
 	return min(maxProgressDelay, max(minProgressDelay, writesPerProgressDelay*pipeline.lastDuration))
 }
 
-// sortDirtyShards orders the records to be written by their jobs' priority and how long they have waited, if not all
-// can be written at once.
+// sortDirtyShards sorts the records to be written by their jobs' priority and the time they have waited, unless all of
+// them can be written at once.
 func (m *Manager) sortDirtyShards() {
 	if len(m.writes.dirtyShards) <= m.writes.limits.maxOps {
 		return
@@ -42,13 +43,14 @@
 	slices.SortStableFunc(m.writes.dirtyShards, func(a, b shardKey) int { return cmp.Compare(rank(a), rank(b)) })
 }
 
-// backlogged reports whether more records with launches wait than can be written in a few seconds, so that a job is
-// granted nothing new: the more urgent it is, or if it has waited long, the later. What cannot be written for long
-// would only occupy room, and jobs that are placed bit by bit take a write for each bit.
+// backlogged reports whether more records with pending launches wait than can be written within a few seconds, so that
+// a job is granted no new leases. The threshold rises with the job's priority and is highest for a job that has waited
+// long. Placements that cannot be written for a long time would only occupy capacity, and jobs that are placed in small
+// parts need one write for each part.
 func (m *Manager) backlogged(now micros.Timestamp, job *jobState) bool {
 	const (
-		patience      = 2 * micros.Second
-		longWaitSteps = 5
+		writeTimePerStep = 2 * micros.Second
+		longWaitSteps    = 5
 	)
 	if m.writes.lastDuration <= 0 {
 		return false
@@ -57,11 +59,11 @@
 	if now.Sub(job.waitingSince) > m.cfg.Tuning.ReserveAfter {
 		steps = longWaitSteps
 	}
-	writable := int(patience*steps/m.writes.lastDuration) * m.writes.limits.maxOps
+	writable := int(writeTimePerStep*steps/m.writes.lastDuration) * m.writes.limits.maxOps
 	return len(m.writes.dirtyShards) > writable && m.pendingLaunchRecords() > writable
 }
 
-// pendingLaunchRecords returns how many records wait to be written that launches wait for.
+// pendingLaunchRecords returns the number of records to be written for which launches wait.
 func (m *Manager) pendingLaunchRecords() int {
 	pending := 0
 	for _, key := range m.writes.dirtyShards {
--- a/internal/manager/write_outcomes.go
+++ b/internal/manager/write_outcomes.go
@@ -8,8 +8,8 @@
 	"saffronbend/wire"
 )
 
-// WriteCommitted applies that a write was executed, at a revision of the key-value store: its placements are durable
-// and may be launched, its results may be cleared, its evictions are carried out.
+// WriteCommitted handles the execution of a write, at a revision of the key-value store: its placements are durable and
+// may be launched, its results may be cleared, and its evictions are carried out.
 func (m *Manager) WriteCommitted(now micros.Timestamp, id, revision uint64) {
 	write := m.writes.finish(id)
 	if write == nil {
@@ -42,11 +42,11 @@
 	}
 }
 
-// commitAttempts makes placements durable. A gang is launched when all of its are.
+// commitAttempts marks placements as durable. A gang is launched once all of its placements are durable.
 func (m *Manager) commitAttempts(now micros.Timestamp, write *writeInFlight) {
 	for _, attempt := range write.attempts {
 		attempt.durable = true
-		m.pushes.mark(attempt.machine)
+		m.pushes.addCandidate(attempt.machine)
 		if job := attempt.job; job.gang != nil && job.active[attempt.taskIndex] == attempt {
 			m.applyGangAction(now, job, job.gang.PlacementDurable(), disruption.Gang)
 		}
@@ -63,7 +63,7 @@
 	}
 }
 
-// commitCompletions makes jobs final, and forgets those whose records are deleted.
+// commitCompletions marks jobs as final, and removes those whose records are deleted.
 func (m *Manager) commitCompletions(now micros.Timestamp, write *writeInFlight, revision uint64) {
 	for _, id := range write.completions {
 		job := m.jobs.byID[id]
@@ -75,7 +75,7 @@
 		job.version = revision
 		m.publisher.markJob(job)
 		if !slices.Contains(write.deletedJobs, id) {
-			m.writes.queueFinal(job)
+			m.writes.queueFinalWrites(job)
 		}
 	}
 	for _, id := range write.deletedJobs {
@@ -84,9 +84,8 @@
 	}
 }
 
-// WriteConflicted applies that a write has changed nothing because one of its conditions did not hold: a user has
-// cancelled one of its jobs meanwhile. What has become of its jobs must have been reported before, with
-// OpenRecordChanged.
+// WriteConflicted handles a write that changed nothing because one of its conditions did not hold: a user has cancelled
+// one of its jobs in the meantime. The changes to its jobs must have been reported before, with OpenRecordChanged.
 func (m *Manager) WriteConflicted(now micros.Timestamp, id uint64) {
 	write := m.writes.finish(id)
 	if write == nil {
@@ -94,7 +93,7 @@
 	}
 	for _, key := range write.shards {
 		if job := m.jobs.byID[key.job]; job != nil {
-			first, _ := job.tasksOf(key.index)
+			first, _ := job.taskRange(key.index)
 			m.writes.markDirty(now, job, first, true)
 		}
 	}
@@ -108,7 +107,7 @@
 	for _, id := range slices.Concat(write.completions, write.deletedJobs) {
 		if job := m.jobs.byID[id]; job != nil {
 			job.completionInFlight = false
-			m.writes.queueFinal(job)
+			m.writes.queueFinalWrites(job)
 		}
 	}
 }
