--- a/internal/manager/writes.go
+++ b/internal/manager/writes.go
@@ -10,47 +10,48 @@
 	"saffronbend/wire"
 )
 
-// RecordChange is a change of a record in the key-value store.
+// RecordChange is a change to a record in the key-value store.
 type RecordChange struct {
 	Key string
-	// Version is the version that the key must have; 0: it must not exist.
+	// Version is the version that the key must have; 0: the key must not exist.
 	Version uint64
 	// Value is encoded as JSON; nil deletes the key.
 	Value any
-	// IdempotencyMark is found in the value of a progress record once this write has been executed; empty for the others.
+	// IdempotencyMark is contained in the value of a progress record once this write has been executed; empty for other
+	// records.
 	IdempotencyMark string
 }
 
-// WriteBatch is a transaction to be executed by compare-and-swap: on the versions of its changes and conditions, and on
-// the leader's key.
+// WriteBatch is a transaction to be executed as a compare-and-swap, conditional on the versions of its changes, on its
+// conditions and on the leader's key.
 type WriteBatch struct {
 	ID      uint64
 	Changes []RecordChange
-	// OpenRecordConditions are the open records of the jobs that the write completes or places tasks of, with the versions
-	// that they must have: a user may have cancelled a job through another controller.
+	// OpenRecordConditions are the open records of the jobs that the write completes or whose tasks it places, with their
+	// required versions: a user may have cancelled a job through another controller.
 	OpenRecordConditions []RecordChange
 }
 
-// writePipeline holds what waits to be written, and the one write that is in flight.
+// writePipeline holds the pending changes and the one write that is in flight.
 type writePipeline struct {
 	limits      writeLimits
 	dirtyShards []shardKey
 	completions []wire.JobID // jobs whose tasks are all done
 	cleanups    []wire.JobID // final jobs whose records are to be deleted
-	// orphanRecords are deletions of records without a job: late copies of writes have created them again.
+	// orphanRecords are deletions of records without a job, which late copies of earlier writes have created again.
 	orphanRecords []RecordChange
 
 	inFlight     *writeInFlight // nil: none
 	lastID       uint64
-	lastDuration micros.Duration // of the last write that was committed
+	lastDuration micros.Duration // of the last committed write
 }
 
-// writeInFlight is what a write that is being executed changes, to apply its outcome.
+// writeInFlight describes the write that is being executed, so that its outcome can be applied.
 type writeInFlight struct {
 	id          uint64
 	startedAt   micros.Timestamp
 	shards      []shardKey
-	disruptions []shardKey // shards whose record of disruptions changes as well
+	disruptions []shardKey // shards whose disruption record changes as well
 	attempts    []*taskAttempt
 	evictions   []*taskAttempt
 	results     []completedTask
@@ -60,7 +61,7 @@
 	openJobs    []wire.JobID // jobs that must still be open
 }
 
-// jobIDs returns the jobs whose records the write changes.
+// jobIDs returns the jobs whose records the write changes; a job may occur more than once.
 func (write *writeInFlight) jobIDs() []wire.JobID {
 	ids := slices.Concat(write.completions, write.deletedJobs, slices.Collect(maps.Keys(write.deletions)))
 	for _, key := range write.shards {
@@ -69,9 +70,9 @@
 	return ids
 }
 
-// queueFinal queues the write that a job needs at its end: its completion when all tasks are done, and the deletion of
-// its records when it is final and nothing of it can exist any more.
-func (pipeline *writePipeline) queueFinal(job *jobState) {
+// queueFinalWrites queues the write that a job needs when it ends: its completion when all of its tasks are done, and
+// the deletion of its records when it is final and has no active attempts.
+func (pipeline *writePipeline) queueFinalWrites(job *jobState) {
 	switch {
 	case job.final():
 		if len(job.active) == 0 && !slices.Contains(pipeline.cleanups, job.id()) {
@@ -82,18 +83,18 @@
 	}
 }
 
-// withdrawCompletion removes a job from those to be completed, since it was cancelled.
-func (pipeline *writePipeline) withdrawCompletion(job *jobState) {
+// cancelCompletion removes a job from those to be completed, because it was cancelled.
+func (pipeline *writePipeline) cancelCompletion(job *jobState) {
 	pipeline.completions = slices.DeleteFunc(pipeline.completions, func(id wire.JobID) bool { return id == job.id() })
 }
 
-// deleteOrphan queues the deletion of a record without a job.
-func (pipeline *writePipeline) deleteOrphan(record wire.KeyValue) {
+// queueOrphanDeletion queues the deletion of a record without a job.
+func (pipeline *writePipeline) queueOrphanDeletion(record wire.KeyValue) {
 	deletion := RecordChange{Key: record.Key, Version: record.Version}
 	pipeline.orphanRecords = append(pipeline.orphanRecords, deletion)
 }
 
-// finish returns the write in flight and makes way for the next; nil if another or none is in flight.
+// finish removes and returns the write in flight; nil if the write with this identifier is not in flight.
 func (pipeline *writePipeline) finish(id uint64) *writeInFlight {
 	write := pipeline.inFlight
 	if write == nil || write.id != id {
@@ -103,25 +104,26 @@
 	return write
 }
 
-// NextWrite returns the next transaction, or nil if none is due or one is in flight. It contains first what completes
-// jobs, then progress, then the deletion of the records of final jobs. The caller executes it and reports the outcome
-// with WriteCommitted, WriteConflicted or WriteRefused.
+// NextWrite returns the next transaction, or nil if none is due or one is in flight. A transaction contains first the
+// completions of jobs, then progress, then the deletion of the records of final jobs. The caller executes the
+// transaction and reports the outcome with WriteCommitted, WriteConflicted or WriteRefused.
 //
-// What was written before a launch is decided here: an attempt is launched only after WriteCommitted for a transaction
-// that contains its placement, in the progress record of its task (writeBuilder.addShard), together with the condition
-// that its job's open record is unchanged. An eviction is carried out only after the transaction with its disruption.
+// NextWrite determines what is durable before a launch: an attempt is launched only after WriteCommitted for a
+// transaction that contains its placement, in the progress record of its task (writeBuilder.addShard), and the
+// condition that the job's open record is unchanged. An eviction is carried out only after the transaction with its
+// disruption.
 func (m *Manager) NextWrite(now micros.Timestamp) *WriteBatch {
 	if m.writes.inFlight != nil {
 		return nil
 	}
 	id := m.writes.lastID + 1
 	builder := writeBuilder{
-		manager: m,
-		now:     now,
-		maxOps:  m.writes.limits.maxOps,
-		mark:    strconv.FormatUint(uint64(m.cfg.FencingToken), 36) + "." + strconv.FormatUint(id, 36),
-		batch:   &WriteBatch{ID: id},
-		write:   &writeInFlight{id: id, startedAt: now, deletions: map[wire.JobID][]int{}},
+		manager:         m,
+		now:             now,
+		maxOps:          m.writes.limits.maxOps,
+		idempotencyMark: strconv.FormatUint(uint64(m.cfg.FencingToken), 36) + "." + strconv.FormatUint(id, 36),
+		batch:           &WriteBatch{ID: id},
+		write:           &writeInFlight{id: id, startedAt: now, deletions: map[wire.JobID][]int{}},
 	}
 	builder.addCompletions()
 	builder.addDirtyShards()
@@ -138,25 +140,25 @@
 
 // writeBuilder builds one transaction within the limits of the key-value store.
 type writeBuilder struct {
-	manager *Manager
-	now     micros.Timestamp
-	maxOps  int
-	mark    string // idempotency mark
-	batch   *WriteBatch
-	write   *writeInFlight
+	manager         *Manager
+	now             micros.Timestamp
+	maxOps          int
+	idempotencyMark string // unique to the transaction
+	batch           *WriteBatch
+	write           *writeInFlight
 }
 
-// left returns how many changes the transaction has space for.
-func (builder *writeBuilder) left() int { return builder.maxOps - len(builder.batch.Changes) }
+// remainingOps returns the number of changes that can still be added to the transaction.
+func (builder *writeBuilder) remainingOps() int { return builder.maxOps - len(builder.batch.Changes) }
 
 func (builder *writeBuilder) add(changes ...RecordChange) {
 	builder.batch.Changes = append(builder.batch.Changes, changes...)
 }
 
-// addCompletions adds jobs whose tasks are all done.
+// addCompletions adds the completions of jobs whose tasks are all done.
 func (builder *writeBuilder) addCompletions() {
 	m := builder.manager
-	for i := 0; i < len(m.writes.completions) && builder.left() >= completionOps; {
+	for i := 0; i < len(m.writes.completions) && builder.remainingOps() >= completionOps; {
 		job := m.jobs.byID[m.writes.completions[i]]
 		if job == nil || job.final() || !job.allDone() {
 			m.writes.completions = slices.Delete(m.writes.completions, i, i+1)
@@ -173,13 +175,14 @@
 	}
 }
 
-// addCompletion makes a job final, together with the deletion of its records if that fits into one transaction: its
-// tasks need no record of their own then. It reports false if that has to wait for the next transaction.
+// addCompletion adds the changes that make a job final, and the deletion of its records if all of that fits into one
+// transaction, since the records of its tasks are not needed any more. It returns false if the completion must wait for
+// the next transaction.
 func (builder *writeBuilder) addCompletion(job *jobState) bool {
 	id := job.id()
 	deletions := job.recordDeletions()
 	deletable := len(deletions)+completionOps <= builder.maxOps && len(job.active) == 0
-	if deletable && len(deletions)+completionOps > builder.left() {
+	if deletable && len(deletions)+completionOps > builder.remainingOps() {
 		return false
 	}
 	job.completionInFlight = true
@@ -198,7 +201,7 @@
 	return true
 }
 
-// recordDeletions returns the changes that delete all of a job's records of progress and disruptions.
+// recordDeletions returns the changes that delete all of a job's progress and disruption records.
 func (job *jobState) recordDeletions() []RecordChange {
 	var changes []RecordChange
 	for _, index := range slices.Sorted(maps.Keys(job.shards)) {
@@ -207,14 +210,14 @@
 	return changes
 }
 
-// addDirtyShards adds progress: first what launches wait for, then, while no transaction is worth keeping free for
-// them, what has waited long enough.
+// addDirtyShards adds progress records: first those for which launches wait, then those that have waited for the
+// progress delay.
 func (builder *writeBuilder) addDirtyShards() {
 	m := builder.manager
 	m.sortDirtyShards()
 	delay := m.writes.progressDelay()
-	for _, launches := range []bool{true, false} {
-		rest := m.writes.dirtyShards[:0]
+	for _, forLaunches := range []bool{true, false} {
+		remaining := m.writes.dirtyShards[:0]
 		for _, key := range m.writes.dirtyShards {
 			job := m.jobs.byID[key.job]
 			if job == nil || job.final() || job.completionInFlight || job.allDone() {
@@ -224,25 +227,25 @@
 				continue
 			}
 			shard := job.shards[key.index]
-			ready := launches == shard.launchPending && (launches || builder.now.Sub(shard.dirtySince) >= delay)
+			ready := forLaunches == shard.launchPending && (forLaunches || builder.now.Sub(shard.dirtySince) >= delay)
 			if !ready || !builder.addShard(job, key) {
-				rest = append(rest, key)
+				remaining = append(remaining, key)
 			}
 		}
-		m.writes.dirtyShards = rest
+		m.writes.dirtyShards = remaining
 	}
 }
 
-// addShard adds a shard's progress record, with the record of its disruptions if that changes too. It reports false if
-// there is no space for them, or the record may not be written now.
+// addShard adds a shard's progress record, and its disruption record if that changes too. It returns false if there is
+// no space for them or the progress record must not be written now.
 func (builder *writeBuilder) addShard(job *jobState, key shardKey) bool {
 	m := builder.manager
-	first, _ := job.tasksOf(key.index)
-	if builder.left() <= 0 || builder.now < job.writesHeldUntil || !m.writes.limits.hasSpace(job, first, 0) {
+	first, _ := job.taskRange(key.index)
+	if builder.remainingOps() <= 0 || builder.now < job.writesHeldUntil || !m.writes.limits.hasSpace(job, first, 0) {
 		return false
 	}
-	disruptions, changed := m.disruptionChange(job, key.index, builder.mark)
-	if changed && builder.left() < 2 {
+	disruptions, changed := m.disruptionChange(job, key.index, builder.idempotencyMark)
+	if changed && builder.remainingOps() < 2 {
 		return false
 	}
 	builder.add(builder.progressChange(job, key))
@@ -254,15 +257,15 @@
 	return true
 }
 
-// progressChange returns the change of a shard's progress record: its done tasks, and the placement of each attempt
-// that may exist.
+// progressChange returns the change to a shard's progress record, which contains its done tasks and the placement of
+// each attempt that may exist.
 func (builder *writeBuilder) progressChange(job *jobState, key shardKey) RecordChange {
 	shard := job.shards[key.index]
 	shard.markWritten()
 	write := builder.write
 	write.shards = append(write.shards, key)
-	first, end := job.tasksOf(key.index)
-	record := state.ProgressRecord{IdempotencyMark: builder.mark}
+	first, end := job.taskRange(key.index)
+	record := state.ProgressRecord{IdempotencyMark: builder.idempotencyMark}
 	record.Done = state.EncodeDoneBitmap(end-first, func(i int) bool { return job.taskPhases[first+i] >= taskDone })
 	for task := first; task < end; task++ {
 		if job.taskPhases[task] == taskDone {
@@ -282,14 +285,14 @@
 		Key:             state.ProgressKey(job.id(), key.index),
 		Version:         shard.version,
 		Value:           record,
-		IdempotencyMark: builder.mark,
+		IdempotencyMark: builder.idempotencyMark,
 	}
 }
 
-// addCleanups adds the deletion of the records of final jobs, as far as there is space.
+// addCleanups adds the deletion of the records of final jobs, as far as there is space in the transaction.
 func (builder *writeBuilder) addCleanups() {
 	m := builder.manager
-	for i := 0; i < len(m.writes.cleanups) && builder.left() > 0; {
+	for i := 0; i < len(m.writes.cleanups) && builder.remainingOps() > 0; {
 		job := m.jobs.byID[m.writes.cleanups[i]]
 		if job == nil || len(job.active) > 0 {
 			m.writes.cleanups = slices.Delete(m.writes.cleanups, i, i+1)
@@ -299,8 +302,8 @@
 			i++
 			continue
 		}
-		// The open record goes last: while it stands, a new leader finds the progress records.
-		if !builder.addShardDeletions(job) || builder.left() <= 0 {
+		// The open record is deleted last: as long as it exists, a new leader can relate the progress records to the job.
+		if !builder.addShardDeletions(job) || builder.remainingOps() <= 0 {
 			return
 		}
 		builder.add(RecordChange{Key: state.OpenJobKey(job.id()), Version: job.version})
@@ -309,7 +312,7 @@
 	}
 }
 
-// addShardDeletions adds the deletion of a job's progress records and reports whether there was space for all of them.
+// addShardDeletions adds the deletion of a job's progress records, and reports whether all of them fit.
 func (builder *writeBuilder) addShardDeletions(job *jobState) bool {
 	for _, index := range slices.Sorted(maps.Keys(job.shards)) {
 		shard := job.shards[index]
@@ -317,7 +320,7 @@
 		if len(deletions) == 0 || shard.deletionInFlight {
 			continue
 		}
-		if len(deletions) > builder.left() {
+		if len(deletions) > builder.remainingOps() {
 			return false
 		}
 		shard.deletionInFlight = true
@@ -327,15 +330,15 @@
 	return true
 }
 
-// addOrphanRecords adds the deletion of records without a job, as far as there is space.
+// addOrphanRecords adds the deletion of records without a job, as far as there is space in the transaction.
 func (builder *writeBuilder) addOrphanRecords() {
 	pipeline := &builder.manager.writes
-	n := min(len(pipeline.orphanRecords), builder.left())
+	n := min(len(pipeline.orphanRecords), builder.remainingOps())
 	builder.add(pipeline.orphanRecords[:n]...)
 	pipeline.orphanRecords = pipeline.orphanRecords[n:]
 }
 
-// addConditions adds the conditions that jobs are still open.
+// addConditions adds the conditions that jobs are still open, that is, their open records are unchanged.
 func (builder *writeBuilder) addConditions() {
 	slices.Sort(builder.write.openJobs)
 	for _, id := range slices.Compact(builder.write.openJobs) {
--- a/internal/manager/writes_test.go
+++ b/internal/manager/writes_test.go
@@ -8,16 +8,17 @@
 	"saffronbend/wire"
 )
 
-// A record that a launch waits for is written at once; other progress is gathered.
+// A record for which a launch waits is written at once, while other progress is delayed.
 func TestLaunchesAreWrittenBeforeProgress(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.placeTask()
 	h.submit("run-2", 2, nil)
 	h.grant("run-2", "n-1-a", 1)
 	h.commitWrites()
-	second := first + 1
+	second := firstAttempt + 1
 	h.heartbeat("n-1-a", token, 1)
-	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", first, "running"), fmt.Sprintf("run-2/0 %d ended done", second))
+	h.heartbeat("n-1-a", token, 1,
+		taskStatus("run-1/0", firstAttempt, "running"), fmt.Sprintf("run-2/0 %d ended done", second))
 	h.want(h.m.NextWrite(h.now), (*WriteBatch)(nil))
 	h.grant("run-2", "n-1-a", 1)
 	batch := h.m.NextWrite(h.now)
@@ -25,7 +26,7 @@
 	h.want(len(batch.Changes[0].Value.(state.ProgressRecord).Active), 1)
 }
 
-// A write that places tasks is conditional on their job's being open; one with progress only is not.
+// A write that places tasks is conditional on their job being open. A write that contains only progress is not.
 func TestPlacementIsConditionalOnTheOpenJob(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a")
@@ -36,7 +37,7 @@
 	h.want(len(batch.OpenRecordConditions), 1)
 	h.want(batch.OpenRecordConditions[0].Key, state.OpenJobKey("run-1"))
 	h.want(batch.OpenRecordConditions[0].Version, h.revision-1)
-	// It was cancelled through another controller: the write fails, and is not repeated.
+	// The job was cancelled through another controller: the write fails and is not repeated.
 	rec := record("run-1", 1, nil).Finalized(wire.JobCancelled)
 	h.revision++
 	h.m.OpenRecordChanged(h.now, h.now, 0, rec, h.revision)
