--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,10 +1,10 @@
-// Package election decides whether this controller is the leader. It owns what a controller knows about the leader's
-// key in the consensus-backed key-value store, about its own lease there, and about the step that it has reached on the
-// way to leadership.
+// Package election implements one controller's part in the leader election. It tracks the leader's key in the
+// consensus-backed key-value store, this controller's own lease there, and how far a candidacy of this controller has
+// progressed.
 //
-// It is a state machine without I/O, without a clock and without goroutines. One goroutine owns an Election: it passes
-// in what has happened, together with the time, and carries out the effects that each call returns. The package never
-// talks to the store or to another controller, and never starts or ends the work of a term itself.
+// The package is a state machine without I/O, without a clock and without goroutines. One goroutine owns an Election:
+// it passes in events together with the current time, and executes the effects that each call returns. The package
+// never contacts the store or another controller, and never starts or ends the work of a term itself.
 //
 // # States
 //
@@ -16,16 +16,16 @@
 //	 +------- lease expired, key changed, higher fencing token announced, term ended -----+
 //
 // A controller becomes a candidate when the leader's key does not exist (its lease in the store has expired), when the
-// key names an earlier process of its own, or when the leader's host refuses connections. With a lease in hand it goes
-// from following directly to claimingKey. When another leader appears while a request is in flight, the candidacy ends,
-// and the outcome of the request is awaited all the same.
+// key names an earlier process of the same member, or when the leader's host refuses connections. A candidate that
+// already holds a lease goes from following directly to claimingKey. If another leader appears while a request is in
+// flight, the candidacy ends, but the outcome of the request is still awaited.
 //
 // # Safety
 //
-// The leader's key is attached to a lease of the store, so that the store deletes the key when the leader has failed.
-// The version of the key is the term's fencing token: every command and every write of the leader carries it or is
-// conditioned on it, and versions only grow. To replace the key of another leader is therefore always safe: what the
-// earlier leader still sends is refused. When to do so is only a matter of judgement.
+// The leader's key is attached to a lease in the store, so the store deletes the key after the leader has failed. The
+// version of the key is the fencing token of the term: every command of the leader carries it, every write of the
+// leader is conditioned on it, and versions only increase. Replacing another leader's key is therefore always safe:
+// whatever the earlier leader still sends is rejected. When to replace a key is a question of availability only.
 //
 // See Election.Leading for how long a leader may act without asking the store.
 package election
@@ -37,32 +37,32 @@
 )
 
 const (
-	// readRetryDelay and grantRetryDelay are the waits after the store has not served a request.
+	// readRetryDelay and grantRetryDelay are the delays before retrying a request that the store did not serve.
 	readRetryDelay  = 300 * micros.Millisecond
 	grantRetryDelay = 300 * micros.Millisecond
-	// claimRetryDelay is the wait before the key is read again after a claim that did not succeed.
+	// claimRetryDelay is the delay before the key is read again after a claim that did not succeed.
 	claimRetryDelay = 50 * micros.Millisecond
-	// unreachableInterval is the shortest time between two claims that follow from refused connections. Such a refusal
-	// does not prove that the leader has ended, so controllers must not replace one another over it at a high rate.
-	unreachableInterval = 20 * micros.Second
+	// refusalClaimInterval is the minimum time between two claims triggered by refused connections. A refused connection
+	// does not prove that the leader has ended, so controllers must not keep replacing one another because of it.
+	refusalClaimInterval = 20 * micros.Second
 
-	// A lease is renewed four times within its time to live, and a renewal of unknown outcome is retried five times
-	// within that interval.
+	// A lease is renewed four times per time to live (TTL). A renewal of unknown outcome is retried after a twentieth of
+	// the TTL, so up to five times within one renewal interval.
 	renewalsPerTTL       = 4
 	renewalRetriesPerTTL = 20
-	// clockDriftDivisor allows for clocks whose rates differ by one part in a thousand.
+	// clockDriftDivisor shortens the TTL by 1/1000 to allow for clocks that run at different rates.
 	clockDriftDivisor = 1000
 )
 
-// Config holds what does not change during an election.
+// Config holds the parameters of an Election.
 type Config struct {
 	// Member is this controller's name.
 	Member string
-	// Incarnation differs between this process and earlier processes of the same member.
+	// Incarnation distinguishes this process from earlier processes of the same member.
 	Incarnation uint64
 	// LeaseTTL is the time to live of the lease that the leader's key is attached to.
 	LeaseTTL micros.Duration
-	// SafetyMargin is how long before the expiry of its lease a leader stops granting anything new.
+	// SafetyMargin is how long before its lease expires a leader stops starting new work, such as granting worker leases.
 	SafetyMargin micros.Duration
 }
 
@@ -70,43 +70,44 @@
 type Outcome int
 
 const (
-	// Succeeded means that the request was carried out.
+	// Succeeded means that the store executed the request.
 	Succeeded Outcome = iota
-	// Conflict means that a compare-and-swap found another version of the key.
+	// Conflict means that a compare-and-swap found a different version of the key than it was conditioned on.
 	Conflict
-	// LeaseExpired means that the lease of the request no longer exists.
+	// LeaseExpired means that the lease named in the request no longer exists.
 	LeaseExpired
-	// OutcomeUnknown means that the request was refused for now, or that it may or may not have been carried out.
+	// OutcomeUnknown means that the store is unavailable, or that it is unknown whether it executed the request.
 	OutcomeUnknown
 )
 
-// Effect is something that the owner of an Election must do: one of ReadLeader, GrantLease, ClaimLeadership,
-// RenewLease, StartTerm and StepDown. The first four are requests to the key-value store, and the owner reports the
-// outcome of each by exactly one call of the method named there.
+// Effect is an action that the owner of an Election must take: one of ReadLeader, GrantLease, ClaimLeadership,
+// RenewLease, StartTerm and StepDown. The first four are requests to the key-value store. The owner reports the outcome
+// of each of these requests by exactly one call of the method that the effect's comment names.
 type Effect interface{ isEffect() }
 
-// ReadLeader reads the leader's key; reported by LeaderObserved or LeaderReadFailed.
+// ReadLeader requests a read of the leader's key. The outcome is reported with LeaderObserved or LeaderReadFailed.
 type ReadLeader struct{}
 
-// GrantLease obtains a new lease with the configured time to live; reported by LeaseGranted.
+// GrantLease requests a new lease with the configured time to live. The outcome is reported with LeaseGranted.
 type GrantLease struct{}
 
-// ClaimLeadership writes the leader's key by a compare-and-swap; reported by LeadershipClaimed.
+// ClaimLeadership requests a compare-and-swap that writes the leader's key. The outcome is reported with
+// LeadershipClaimed.
 type ClaimLeadership struct {
 	Record state.LeaderRecord
-	// ReplacedVersion is the version that the key must have; 0: it must not exist.
+	// ReplacedVersion is the version that the key must have; 0 means that the key must not exist.
 	ReplacedVersion uint64
-	// Lease is the lease that the key is attached to.
+	// Lease is the lease to attach the key to.
 	Lease uint64
 }
 
-// RenewLease renews a lease; reported by LeaseRenewed.
+// RenewLease requests the renewal of a lease. The outcome is reported with LeaseRenewed.
 type RenewLease struct{ Lease uint64 }
 
-// StartTerm reports that this controller has become the leader.
+// StartTerm notifies the owner that this controller has become the leader.
 type StartTerm struct{ FencingToken wire.FencingToken }
 
-// StepDown reports that this controller has ceased to be the leader.
+// StepDown notifies the owner that this controller is no longer the leader.
 type StepDown struct{ Reason string }
 
 func (ReadLeader) isEffect()      {}
@@ -116,17 +117,17 @@
 func (StartTerm) isEffect()       {}
 func (StepDown) isEffect()        {}
 
-// phase is the step that a controller has reached; the package comment shows the transitions.
+// phase is the state of the state machine; the package comment shows the transitions.
 type phase int
 
 const (
-	// following: another controller leads, or nobody does, and no request for the leadership is in flight.
+	// following means that this controller is not the leader and has no GrantLease or ClaimLeadership in flight.
 	following phase = iota
-	// requestingLease: a GrantLease is in flight.
+	// requestingLease means that a GrantLease is in flight.
 	requestingLease
-	// claimingKey: a ClaimLeadership is in flight.
+	// claimingKey means that a ClaimLeadership is in flight.
 	claimingKey
-	// leading: this controller is the leader.
+	// leading means that this controller is the leader.
 	leading
 )
 
@@ -135,63 +136,67 @@
 	config Config
 	phase  phase
 
-	// The leader's key as it was last read, watched or announced; record is nil while the key does not exist. While
-	// keyKnown is false the key must be read before anything is decided on it.
+	// record and version are the leader's key as last read, delivered by the watch, or announced by another controller.
+	// record is nil if the key does not exist. While keyKnown is false, the key must be read before record and version
+	// are used to start a candidacy.
 	record       *state.LeaderRecord
 	version      uint64
 	keyKnown     bool
 	readInFlight bool
 
-	// candidate is whether this controller is to become the leader by replacing replacedVersion of the key. It is
-	// independent of the phase: a candidacy may end while one of its requests is in flight.
+	// candidate is true while this controller tries to become the leader by replacing version replacedVersion of the
+	// key. It is independent of the phase: a candidacy may end while one of its requests is in flight.
 	candidate       bool
 	replacedVersion uint64
-	// retryAt is the earliest time of the next read or of the candidate's next request.
+	// retryAt is the earliest time at which Tick may request the next read or the candidate's next request.
 	retryAt micros.Timestamp
-	// unreachableClaimAt is the time of the last claim that followed from refused connections; 0: there was none.
-	unreachableClaimAt micros.Timestamp
+	// lastRefusalClaimAt is when refused connections last started a candidacy; 0 if they never did.
+	lastRefusalClaimAt micros.Timestamp
 
-	// lease is the store's lease; 0: none. leaseSentAt is when the last successful request for it or for its renewal
-	// was sent.
+	// lease is this controller's lease in the store, 0 if it has none. leaseSentAt is when the last successful request
+	// that granted or renewed the lease was sent.
 	lease       uint64
 	leaseSentAt micros.Timestamp
 
-	// For the leader.
+	// The following fields are used only in phase leading.
 	fencingToken    wire.FencingToken
 	renewalInFlight bool
 	renewAt         micros.Timestamp
 }
 
-// New returns an election in which this controller follows and knows nothing yet. The first Tick reads the leader's
-// key.
+// New returns an Election in phase following that does not know the leader yet. The first Tick requests a read of the
+// leader's key.
 func New(config Config) *Election { return &Election{config: config} }
 
-// Leader returns the member that leads as far as is known, and its fencing token; "" and 0 if nobody does.
+// Leader returns the current leader as far as this controller knows, and the leader's fencing token. It returns "" and
+// 0 if there is no leader or the leader is not known.
 func (e *Election) Leader() (member string, fencingToken wire.FencingToken) {
 	if e.phase == leading {
 		return e.config.Member, e.fencingToken
 	}
-	// A key that names this member was written by an earlier process, or by a claim that was given up.
+	// A key that names this member was written by an earlier process, or by a claim that this process gave up on.
 	if e.record == nil || e.record.Member == e.config.Member {
 		return "", 0
 	}
 	return e.record.Member, wire.FencingToken(e.version)
 }
 
-// Leading reports whether this controller is the leader, and until when, by its own clock, the leader may act.
+// Leading reports whether this controller is the leader, and until when, by its own clock, the leader may start new
+// work without asking the store again.
 //
-// Why is it safe for the leader to act until then? The store starts the lease's time to live when it serves the
-// request, which is not before the request was sent. So until the time to live has passed since the sending, the store
-// keeps the leader's key, and no other controller sees the key missing. The time is shortened by the allowance for
-// clocks that run at different rates, and by the configured margin for what the leader has begun to do. Another
-// controller may still replace the key earlier; then the fencing token, which the replacement makes obsolete, keeps
-// this leader's writes and commands from having any effect.
+// Acting until validUntil is safe because the store starts the lease's time to live when it serves the request, which
+// is not before the request was sent. Until the time to live has passed since the request was sent, the store keeps the
+// leader's key, and no other controller finds the key missing. validUntil is earlier than that by an allowance for
+// clocks that run at different rates, and by the configured safety margin for operations that the leader has already
+// begun. Another controller may still replace the key before validUntil. In that case this leader's fencing token is
+// obsolete, so none of its writes and commands take effect.
 func (e *Election) Leading() (isLeading bool, validUntil micros.Timestamp) {
 	ttl := e.config.LeaseTTL
 	return e.phase == leading, e.leaseSentAt.Add(ttl - ttl/clockDriftDivisor - e.config.SafetyMargin)
 }
 
-// Tick returns the requests whose time has come. Its owner calls it every 100 ms, which adds to the delays of retries.
+// Tick returns the requests that are due. The owner calls it every 100 ms, so a retry may be up to 100 ms later than
+// its configured delay.
 func (e *Election) Tick(now micros.Timestamp) []Effect {
 	switch {
 	case e.phase == leading:
@@ -222,14 +227,15 @@
 	return []Effect{ReadLeader{}}
 }
 
-// startCandidacy makes this controller a candidate that replaces a version of the leader's key; 0: the key does not
-// exist.
+// startCandidacy makes this controller a candidate that replaces the given version of the leader's key; 0 means that
+// the key does not exist.
 func (e *Election) startCandidacy(replacedVersion uint64) []Effect {
 	e.candidate, e.replacedVersion = true, replacedVersion
 	return e.advance()
 }
 
-// advance sends the candidate's next request unless one is in flight: first for a lease, then for the key.
+// advance returns the candidate's next request, unless one is in flight: GrantLease while this controller has no lease,
+// then ClaimLeadership.
 func (e *Election) advance() []Effect {
 	if e.phase != following {
 		return nil
@@ -246,12 +252,13 @@
 	return state.LeaderRecord{Member: e.config.Member, Incarnation: e.config.Incarnation}
 }
 
-// LeaderObserved applies the leader's key as it was read or watched, at a version of it. A nil record means that the
+// LeaderObserved applies the leader's key as returned by a read or delivered by the watch. A nil record means that the
 // key does not exist.
 func (e *Election) LeaderObserved(_ micros.Timestamp, record *state.LeaderRecord, version uint64) []Effect {
 	e.readInFlight = false
-	// A read and a watch event may overtake each other. The version of a missing key is the store's revision or that of
-	// the deletion, which does not compare with the key's own.
+	// The result of a read and a watch event may arrive out of order, so older versions are dropped. This check does not
+	// apply to a missing key: its version is a revision of the store (that of the read or of the deletion), which can't
+	// be compared with a version of the key.
 	if record != nil && version < e.version {
 		return nil
 	}
@@ -267,8 +274,8 @@
 	case record.Member != e.config.Member:
 		e.candidate = false
 	case e.phase != claimingKey:
-		// The key names an earlier process of this member, or a claim that was given up and succeeded late. Nobody
-		// leads under it.
+		// The key was written by an earlier process of this member, or by a claim that this process gave up on and that
+		// succeeded late. No controller acts as the leader under this key.
 		return e.startCandidacy(version)
 	}
 	return nil
@@ -282,33 +289,35 @@
 }
 
 // LeaderAnnounced applies another controller's announcement that it leads under a fencing token. Fencing tokens only
-// grow, so a leader with a lower one has been replaced. An old leader that the store does not serve learns it from
-// here, and its workers need not wait until its lease expires by its own clock.
+// increase, so a leader with a lower token has been replaced. A replaced leader that can't reach the store learns from
+// the announcement that it has been replaced, so its workers need not wait until the leader's lease has expired by the
+// leader's own clock.
 func (e *Election) LeaderAnnounced(_ micros.Timestamp, member string, fencingToken wire.FencingToken) []Effect {
 	if fencingToken <= wire.FencingToken(e.version) || member == e.config.Member {
 		return nil
 	}
 	e.record, e.version = &state.LeaderRecord{Member: member}, uint64(fencingToken)
 	if e.phase == leading {
-		return e.stepDown("another controller leads")
+		return e.stepDown("another controller leads under a higher fencing token")
 	}
 	e.candidate = false
 	return nil
 }
 
-// LeaderUnreachable reports that the host of the leader with a fencing token refuses connections though the leader has
-// served this controller. Most likely the leader's process has ended. That is no proof, and none is needed for safety.
-func (e *Election) LeaderUnreachable(now micros.Timestamp, fencingToken wire.FencingToken) []Effect {
+// LeaderConnectionsRefused reports that the host of the leader with the given fencing token refuses connections,
+// although that leader has served this controller before. Most likely the leader's process has ended. A refused
+// connection does not prove that, but replacing a leader is safe without proof.
+func (e *Election) LeaderConnectionsRefused(now micros.Timestamp, fencingToken wire.FencingToken) []Effect {
 	isCurrent := e.keyKnown && e.record != nil && wire.FencingToken(e.version) == fencingToken
-	tooSoon := e.unreachableClaimAt != 0 && now.Sub(e.unreachableClaimAt) < unreachableInterval
+	tooSoon := e.lastRefusalClaimAt != 0 && now.Sub(e.lastRefusalClaimAt) < refusalClaimInterval
 	if e.phase == leading || e.candidate || !isCurrent || tooSoon {
 		return nil
 	}
-	e.unreachableClaimAt = now
+	e.lastRefusalClaimAt = now
 	return e.startCandidacy(e.version)
 }
 
-// LeaseGranted applies the outcome of GrantLease, which was sent at sentAt.
+// LeaseGranted applies the outcome of a GrantLease request that was sent at sentAt.
 func (e *Election) LeaseGranted(now, sentAt micros.Timestamp, lease uint64, outcome Outcome) []Effect {
 	e.phase = following
 	if outcome != Succeeded {
@@ -322,8 +331,8 @@
 	return e.advance()
 }
 
-// LeadershipClaimed applies the outcome of ClaimLeadership. After success, version is that of the key as written, which
-// is the fencing token of the new term.
+// LeadershipClaimed applies the outcome of a ClaimLeadership request. If it succeeded, version is the version of the
+// written key, which is the fencing token of the new term.
 func (e *Election) LeadershipClaimed(now micros.Timestamp, version uint64, outcome Outcome) []Effect {
 	e.phase = following
 	switch outcome {
@@ -333,7 +342,8 @@
 		e.lease = 0
 		return e.advance()
 	case Conflict, OutcomeUnknown:
-		// The key is read again. The lease is abandoned: if the claim succeeds late, its key must not be kept alive.
+		// The key is read again. The lease is abandoned, because a claim that succeeds late attaches the key to this
+		// lease, and that key must not be kept alive.
 		e.candidate, e.lease, e.keyKnown = false, 0, false
 		e.retryAt = now.Add(claimRetryDelay)
 	}
@@ -348,7 +358,7 @@
 	return []Effect{StartTerm{FencingToken: e.fencingToken}}
 }
 
-// LeaseRenewed applies the outcome of RenewLease, which was sent at sentAt.
+// LeaseRenewed applies the outcome of a RenewLease request that was sent at sentAt.
 func (e *Election) LeaseRenewed(now, sentAt micros.Timestamp, outcome Outcome) []Effect {
 	e.renewalInFlight = false
 	if e.phase != leading {
@@ -359,15 +369,15 @@
 		e.leaseSentAt = max(e.leaseSentAt, sentAt)
 		e.renewAt = sentAt.Add(e.config.LeaseTTL / renewalsPerTTL)
 	case LeaseExpired:
-		return e.stepDown("the lease has expired")
+		return e.stepDown("the leader's lease has expired")
 	case Conflict, OutcomeUnknown:
 		e.renewAt = now.Add(e.config.LeaseTTL / renewalRetriesPerTTL)
 	}
 	return nil
 }
 
-// StepDown reports that something else has shown the term with a fencing token to be over, such as a write of the
-// leader that was refused. A token of an earlier term is ignored.
+// StepDown ends the term with the given fencing token for a reason found outside the election, such as a rejected write
+// of the leader. It does nothing if the current term has a different token.
 func (e *Election) StepDown(_ micros.Timestamp, fencingToken wire.FencingToken, reason string) []Effect {
 	if e.phase != leading || e.fencingToken != fencingToken {
 		return nil
@@ -375,7 +385,7 @@
 	return e.stepDown(reason)
 }
 
-// stepDown ends the term. The lease is abandoned, so that the store deletes the key soon if it is still this leader's.
+// stepDown ends the term. It abandons the lease, so that the store soon deletes the key if it is still this leader's.
 func (e *Election) stepDown(reason string) []Effect {
 	e.phase, e.candidate = following, false
 	e.lease, e.keyKnown = 0, false
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -18,10 +18,10 @@
 	margin      = leaseTTL / 10
 
 	startTime = micros.Timestamp(micros.Second)
-	// What electedLeader and followerOf set up.
+	// ownLease and ownToken are the store lease and the fencing token of the election that electedLeader returns.
 	ownLease = 70
 	ownToken = 10
-	// otherToken is the fencing token of the leader that is followed, laterToken a higher one.
+	// otherToken is the fencing token of the leader in the election that follower returns; laterToken is a higher one.
 	otherToken = 20
 	laterToken = 30
 )
@@ -32,7 +32,7 @@
 	otherRecord   = state.LeaderRecord{Member: other, Incarnation: 7}
 )
 
-// event is something that happens to an election at a time.
+// event calls a method of an election at a given time and returns the resulting effects.
 type event func(*Election, micros.Timestamp) []Effect
 
 func tick(e *Election, now micros.Timestamp) []Effect { return e.Tick(now) }
@@ -51,15 +51,15 @@
 	return func(e *Election, now micros.Timestamp) []Effect { return e.LeaderAnnounced(now, member, fencingToken) }
 }
 
-func unreachable(fencingToken wire.FencingToken) event {
-	return func(e *Election, now micros.Timestamp) []Effect { return e.LeaderUnreachable(now, fencingToken) }
+func connectionsRefused(fencingToken wire.FencingToken) event {
+	return func(e *Election, now micros.Timestamp) []Effect { return e.LeaderConnectionsRefused(now, fencingToken) }
 }
 
 func termEnded(fencingToken wire.FencingToken) event {
 	return func(e *Election, now micros.Timestamp) []Effect { return e.StepDown(now, fencingToken, "ended") }
 }
 
-// The outcomes of requests that were sent just now.
+// granted, claimed and renewed report the outcomes of requests that were sent at the time of the report.
 
 func granted(lease uint64, outcome Outcome) event {
 	return func(e *Election, now micros.Timestamp) []Effect { return e.LeaseGranted(now, now, lease, outcome) }
@@ -73,22 +73,22 @@
 	return func(e *Election, now micros.Timestamp) []Effect { return e.LeaseRenewed(now, now, outcome) }
 }
 
-// step is an event and the effects that it must have.
+// step is an event and the effects that it must return.
 type step struct {
-	after micros.Duration // since the step before
+	after micros.Duration // since the previous step
 	event event
 	want  []Effect
 }
 
-// start brings an election into the state that a test begins with, at startTime.
-type start func(t *testing.T) *Election
+// setup returns an election in the initial state of a test case; the state is reached at startTime.
+type setup func(t *testing.T) *Election
 
 func newElection(t *testing.T) *Election {
 	t.Helper()
 	return New(Config{Member: self, Incarnation: incarnation, LeaseTTL: leaseTTL, SafetyMargin: margin})
 }
 
-// run passes the steps to an election, beginning at startTime.
+// run executes the steps on an election, beginning at startTime, and checks their effects.
 func run(t *testing.T, e *Election, steps []step) {
 	t.Helper()
 	now := startTime
@@ -114,7 +114,7 @@
 
 func stepDown(reason string) []Effect { return []Effect{StepDown{Reason: reason}, ReadLeader{}} }
 
-// candidate waits for the lease that it has requested.
+// candidate returns an election that is waiting for the lease that it has requested.
 func candidate(t *testing.T) *Election {
 	t.Helper()
 	e := newElection(t)
@@ -125,7 +125,7 @@
 	return e
 }
 
-// claimant waits for the outcome of its claim.
+// claimant returns an election that is waiting for the outcome of its claim.
 func claimant(t *testing.T) *Election {
 	t.Helper()
 	e := candidate(t)
@@ -133,7 +133,7 @@
 	return e
 }
 
-// electedLeader leads under ownToken with ownLease.
+// electedLeader returns an election that leads under ownToken with ownLease.
 func electedLeader(t *testing.T) *Election {
 	t.Helper()
 	e := claimant(t)
@@ -141,7 +141,7 @@
 	return e
 }
 
-// follower follows the other member, which leads under otherToken.
+// follower returns an election that follows the other member, which leads under otherToken.
 func follower(t *testing.T) *Election {
 	t.Helper()
 	e := newElection(t)
@@ -152,13 +152,13 @@
 	return e
 }
 
-// electionCase is what an election does in a sequence of steps, and who leads after them.
+// electionCase is a sequence of steps from an initial state, and the leader expected after the last step.
 type electionCase struct {
 	name  string
-	start start
+	setup setup
 	steps []step
 
-	wantLeader string // "": nobody
+	wantLeader string // "": there is no leader
 	wantToken  wire.FencingToken
 }
 
@@ -166,26 +166,26 @@
 	t.Helper()
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			e := test.start(t)
+			e := test.setup(t)
 			run(t, e, test.steps)
 			if leader, token := e.Leader(); leader != test.wantLeader || token != test.wantToken {
-				t.Errorf("the leader is %q under %d, want %q under %d", leader, token, test.wantLeader, test.wantToken)
+				t.Errorf("Leader() = %q, %d; want %q, %d", leader, token, test.wantLeader, test.wantToken)
 			}
 			if leads, _ := e.Leading(); leads != (test.wantLeader == self) {
-				t.Errorf("leading: %v, want %v", leads, !leads)
+				t.Errorf("Leading() = %v, want %v", leads, !leads)
 			}
 		})
 	}
 }
 
-func TestBoot(t *testing.T) {
+func TestInitialRead(t *testing.T) {
 	testElection(t, []electionCase{
 		{
-			name: "the key is read before anything else, once at a time", start: newElection,
+			name: "the key is read first, with one read in flight at a time", setup: newElection,
 			steps: []step{{event: tick, want: read()}, {after: micros.Second, event: tick}},
 		},
 		{
-			name: "a read that failed is repeated after 300 ms", start: newElection,
+			name: "a failed read is retried after 300 ms", setup: newElection,
 			steps: []step{
 				{event: tick, want: read()},
 				{event: readFailed},
@@ -194,7 +194,7 @@
 			},
 		},
 		{
-			name: "a key of another member is followed", start: newElection,
+			name: "the controller follows the member that the key names", setup: newElection,
 			steps: []step{
 				{event: tick, want: read()},
 				{event: keyHolds(otherRecord, otherToken)},
@@ -205,12 +205,12 @@
 	})
 }
 
-// Nobody leads while the key is missing: its lease in the store has expired, or its leader has given it up.
+// A missing key means that there is no leader: the key's lease in the store has expired or the leader abandoned it.
 func TestMissingKey(t *testing.T) {
 	testElection(t, []electionCase{
 		{
-			name:  "a lease is requested, then the key claimed, and the version is the fencing token",
-			start: newElection,
+			name:  "a lease is requested, then the key is claimed, and the key's version becomes the fencing token",
+			setup: newElection,
 			steps: []step{
 				{event: tick, want: read()},
 				{event: keyMissing(5), want: grantLease()},
@@ -220,11 +220,11 @@
 			wantLeader: self, wantToken: ownToken,
 		},
 		{
-			name: "a key that the watch shows deleted is claimed by a follower", start: follower,
+			name: "a follower becomes a candidate when the watch delivers the deletion of the key", setup: follower,
 			steps: []step{{event: keyMissing(otherToken + 1), want: grantLease()}},
 		},
 		{
-			name: "a refused lease is requested again after 300 ms", start: candidate,
+			name: "a lease request that failed is retried after 300 ms", setup: candidate,
 			steps: []step{
 				{event: granted(0, OutcomeUnknown)},
 				{after: 299 * micros.Millisecond, event: tick},
@@ -232,11 +232,11 @@
 			},
 		},
 		{
-			name: "a second event does not repeat the request in flight", start: candidate,
+			name: "a second event does not duplicate the request in flight", setup: candidate,
 			steps: []step{{event: keyMissing(6)}, {event: tick}},
 		},
 		{
-			name: "it counts also at a revision below an announced fencing token", start: follower,
+			name: "a deletion at a revision below an announced fencing token is applied", setup: follower,
 			steps: []step{
 				{event: announced("c3", laterToken)},
 				{event: keyMissing(laterToken - 1), want: grantLease()},
@@ -248,7 +248,7 @@
 func TestClaim(t *testing.T) {
 	testElection(t, []electionCase{
 		{
-			name: "claim conflict: the key is read again after 50 ms and nothing is claimed", start: claimant,
+			name: "conflict: the key is read again after 50 ms, and another member's key is not claimed", setup: claimant,
 			steps: []step{
 				{event: claimed(0, Conflict)},
 				{after: 49 * micros.Millisecond, event: tick},
@@ -259,7 +259,7 @@
 			wantLeader: other, wantToken: otherToken,
 		},
 		{
-			name: "claim of unknown outcome: the next claim uses a new lease", start: claimant,
+			name: "unknown outcome: the next claim uses a new lease", setup: claimant,
 			steps: []step{
 				{event: claimed(0, OutcomeUnknown)},
 				{after: 50 * micros.Millisecond, event: tick, want: read()},
@@ -268,7 +268,7 @@
 			},
 		},
 		{
-			name: "claim of unknown outcome: one that succeeded late is replaced, and nobody leads under it", start: claimant,
+			name: "unknown outcome: the key of a claim that succeeded late is replaced by a new claim", setup: claimant,
 			steps: []step{
 				{event: claimed(0, OutcomeUnknown)},
 				{event: keyHolds(ownRecord, ownToken), want: grantLease()},
@@ -276,7 +276,7 @@
 			},
 		},
 		{
-			name: "claim: the watch event of the own claim, before its outcome, changes nothing", start: claimant,
+			name: "a watch event for the claimed key that arrives before the outcome has no effect", setup: claimant,
 			steps: []step{
 				{event: keyHolds(ownRecord, ownToken)},
 				{event: claimed(ownToken, Succeeded), want: startTerm(ownToken)},
@@ -284,7 +284,7 @@
 			wantLeader: self, wantToken: ownToken,
 		},
 		{
-			name: "claim: an own key that is seen before its outcome does not change which version is replaced", start: claimant,
+			name: "a key of an earlier process seen during the claim does not change the replaced version", setup: claimant,
 			steps: []step{
 				{event: keyHolds(earlierRecord, 8)},
 				{event: claimed(0, LeaseExpired), want: grantLease()},
@@ -292,15 +292,15 @@
 			},
 		},
 		{
-			name: "claim: a lease that expired before the claim is replaced by a new one", start: claimant,
+			name: "a lease that expired before the claim is replaced by a new one", setup: claimant,
 			steps: []step{
 				{event: claimed(0, LeaseExpired), want: grantLease()},
 				{event: granted(ownLease+1, Succeeded), want: claim(0, ownLease+1)},
 			},
 		},
 		{
-			name:  "another leader appears while a lease is requested: the lease is kept for the next candidacy",
-			start: candidate,
+			name:  "a lease that is granted after another leader has appeared is kept for the next candidacy",
+			setup: candidate,
 			steps: []step{
 				{event: keyHolds(otherRecord, otherToken)},
 				{event: granted(ownLease, Succeeded)},
@@ -308,7 +308,7 @@
 			},
 		},
 		{
-			name: "own earlier process: its key is replaced", start: newElection,
+			name: "the key of an earlier process of this member is replaced", setup: newElection,
 			steps: []step{
 				{event: tick, want: read()},
 				{event: keyHolds(earlierRecord, 8), want: grantLease()},
@@ -321,7 +321,7 @@
 func TestRenewal(t *testing.T) {
 	testElection(t, []electionCase{
 		{
-			name: "renewal: due at once, then a quarter of the time to live after the last one was sent", start: electedLeader,
+			name: "renewals are due at once, then a quarter of the TTL after the last was sent", setup: electedLeader,
 			steps: []step{
 				{event: tick, want: renewLease(ownLease)},
 				{event: tick},
@@ -332,8 +332,8 @@
 			wantLeader: self, wantToken: ownToken,
 		},
 		{
-			name:  "renewal of unknown outcome: the leader goes on and retries after a twentieth of the time to live",
-			start: electedLeader,
+			name:  "a renewal of unknown outcome is retried after a twentieth of the TTL, and the term continues",
+			setup: electedLeader,
 			steps: []step{
 				{event: tick, want: renewLease(ownLease)},
 				{event: renewed(OutcomeUnknown)},
@@ -343,14 +343,14 @@
 			wantLeader: self, wantToken: ownToken,
 		},
 		{
-			name: "the leader steps down and reads the key", start: electedLeader,
+			name: "the leader steps down and reads the key when its lease has expired", setup: electedLeader,
 			steps: []step{
 				{event: tick, want: renewLease(ownLease)},
-				{event: renewed(LeaseExpired), want: stepDown("the lease has expired")},
+				{event: renewed(LeaseExpired), want: stepDown("the leader's lease has expired")},
 			},
 		},
 		{
-			name: "a renewal that ends after the term has no effect", start: electedLeader,
+			name: "the outcome of a renewal that arrives after the term has ended is ignored", setup: electedLeader,
 			steps: []step{
 				{event: tick, want: renewLease(ownLease)},
 				{event: termEnded(ownToken), want: stepDown("ended")},
@@ -360,10 +360,10 @@
 	})
 }
 
-func TestTermEnds(t *testing.T) {
+func TestEndOfTerm(t *testing.T) {
 	testElection(t, []electionCase{
 		{
-			name: "after a term: the next one begins with a new lease and a renewal of it at once", start: electedLeader,
+			name: "the next term uses a new lease and renews it at once", setup: electedLeader,
 			steps: []step{
 				{event: tick, want: renewLease(ownLease)},
 				{event: termEnded(ownToken), want: stepDown("ended")},
@@ -375,18 +375,18 @@
 			wantLeader: self, wantToken: laterToken,
 		},
 		{
-			name: "a key that was deleted ends the term", start: electedLeader,
+			name: "the deletion of the key ends the term", setup: electedLeader,
 			steps: []step{{event: keyMissing(ownToken + 1), want: stepDown("the leader's key has changed")}},
 		},
 		{
-			name: "a key of another member ends the term", start: electedLeader,
+			name: "a key that names another member ends the term", setup: electedLeader,
 			steps: []step{
 				{event: keyHolds(otherRecord, otherToken), want: stepDown("the leader's key has changed")},
 			},
 			wantLeader: other, wantToken: otherToken,
 		},
 		{
-			name: "the own key, or an older version that a read returns late, changes nothing", start: electedLeader,
+			name: "this member's own key, and an older version that a read returns late, have no effect", setup: electedLeader,
 			steps: []step{
 				{event: keyHolds(ownRecord, ownToken)},
 				{event: keyHolds(otherRecord, ownToken-1)},
@@ -394,102 +394,105 @@
 			wantLeader: self, wantToken: ownToken,
 		},
 		{
-			name: "a term that something else has ended", start: electedLeader,
+			name: "StepDown with the current fencing token ends the term", setup: electedLeader,
 			steps: []step{{event: termEnded(ownToken), want: stepDown("ended")}},
 		},
 		{
-			name: "the end of an earlier term is ignored", start: electedLeader,
+			name: "StepDown with the fencing token of an earlier term is ignored", setup: electedLeader,
 			steps:      []step{{event: termEnded(ownToken - 1)}},
 			wantLeader: self, wantToken: ownToken,
 		},
 	})
 }
 
-// Fencing tokens only grow, so a leader that is announced with a higher one has replaced every earlier one.
+// Fencing tokens only increase, so a leader that is announced with a higher token has replaced every earlier leader.
 func TestAnnouncement(t *testing.T) {
 	testElection(t, []electionCase{
 		{
-			name: "announcement of a higher fencing token: the leader steps down and follows", start: electedLeader,
-			steps:      []step{{event: announced(other, otherToken), want: stepDown("another controller leads")}},
+			name: "a higher fencing token makes the leader step down and follow", setup: electedLeader,
+			steps: []step{
+				{event: announced(other, otherToken), want: stepDown("another controller leads under a higher fencing token")},
+			},
 			wantLeader: other, wantToken: otherToken,
 		},
 		{
-			name: "announcement of a higher fencing token: a follower changes its leader", start: follower,
+			name: "a higher fencing token makes a follower follow the new leader", setup: follower,
 			steps:      []step{{event: announced("c3", laterToken)}},
 			wantLeader: "c3", wantToken: laterToken,
 		},
 		{
-			name: "announcement of a higher fencing token: ends a candidacy", start: candidate,
+			name: "a higher fencing token ends a candidacy", setup: candidate,
 			steps:      []step{{event: announced(other, otherToken)}, {event: granted(ownLease, Succeeded)}},
 			wantLeader: other, wantToken: otherToken,
 		},
 		{
-			name: "announcement of a lower fencing token is ignored", start: electedLeader,
+			name: "a lower fencing token is ignored", setup: electedLeader,
 			steps:      []step{{event: announced(other, ownToken-1)}},
 			wantLeader: self, wantToken: ownToken,
 		},
 	})
 }
 
-// A host that refuses connections has most likely lost its leader; that is reason enough to replace it, but not often.
+// A leader whose host refuses connections has most likely ended. It is replaced without proof of that, so the rate of
+// such replacements is limited.
 func TestRefusedConnections(t *testing.T) {
 	testElection(t, []electionCase{
 		{
-			name: "the key of the leader is replaced", start: follower,
+			name: "a follower replaces the leader's key", setup: follower,
 			steps: []step{
-				{event: unreachable(otherToken), want: grantLease()},
+				{event: connectionsRefused(otherToken), want: grantLease()},
 				{event: granted(ownLease, Succeeded), want: claim(otherToken, ownLease)},
 				{event: claimed(laterToken, Succeeded), want: startTerm(laterToken)},
 			},
 			wantLeader: self, wantToken: laterToken,
 		},
 		{
-			name: "at most one claim in 20 s", start: follower,
+			name: "refused connections start at most one candidacy per 20 s", setup: follower,
 			steps: []step{
-				{event: unreachable(otherToken), want: grantLease()},
+				{event: connectionsRefused(otherToken), want: grantLease()},
 				{event: keyHolds(otherRecord, otherToken+1)},
 				{event: granted(ownLease, Succeeded)},
-				{after: 20*micros.Second - 1, event: unreachable(otherToken + 1)},
-				{after: 1, event: unreachable(otherToken + 1), want: claim(otherToken+1, ownLease)},
+				{after: 20*micros.Second - 1, event: connectionsRefused(otherToken + 1)},
+				{after: 1, event: connectionsRefused(otherToken + 1), want: claim(otherToken+1, ownLease)},
 			},
 			wantLeader: other, wantToken: otherToken + 1,
 		},
 		{
-			name: "a candidate does not start again", start: follower,
+			name: "refused connections do not restart a running candidacy", setup: follower,
 			steps: []step{
-				{event: unreachable(otherToken), want: grantLease()},
+				{event: connectionsRefused(otherToken), want: grantLease()},
 				{event: granted(0, OutcomeUnknown)},
-				{after: 20 * micros.Second, event: unreachable(otherToken)},
+				{after: 20 * micros.Second, event: connectionsRefused(otherToken)},
 				{event: tick, want: grantLease()},
 			},
 			wantLeader: other, wantToken: otherToken,
 		},
 		{
-			name: "ignored until the key has been read again after a conflict", start: follower,
+			name: "refused connections are ignored after a conflict until the key has been read again", setup: follower,
 			steps: []step{
-				{event: unreachable(otherToken), want: grantLease()},
+				{event: connectionsRefused(otherToken), want: grantLease()},
 				{event: granted(ownLease, Succeeded), want: claim(otherToken, ownLease)},
 				{event: claimed(0, Conflict)},
-				{after: 20 * micros.Second, event: unreachable(otherToken)},
+				{after: 20 * micros.Second, event: connectionsRefused(otherToken)},
 				{event: tick, want: read()},
 			},
 			wantLeader: other, wantToken: otherToken,
 		},
 		{
-			name: "those of an earlier leader are ignored", start: follower,
-			steps:      []step{{event: unreachable(otherToken - 1)}},
+			name: "refused connections of an earlier leader are ignored", setup: follower,
+			steps:      []step{{event: connectionsRefused(otherToken - 1)}},
 			wantLeader: other, wantToken: otherToken,
 		},
 		{
-			name: "ignored while this controller leads", start: electedLeader,
-			steps:      []step{{event: unreachable(ownToken)}},
+			name: "refused connections are ignored while this controller leads", setup: electedLeader,
+			steps:      []step{{event: connectionsRefused(ownToken)}},
 			wantLeader: self, wantToken: ownToken,
 		},
 	})
 }
 
-// A leader may act until its lease may have expired by the slowest clock, less the margin: counted from the sending of
-// the request, since the store may have served it at once.
+// A leader may act for the lease's TTL less the allowance for clock drift and the safety margin. The time counts from
+// when the request was sent, since the store may have served it right then.
 func TestValidUntil(t *testing.T) {
 	const validFor = leaseTTL - leaseTTL/1000 - margin
 	sent := func(after micros.Duration) micros.Timestamp { return startTime.Add(after) }
@@ -501,17 +504,17 @@
 		event event
 		want  micros.Timestamp
 	}{
-		{"from the sending of the request for the lease", nil, sent(0).Add(validFor)},
+		{"without a renewal it counts from when the lease was requested", nil, sent(0).Add(validFor)},
 		{
-			"from the sending of the last renewal, not from its response",
+			"after a renewal it counts from when the renewal was sent, not from its response",
 			renewal(sent(micros.Second), sent(2*micros.Second), Succeeded), sent(micros.Second).Add(validFor),
 		},
 		{
-			"a renewal of unknown outcome extends nothing",
+			"a renewal of unknown outcome does not extend it",
 			renewal(sent(micros.Second), sent(2*micros.Second), OutcomeUnknown), sent(0).Add(validFor),
 		},
 		{
-			"a late outcome of an earlier renewal shortens nothing",
+			"a late outcome of an earlier renewal does not shorten it",
 			renewal(sent(-micros.Second), sent(2*micros.Second), Succeeded), sent(0).Add(validFor),
 		},
 	}
@@ -522,7 +525,7 @@
 				test.event(e, startTime)
 			}
 			if _, validUntil := e.Leading(); validUntil != test.want {
-				t.Errorf("valid until %v, want %v", validUntil, test.want)
+				t.Errorf("Leading() is valid until %v, want %v", validUntil, test.want)
 			}
 		})
 	}
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -1,9 +1,9 @@
-// Package leadership drives a controller's election and starts and ends what the controller does by its outcome: a term
-// (package leader) while it leads, a following (package follower) while another does.
+// Package leadership runs a controller's election and, according to its outcome, the controller's role: a leader.Term
+// while this controller leads, or a follower.Follower while another controller leads.
 //
-// A Driver owns the election, in the goroutine of Run: it carries out the election's effects, reports their outcomes
-// to it, and watches the leader's key. The controller's services ask it for the present Role from any goroutine.
-// Whether to claim the leadership is decided by package election alone.
+// A Driver owns the election in the goroutine of Run. It executes the election's effects, reports their outcomes to the
+// election, and watches the leader's key. The controller's services obtain the current Role from any goroutine. Package
+// election alone decides whether to claim the leadership.
 package leadership
 
 import (
@@ -29,16 +29,16 @@
 
 const (
 	tickInterval = 100 * micros.Millisecond
-	// watchBlock is how long the store holds back the answer to a watch without events.
-	watchBlock         = 4 * time.Second
+	// watchTimeout is how long the store holds a watch request open while there are no events.
+	watchTimeout       = 4 * time.Second
 	watchRetryInterval = 200 * micros.Millisecond
-	// announceRetryInterval is the time between two tries to announce a new leader to another controller.
+	// announceRetryInterval is the delay before retrying to announce a new leader to another controller.
 	announceRetryInterval = 500 * micros.Millisecond
-	// eventQueue is how many events wait before the one that posts has to.
-	eventQueue = 64
+	// eventQueueSize is the capacity of the queue of events. Posting to a full queue blocks.
+	eventQueueSize = 64
 )
 
-// Store is the key-value store.
+// Store contains the methods of the key-value store that a Driver uses.
 type Store interface {
 	List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error)
 	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (*wire.WatchResponse, error)
@@ -47,19 +47,20 @@
 	RenewLease(ctx context.Context, lease uint64) error
 }
 
-// RateLimits are what this controller may request of the store and the cloud. The leader may request more. Once Run
-// runs, the Driver's goroutine alone sets them: a term that ends while the next has begun must not change the limits
-// of that one.
+// RateLimits configures this controller's limits on requests to the store and the cloud. The leader has higher limits.
+// Once Run has started, only its goroutine sets the limits, so that a term that ends after the next one has begun can't
+// change the limits of the next term.
 type RateLimits interface {
 	SetLeading(leading bool)
 }
 
-// Config is what a Driver needs.
+// Config holds the dependencies and parameters of a Driver.
 type Config struct {
 	Settings *settings.Settings
-	// Incarnation distinguishes this process from others of the same controller.
+	// Incarnation distinguishes this process from other processes of the same controller.
 	Incarnation uint64
-	// LeaseTTL is how long a leader that ends without notice keeps others waiting, if its host doesn't refuse connections.
+	// LeaseTTL is the time to live of the leader's lease in the store. After a leader has crashed, no other controller
+	// becomes the leader until the lease expires, unless the crashed leader's host refuses connections.
 	LeaseTTL micros.Duration
 	Log      *slog.Logger
 	Clock    micros.Clock
@@ -71,39 +72,40 @@
 	Follower follower.Config
 }
 
-// Role is what this controller is at present: a leader, a follower, or neither while no leader is known.
+// Role is this controller's current role: leader, follower, or neither if the leader is not known or has no address in
+// the settings.
 type Role struct {
 	// Term is not nil while this controller leads.
 	Term *leader.Term
-	// Follower is not nil while it follows a leader.
+	// Follower is not nil while this controller follows a leader.
 	Follower *follower.Follower
-	// Leader names the controller that leads, "" if that isn't known.
+	// Leader names the controller that leads, "" if no leader is known.
 	Leader string
 }
 
-// event reports something to the election and returns what it wants done.
+// event reports an event to the election and returns the effects to execute.
 type event func(now micros.Timestamp) []election.Effect
 
-// Driver drives the election of one controller.
+// Driver runs the election of one controller and its role.
 type Driver struct {
 	cfg    Config
 	events chan event
 	role   atomic.Pointer[Role]
 	group  routine.Group
 
-	// Owned by the goroutine of Run.
+	// The following fields are owned by the goroutine of Run.
 	election *election.Election
-	leader   string // as of the present role
-	token    wire.FencingToken
-	endRole  context.CancelFunc // ends the term, or the following
+	leader   string             // the leader in the current role
+	token    wire.FencingToken  // the leader's fencing token in the current role
+	endRole  context.CancelFunc // cancels the current term or follower
 }
 
-// New returns a driver; Run runs it.
+// New returns a Driver that takes part in the election once Run is called.
 func New(cfg Config) *Driver {
 	const safetyMarginsPerTTL = 10
 	driver := &Driver{
 		cfg:     cfg,
-		events:  make(chan event, eventQueue),
+		events:  make(chan event, eventQueueSize),
 		endRole: func() {},
 		election: election.New(election.Config{
 			Member:       cfg.Settings.Member,
@@ -116,20 +118,21 @@
 	return driver
 }
 
-// Role returns the controller's present role, which is not nil.
+// Role returns the controller's current role. It is never nil.
 func (d *Driver) Role() *Role { return d.role.Load() }
 
-// LeaderAnnounced applies another controller's announcement that it leads.
+// LeaderAnnounced passes another controller's announcement that it leads to the election.
 func (d *Driver) LeaderAnnounced(ctx context.Context, announcement peer.Announcement) {
 	d.post(ctx, func(now micros.Timestamp) []election.Effect {
 		return d.election.LeaderAnnounced(now, announcement.Member, announcement.FencingToken)
 	})
 }
 
-// Run takes part in the election until ctx ends, and waits for all that it has started.
+// Run takes part in the election and runs the controller's role until ctx ends. It returns once all goroutines that it
+// has started have ended.
 func (d *Driver) Run(ctx context.Context) {
 	defer d.group.Wait()
-	d.group.Go(func() { d.watchLeader(ctx) })
+	d.group.Go(func() { d.trackLeaderKey(ctx) })
 	tick := time.NewTicker(tickInterval.AsDuration())
 	defer tick.Stop()
 	for {
@@ -143,21 +146,21 @@
 			effects = d.election.Tick(d.cfg.Clock.Now())
 		}
 		for _, effect := range effects {
-			d.carryOut(ctx, effect)
+			d.execute(ctx, effect)
 		}
 		d.updateRole(ctx)
 	}
 }
 
 // post queues an event for the goroutine of Run.
-func (d *Driver) post(ctx context.Context, reported event) {
+func (d *Driver) post(ctx context.Context, e event) {
 	select {
-	case d.events <- reported:
+	case d.events <- e:
 	case <-ctx.Done():
 	}
 }
 
-// updateRole makes the controller's role the one that the election says.
+// updateRole starts and ends terms and followers so that the controller's role matches the state of the election.
 func (d *Driver) updateRole(ctx context.Context) {
 	leading, leaseValidUntil := d.election.Leading()
 	current, token := d.election.Leader()
@@ -180,7 +183,7 @@
 	case leading:
 		d.startTerm(ctx, token, leaseValidUntil)
 	default:
-		d.startFollowing(ctx, current, token)
+		d.startFollower(ctx, current, token)
 	}
 }
 
@@ -198,7 +201,7 @@
 	}
 }
 
-// announce announces to another controller that this one leads, until that has received it.
+// announce tells the controller at addr that this controller leads, and retries until that controller has confirmed it.
 func (d *Driver) announce(ctx context.Context, addr string, token wire.FencingToken) {
 	client := peer.NewClient(d.cfg.Dial, addr, d.cfg.Settings.Member, token)
 	defer client.Close()
@@ -209,25 +212,25 @@
 	}
 }
 
-func (d *Driver) startFollowing(ctx context.Context, current string, token wire.FencingToken) {
-	d.cfg.Log.Info("following a leader", "leader", current, "fencing_token", token)
-	following, err := follower.New(d.cfg.Follower, current, token)
+func (d *Driver) startFollower(ctx context.Context, current string, token wire.FencingToken) {
+	d.cfg.Log.Info("following the leader", "leader", current, "fencing_token", token)
+	newFollower, err := follower.New(d.cfg.Follower, current, token)
 	if err != nil {
-		d.cfg.Log.Error("the leader can't be followed", "leader", current, "error", err)
+		d.cfg.Log.Error("cannot follow the leader", "leader", current, "error", err)
 		return
 	}
 	followCtx, cancel := context.WithCancel(ctx)
 	d.endRole = cancel
-	d.role.Store(&Role{Leader: current, Follower: following})
+	d.role.Store(&Role{Leader: current, Follower: newFollower})
 	d.group.Go(func() {
-		following.Run(followCtx, func() {
-			d.post(ctx, func(now micros.Timestamp) []election.Effect { return d.election.LeaderUnreachable(now, token) })
+		newFollower.Run(followCtx, func() {
+			d.post(ctx, func(now micros.Timestamp) []election.Effect { return d.election.LeaderConnectionsRefused(now, token) })
 		})
 	})
 }
 
-// carryOut carries out an effect of the election; requests to the store run in goroutines of their own.
-func (d *Driver) carryOut(ctx context.Context, effect election.Effect) {
+// execute executes an effect of the election. Requests to the store run in separate goroutines.
+func (d *Driver) execute(ctx context.Context, effect election.Effect) {
 	switch effect := effect.(type) {
 	case election.ReadLeader:
 		d.group.Go(func() { d.readLeader(ctx) })
@@ -244,7 +247,7 @@
 	}
 }
 
-// request sends a request in a goroutine of its own and posts its outcome.
+// request calls send, which sends a request to the store, in a separate goroutine and posts the event that it returns.
 func (d *Driver) request(ctx context.Context, send func(sentAt micros.Timestamp) event) {
 	sentAt := d.cfg.Clock.Now()
 	d.group.Go(func() { d.post(ctx, send(sentAt)) })
@@ -257,7 +260,7 @@
 	}
 }
 
-// claim writes the leader's key; its new version is the fencing token.
+// claim writes the leader's key; the key's new version is the fencing token.
 func (d *Driver) claim(ctx context.Context, claim election.ClaimLeadership) event {
 	value, err := json.Marshal(claim.Record)
 	var version uint64
@@ -282,7 +285,7 @@
 	}
 }
 
-// outcome returns what an error says of a request to the store.
+// outcome maps the error of a request to the store to the request's outcome.
 func outcome(err error) election.Outcome {
 	var conflict *state.ConflictError
 	switch {
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -26,22 +26,22 @@
 		err  error
 		want election.Outcome
 	}{
-		"carried out":         {nil, election.Succeeded},
-		"another version":     {fmt.Errorf("claim: %w", &state.ConflictError{}), election.Conflict},
-		"the lease is gone":   {fmt.Errorf("renew: %w", state.ErrLeaseExpired), election.LeaseExpired},
-		"the store is away":   {state.ErrUnavailable, election.OutcomeUnknown},
-		"there was no answer": {errors.New("connection reset"), election.OutcomeUnknown},
+		"executed":          {nil, election.Succeeded},
+		"another version":   {fmt.Errorf("claim: %w", &state.ConflictError{}), election.Conflict},
+		"lease expired":     {fmt.Errorf("renew: %w", state.ErrLeaseExpired), election.LeaseExpired},
+		"store unavailable": {state.ErrUnavailable, election.OutcomeUnknown},
+		"no response":       {errors.New("connection reset"), election.OutcomeUnknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			if got := outcome(c.err); got != c.want {
-				t.Errorf("outcome(%v) is %v, want %v", c.err, got, c.want)
+				t.Errorf("outcome(%v) = %v, want %v", c.err, got, c.want)
 			}
 		})
 	}
 }
 
-// fakeStore has a leader's key that never changes.
+// fakeStore is a store whose leader's key never changes.
 type fakeStore struct {
 	Store
 	leader wire.KeyValue
@@ -58,12 +58,13 @@
 	return nil, ctx.Err()
 }
 
-// fakeLimits keeps what it is set to.
-type fakeLimits struct{ set []bool }
+// fakeLimits records the arguments of SetLeading.
+type fakeLimits struct{ calls []bool }
 
-func (l *fakeLimits) SetLeading(leading bool) { l.set = append(l.set, leading) }
+func (l *fakeLimits) SetLeading(leading bool) { l.calls = append(l.calls, leading) }
 
-// newTestDriver returns a driver of controller c1 beside c2, with a store in which a controller leads.
+// newTestDriver returns the driver of controller c1, whose only peer is c2, with a store whose leader's key names the
+// given leader.
 func newTestDriver(t *testing.T, leader string, limits RateLimits) *Driver {
 	t.Helper()
 	value, err := json.Marshal(state.LeaderRecord{Member: leader})
@@ -77,22 +78,22 @@
 	store := &fakeStore{leader: wire.KeyValue{Key: state.LeaderKey, Value: value, Version: 7}}
 	return New(Config{
 		Settings: set, LeaseTTL: 5 * micros.Second, Log: log, Clock: clock, Store: store, Health: monitor, Limits: limits,
-		Follower: follower.Config{Settings: set, Log: log, Clock: clock, Health: monitor, Dial: refuse},
+		Follower: follower.Config{Settings: set, Log: log, Clock: clock, Health: monitor, Dial: failDial},
 	})
 }
 
-func refuse(context.Context, string, string) (conn net.Conn, err error) {
-	return nil, errors.New("the host is not reached")
+func failDial(context.Context, string, string) (conn net.Conn, err error) {
+	return nil, errors.New("host unreachable")
 }
 
-func TestFollowsTheLeaderOfTheKey(t *testing.T) {
+func TestRunFollowsLeaderInKey(t *testing.T) {
 	cases := map[string]struct {
 		leader  string
 		follows bool
 	}{
-		"a peer":                     {"c2", true},
-		"not among the peers":        {"c9", false},
-		"a record that names nobody": {"", false},
+		"the key names a peer":             {"c2", true},
+		"the key names an unknown member":  {"c9", false},
+		"the key's record names no member": {"", false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -104,14 +105,14 @@
 				driver.Run(ctx)
 				role := driver.Role()
 				if role.Leader != c.leader || role.Term != nil || (role.Follower != nil) != c.follows {
-					t.Errorf("the role is %+v; want leader %q, following %v", role, c.leader, c.follows)
+					t.Errorf("the role is %+v; want leader %q, with a follower: %v", role, c.leader, c.follows)
 				}
 			})
 		})
 	}
 }
 
-func TestAnnouncedLeaderReplacesTheKnownOne(t *testing.T) {
+func TestAnnouncedLeaderReplacesKnownLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limits := &fakeLimits{}
 		driver := newTestDriver(t, "c9", limits)
@@ -122,7 +123,7 @@
 			driver.Run(ctx)
 		}()
 		time.Sleep(time.Second)
-		driver.LeaderAnnounced(ctx, peer.Announcement{Member: "c2", FencingToken: 6}) // an old one
+		driver.LeaderAnnounced(ctx, peer.Announcement{Member: "c2", FencingToken: 6}) // of an earlier term
 		time.Sleep(time.Second)
 		if role := driver.Role(); role.Leader != "c9" {
 			t.Errorf("the leader is %q after an announcement with a lower token, want c9", role.Leader)
@@ -130,13 +131,13 @@
 		driver.LeaderAnnounced(ctx, peer.Announcement{Member: "c2", FencingToken: 8})
 		time.Sleep(time.Second)
 		if role := driver.Role(); role.Leader != "c2" || role.Follower == nil {
-			t.Errorf("the role is %+v after an announcement with a higher token, want to follow c2", role)
+			t.Errorf("the role is %+v after an announcement with a higher token, want a follower of c2", role)
 		}
 		cancel()
 		<-ended
-		for _, leading := range limits.set {
+		for _, leading := range limits.calls {
 			if leading {
-				t.Error("the rate limits were those of a leader")
+				t.Error("the rate limits of a leader were set on a controller that never led")
 			}
 		}
 	})
--- a/internal/leadership/watch.go
+++ b/internal/leadership/watch.go
@@ -10,11 +10,11 @@
 	"saffronbend/internal/state"
 )
 
-// watchLeader follows the leader's key until ctx ends.
-func (d *Driver) watchLeader(ctx context.Context) {
+// trackLeaderKey reads and watches the leader's key until ctx ends. After a failure it reads the key again.
+func (d *Driver) trackLeaderKey(ctx context.Context) {
 	for ctx.Err() == nil {
 		if revision, ok := d.readLeader(ctx); ok {
-			d.followLeaderKey(ctx, revision)
+			d.watchLeaderKey(ctx, revision)
 		}
 		if !routine.Sleep(ctx, watchRetryInterval) {
 			return
@@ -22,8 +22,8 @@
 	}
 }
 
-// readLeader reads the leader's key and reports it to the election. It returns the revision from which to watch the
-// key.
+// readLeader reads the leader's key and reports it to the election. It returns the revision after which the key must be
+// watched.
 func (d *Driver) readLeader(ctx context.Context) (revision uint64, ok bool) {
 	items, revision, err := d.cfg.Store.List(ctx, state.LeaderKey)
 	if err != nil {
@@ -35,17 +35,17 @@
 	version := revision
 	for _, item := range items {
 		if item.Key == state.LeaderKey {
-			record, version = d.decode(item.Value), item.Version
+			record, version = d.decodeLeader(item.Value), item.Version
 		}
 	}
-	d.observed(ctx, record, version)
+	d.reportLeader(ctx, record, version)
 	return revision, true
 }
 
-// followLeaderKey reports changes of the leader's key after a revision, until a watch fails.
-func (d *Driver) followLeaderKey(ctx context.Context, revision uint64) {
+// watchLeaderKey reports changes of the leader's key after the given revision until a watch request fails.
+func (d *Driver) watchLeaderKey(ctx context.Context, revision uint64) {
 	for {
-		result, err := d.cfg.Store.Watch(ctx, state.LeaderKey, revision, watchBlock)
+		result, err := d.cfg.Store.Watch(ctx, state.LeaderKey, revision, watchTimeout)
 		if err != nil {
 			return
 		}
@@ -54,24 +54,24 @@
 		for _, change := range result.Events {
 			switch state.LeaderKey {
 			case change.Put:
-				d.observed(ctx, d.decode(change.Value), change.Version)
+				d.reportLeader(ctx, d.decodeLeader(change.Value), change.Version)
 			case change.Delete:
-				d.observed(ctx, nil, change.Version)
+				d.reportLeader(ctx, nil, change.Version)
 			}
 		}
 	}
 }
 
-// decode returns the leader's record, empty if it can't be read.
-func (d *Driver) decode(value []byte) *state.LeaderRecord {
+// decodeLeader decodes the leader's record. It returns an empty record if the value is invalid.
+func (d *Driver) decodeLeader(value []byte) *state.LeaderRecord {
 	record := new(state.LeaderRecord)
 	if err := json.Unmarshal(value, record); err != nil {
-		d.cfg.Log.Error("the leader's record can't be read", "error", err)
+		d.cfg.Log.Error("cannot decode the leader's record", "error", err)
 	}
 	return record
 }
 
-// observed reports the leader's key to the election; a nil record means that it does not exist.
-func (d *Driver) observed(ctx context.Context, record *state.LeaderRecord, version uint64) {
+// reportLeader reports the leader's key to the election; a nil record means that the key does not exist.
+func (d *Driver) reportLeader(ctx context.Context, record *state.LeaderRecord, version uint64) {
 	d.post(ctx, func(now micros.Timestamp) []election.Effect { return d.election.LeaderObserved(now, record, version) })
 }
