--- a/internal/fenced/fenced_test.go
+++ b/internal/fenced/fenced_test.go
@@ -15,7 +15,7 @@
 	"saffronbend/wire"
 )
 
-// fakeStore answers transactions by the next of its errors, nil after the last, and keeps them.
+// fakeStore returns the next of errs for each transaction, nil after the last, and records the transactions.
 type fakeStore struct {
 	errs []error
 	txns []wire.Transaction
@@ -31,15 +31,15 @@
 	return 0, err
 }
 
-func TestCommitAllIsFencedAndDivided(t *testing.T) {
+func TestCommitAllFencesAndSplitsTransactions(t *testing.T) {
 	cases := map[string]struct {
 		valueKB float64
 		txnOps  int
-		want    []int // changes of each transaction
+		want    []int // number of changes in each transaction
 	}{
-		"by the number of changes": {1, 2, []int{2, 2, 1}},
-		"by their size":            {16, 10, []int{3, 2}},
-		"one by one":               {100, 10, []int{1, 1, 1, 1, 1}},
+		"limited by the number of changes":        {1, 2, []int{2, 2, 1}},
+		"limited by the size of values":           {16, 10, []int{3, 2}},
+		"at least one change in each transaction": {100, 10, []int{1, 1, 1, 1, 1}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -56,13 +56,13 @@
 				}
 			}
 			if !reflect.DeepEqual(got, c.want) {
-				t.Errorf("transactions of %v changes, want %v", got, c.want)
+				t.Errorf("transactions have %v changes, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// runLoop returns a loop that is handled until stop is called, which waits for its end.
+// runLoop returns an event loop whose events are handled until stop is called; stop returns once the loop has ended.
 func runLoop(t *testing.T) (loop *eventloop.Loop, stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -86,30 +86,30 @@
 	}
 }
 
-func TestPutFindsOutWhatIsDurable(t *testing.T) {
-	errUnknown := errors.New("no answer")
+func TestPutResolvesUnknownOutcomes(t *testing.T) {
+	errUnknown := errors.New("no response")
 	conflict := &state.ConflictError{FailedKeys: []string{"drain/a"}}
 	cases := map[string]struct {
 		errs    []error
 		err     error
-		writes  int // of which all but the first are repetitions
+		writes  int // including retries
 		reloads int
 	}{
-		"written":                      {nil, nil, 1, 0},
-		"not served":                   {[]error{state.ErrUnavailable}, operator.ErrUnavailable, 1, 0},
-		"another version":              {[]error{conflict}, operator.ErrUnavailable, 1, 1},
-		"unknown, then written":        {[]error{errUnknown, errUnknown}, operator.ErrUnavailable, 3, 1},
-		"unknown, then carried out":    {[]error{errUnknown, conflict}, operator.ErrUnavailable, 2, 1},
-		"unknown, then never accepted": {[]error{errUnknown, state.ErrRefused}, operator.ErrUnavailable, 2, 1},
+		"committed":                        {nil, nil, 1, 0},
+		"store unavailable":                {[]error{state.ErrUnavailable}, operator.ErrUnavailable, 1, 0},
+		"conflict":                         {[]error{conflict}, operator.ErrUnavailable, 1, 1},
+		"unknown, then retry is committed": {[]error{errUnknown, errUnknown}, operator.ErrUnavailable, 3, 1},
+		"unknown, then conflict":           {[]error{errUnknown, conflict}, operator.ErrUnavailable, 2, 1},
+		"unknown, then refused":            {[]error{errUnknown, state.ErrRefused}, operator.ErrUnavailable, 2, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				loop, stop := runLoop(t)
 				store, reloads := &fakeStore{errs: c.errs}, 0
-				records := NewRecords(NewWriter(store, 7, 1, 10), loop, func(context.Context) error { reloads++; return nil })
-				err := records.Exclusive(t.Context(), func() error {
-					_, err := records.Put(t.Context(), "drain/a", 3, "value")
+				writer := NewSerialWriter(NewWriter(store, 7, 1, 10), loop, func(context.Context) error { reloads++; return nil })
+				err := writer.Exclusive(t.Context(), func() error {
+					_, err := writer.Put(t.Context(), "drain/a", 3, "value")
 					return err
 				})
 				time.Sleep(time.Minute)
@@ -118,11 +118,11 @@
 					t.Errorf("Put returned %v, want %v", err, c.err)
 				}
 				if len(store.txns) != c.writes || reloads != c.reloads {
-					t.Errorf("%d writes and %d reloads, want %d and %d", len(store.txns), reloads, c.writes, c.reloads)
+					t.Errorf("got %d writes and %d reloads, want %d and %d", len(store.txns), reloads, c.writes, c.reloads)
 				}
 				for _, txn := range store.txns {
 					if !reflect.DeepEqual(txn, store.txns[0]) {
-						t.Errorf("a repetition is %v, want %v", txn, store.txns[0])
+						t.Errorf("a retry sent %v, want %v", txn, store.txns[0])
 					}
 				}
 			})
@@ -130,12 +130,12 @@
 	}
 }
 
-func TestExclusiveEndsWithItsContext(t *testing.T) {
-	records := NewRecords(nil, nil, nil)
+func TestExclusiveReturnsWhenContextEnds(t *testing.T) {
+	writer := NewSerialWriter(nil, nil, nil)
 	ctx, cancel := context.WithCancel(t.Context())
-	err := records.Exclusive(ctx, func() error {
+	err := writer.Exclusive(ctx, func() error {
 		cancel()
-		return records.Exclusive(ctx, func() error { return nil })
+		return writer.Exclusive(ctx, func() error { return nil })
 	})
 	if !errors.Is(err, operator.ErrUnavailable) {
 		t.Errorf("Exclusive returned %v while another held the lock, want operator.ErrUnavailable", err)
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -1,9 +1,10 @@
-// Package follower is a controller's part in a term that another controller leads.
+// Package follower implements a controller's role in a term that another controller leads.
 //
-// A Follower keeps a stream of the leader's snapshots and offers them to the placer, relays heartbeats of workers
-// that don't reach the leader, and, while the leader is silent, has its LeaseRenewer renew worker leases in the
-// leader's stead. Package leadership starts and ends it; the workers' service calls Heartbeat from any goroutine. It
-// grants no lease, launches no task, and writes to the key-value store only that it renews worker leases.
+// A Follower receives the stream of the leader's snapshots and offers them to the placer. It relays heartbeats of
+// workers that can't reach the leader. While this controller has no contact with the leader, it renews worker leases on
+// the leader's behalf. Package leadership starts and ends a Follower; the workers' service calls Heartbeat from any
+// goroutine. A Follower grants no leases and launches no tasks. It writes nothing to the key-value store except the
+// records that announce that it renews worker leases.
 package follower
 
 import (
@@ -26,29 +27,31 @@
 	"saffronbend/wire"
 )
 
-// ErrUnknownLeader reports a leader that is not among the peers of the settings.
+// ErrUnknownLeader means that the leader is not among the peers in the settings.
 var ErrUnknownLeader = errors.New("the leader is not among the seeds")
 
 const (
-	// silenceTimeout is the leader's silence after which its workers' leases are renewed in its stead.
-	silenceTimeout = 2500 * micros.Millisecond
-	// reconnectInterval is the time between two tries to follow the leader's snapshots.
+	// contactTimeout is how long after the last contact with the leader this controller begins to renew worker leases on
+	// the leader's behalf.
+	contactTimeout = 2500 * micros.Millisecond
+	// reconnectInterval is the delay before the stream of the leader's snapshots is opened again.
 	reconnectInterval = 150 * micros.Millisecond
-	// refusalsOfEndedLeader is how many connections in a row the leader's host refuses before the leader counts as ended.
-	refusalsOfEndedLeader = 2
+	// refusalThreshold is the number of consecutive connections refused by the leader's host after which the leader
+	// is reported as ended.
+	refusalThreshold = 2
 )
 
-// Placer places tasks by the snapshots that it is offered.
+// Placer places tasks on the basis of the newest snapshot that was offered to it.
 type Placer interface {
 	Offer(newest *snapshot.Snapshot, leader placement.LeaseGranter)
 }
 
-// Config is what the followers of a controller need.
+// Config holds the dependencies and parameters of a controller's Followers.
 type Config struct {
 	Settings *settings.Settings
-	// Incarnation distinguishes this process from others of the same controller.
+	// Incarnation distinguishes this process from other processes of the same controller.
 	Incarnation uint64
-	// LeaderLeaseTTL is how long the leader's lease in the key-value store lasts.
+	// LeaderLeaseTTL is the time to live of the leader's lease in the key-value store.
 	LeaderLeaseTTL micros.Duration
 	Log            *slog.Logger
 	Clock          micros.Clock
@@ -65,13 +68,14 @@
 	token   wire.FencingToken
 	client  *peer.Client
 	renewer *leaseRenewer
-	// lastContact is when the leader sent a snapshot, or its host refused a connection: that shows that the network to it
-	// works, and then nobody renews its workers' leases in its stead.
+	// lastContact is a micros.Timestamp: when the leader last sent a snapshot or its host last refused a connection. A
+	// refused connection shows that the network to the leader's host works. In that case this controller doesn't renew
+	// worker leases on the leader's behalf.
 	lastContact atomic.Int64
 }
 
-// New returns a follower of a leader under a fencing token; Run runs it. It returns ErrUnknownLeader, wrapped, if
-// there is no address for the leader.
+// New returns a Follower of the given leader under the leader's fencing token; Run starts it. The error wraps
+// ErrUnknownLeader if the settings have no address for the leader.
 func New(cfg Config, leader string, token wire.FencingToken) (*Follower, error) {
 	addr, ok := PeerAddr(cfg.Settings, leader)
 	if !ok {
@@ -84,11 +88,11 @@
 		client:  peer.NewClient(cfg.Dial, addr, cfg.Settings.Member, token),
 		renewer: newLeaseRenewer(cfg, token),
 	}
-	follower.contacted()
+	follower.recordContact()
 	return follower, nil
 }
 
-// PeerAddr returns the cluster address of another controller, if the settings have it.
+// PeerAddr returns the cluster address of another controller. ok is false if the controller is not in the settings.
 func PeerAddr(set *settings.Settings, controller string) (addr string, ok bool) {
 	for _, other := range set.Peers {
 		if other.Member == controller {
@@ -98,22 +102,23 @@
 	return "", false
 }
 
-func (f *Follower) contacted() { f.lastContact.Store(int64(f.cfg.Clock.Now())) }
+func (f *Follower) recordContact() { f.lastContact.Store(int64(f.cfg.Clock.Now())) }
 
-// leaderSilent reports whether the leader must be taken for cut off from here.
-func (f *Follower) leaderSilent() bool {
-	return f.cfg.Clock.Now().Sub(micros.Timestamp(f.lastContact.Load())) > silenceTimeout
+// leaderContactLost reports whether the last contact with the leader is so long ago that this controller must assume a
+// network partition between the leader and itself.
+func (f *Follower) leaderContactLost() bool {
+	return f.cfg.Clock.Now().Sub(micros.Timestamp(f.lastContact.Load())) > contactTimeout
 }
 
-// Run follows the leader's snapshots until ctx ends, and waits for all that it has started. While the leader is
-// silent, its workers' leases are renewed. unreachable is called when the leader's host, having sent snapshots,
-// refuses connections.
-func (f *Follower) Run(ctx context.Context, unreachable func()) {
+// Run receives the leader's snapshots until ctx ends, and renews worker leases while contact with the leader is lost.
+// It calls connectionsRefused when the leader's host repeatedly refuses connections after the leader has sent a
+// snapshot. It returns once all goroutines that it has started have ended.
+func (f *Follower) Run(ctx context.Context, connectionsRefused func()) {
 	var group routine.Group
 	defer group.Wait()
 	defer f.client.Close()
-	group.Go(func() { f.renewer.run(ctx, f.leaderSilent) })
-	followed, refusals := false, 0
+	group.Go(func() { f.renewer.run(ctx, f.leaderContactLost) })
+	receivedSnapshot, refusals := false, 0
 	for ctx.Err() == nil {
 		var replica snapshot.Replica
 		err := f.client.FollowSnapshots(ctx, func(update *snapshot.Update) bool {
@@ -121,8 +126,8 @@
 			if newest == nil {
 				return false
 			}
-			followed, refusals = true, 0
-			f.contacted()
+			receivedSnapshot, refusals = true, 0
+			f.recordContact()
 			f.cfg.Health.SnapshotPublished(newest)
 			f.cfg.Placer.Offer(newest, f.client)
 			return true
@@ -130,13 +135,13 @@
 		if ctx.Err() != nil {
 			return
 		}
-		f.cfg.Log.Debug("the leader's stream ended", "leader", f.leader, "error", err)
+		f.cfg.Log.Debug("the leader's snapshot stream ended", "leader", f.leader, "error", err)
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			refusals++
-			f.contacted()
+			f.recordContact()
 		}
-		if followed && refusals >= refusalsOfEndedLeader {
-			unreachable()
+		if receivedSnapshot && refusals >= refusalThreshold {
+			connectionsRefused()
 		}
 		if !routine.Sleep(ctx, reconnectInterval) {
 			return
@@ -144,21 +149,24 @@
 	}
 }
 
-// Heartbeat returns the response to a worker's heartbeat: in the leader's stead, or the leader's to the heartbeat as
-// relayed. It returns nil if the worker must turn to the leader. A worker that has the leader's fencing token has had
-// a response of the leader, and comes here only because it gets none any more; if this controller is in contact with
-// the leader, as when the leader is cut off from workers alone, its heartbeat is relayed.
+// Heartbeat returns the response to a worker's heartbeat: either a renewal on the leader's behalf, or the leader's
+// response to the relayed heartbeat. It returns nil if the worker must send its heartbeats to the leader.
+//
+// A heartbeat is relayed only if the worker has the leader's fencing token and this controller has contact with the
+// leader, for example because only the network between the leader and the workers is partitioned. A worker that has the
+// token has received a response of the leader before, and sends a heartbeat to a follower only because the leader no
+// longer responds.
 func (f *Follower) Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) *wire.HeartbeatResponse {
 	if response := f.renewer.respond(heartbeat); response != nil {
 		return response
 	}
-	if heartbeat.FencingToken != f.token || f.leaderSilent() {
+	if heartbeat.FencingToken != f.token || f.leaderContactLost() {
 		return nil
 	}
 	ingress.Yield(ctx)
 	relayed, err := f.client.RelayHeartbeat(ctx, heartbeat)
 	if err != nil {
-		f.cfg.Log.Debug("a heartbeat could not be relayed", "machine", heartbeat.Machine, "error", err)
+		f.cfg.Log.Debug("cannot relay a heartbeat to the leader", "machine", heartbeat.Machine, "error", err)
 		return nil
 	}
 	if relayed.CommandsDelivered {
--- a/internal/follower/lease_renewer.go
+++ b/internal/follower/lease_renewer.go
@@ -16,16 +16,17 @@
 )
 
 const (
-	// renewalTTL is how long worker leases are renewed after the key-value store last confirmed that this may be done.
-	renewalTTL      = 4 * micros.Second
-	renewalInterval = renewalTTL / 5
-	// renewalMargin is how long before the end of renewalTTL renewing ends.
-	renewalMargin = renewalTTL / 10
-	// readRetryInterval is the time between two tries to read a job's progress.
+	// registrationTTL is the time to live of the store lease that the active registration record is attached to. Worker
+	// leases are renewed only while that store lease is valid.
+	registrationTTL      = 4 * micros.Second
+	registrationInterval = registrationTTL / 5
+	// registrationMargin is how long before the end of registrationTTL this controller stops renewing worker leases.
+	registrationMargin = registrationTTL / 10
+	// readRetryInterval is the delay before retrying to read a job's progress records.
 	readRetryInterval = 100 * micros.Millisecond
 )
 
-// Store is the key-value store.
+// Store contains the methods of the key-value store that a Follower uses.
 type Store interface {
 	openjobs.Store
 	CompareAndSwap(ctx context.Context, txn wire.Transaction) (revision uint64, err error)
@@ -33,49 +34,52 @@
 	RenewLease(ctx context.Context, lease uint64) error
 }
 
-// leaseRenewer renews worker leases under the leader's fencing token while that leader can't be reached from here, as
-// when zones are partitioned: a response with the token counts whichever controller sends it. It launches nothing. It
-// stops what has been cancelled, and makes the worker know attempts of it whose launch may yet arrive, so that it
-// doesn't start them then.
+// leaseRenewer renews worker leases on the leader's behalf while this controller has no contact with the leader, for
+// example during a network partition between zones. It responds under the leader's fencing token: workers accept a
+// response with that token from any controller. It launches no tasks. It stops the tasks of cancelled jobs. An attempt
+// of a cancelled job whose launch may still arrive at the worker is launched and stopped in one response, so that the
+// worker knows the attempt and does not start it when the late launch arrives.
 //
-// The leader considers a worker's lease expired by when it has itself renewed it last. So a leaseRenewer first
-// records in the store that it renews leases, on condition that the leader's key still has the token, and the leader
-// looks there before it considers any lease expired.
+// The leader computes the expiry of a worker's lease from when the leader itself last renewed it. Therefore a
+// leaseRenewer first registers in the store, on condition that the leader's key still has the leader's fencing token.
+// The leader checks these registrations before it treats any worker lease as expired.
 type leaseRenewer struct {
 	cfg   Config
 	token wire.FencingToken
 
-	mu         sync.Mutex // guards what follows
-	validUntil micros.Timestamp
-	ended      map[wire.JobID]bool        // jobs in their final state
-	resolved   openjobs.ResolvedTimestamp // up to which the ended jobs are known
-	// mayLaunch has the recorded attempts of ended jobs by machine: a launch of one may yet arrive there, as long as the
-	// agent's incarnation lasts that this controller keeps alive.
-	mayLaunch map[wire.MachineID][]endedAttempt
+	mu         sync.Mutex                 // guards the following fields
+	validUntil micros.Timestamp           // until when worker leases may be renewed; 0: not registered
+	ended      map[wire.JobID]bool        // jobs in a final state
+	resolved   openjobs.ResolvedTimestamp // the time up to which the ended jobs are known
+	// possibleLaunches contains the recorded attempts of ended jobs, by machine. A launch of such an attempt may still
+	// arrive at the machine during the agent incarnation that the attempt was granted for, and renewing the agent's
+	// lease prolongs that incarnation.
+	possibleLaunches map[wire.MachineID][]endedAttempt
 }
 
-// endedAttempt is an attempt of a job that has ended. Until a time its launch and stop are sent to a worker that
-// doesn't know it.
+// endedAttempt is an attempt of a job that has ended. A worker that does not know the attempt is sent a launch and a
+// stop of it.
 type endedAttempt struct {
 	job         wire.JobID
 	task        string
 	attempt     wire.AttemptID
 	incarnation wire.AgentIncarnation
-	until       micros.Timestamp
+	until       micros.Timestamp // when it is too late to send the launch and the stop
 }
 
 func newLeaseRenewer(cfg Config, token wire.FencingToken) *leaseRenewer {
 	return &leaseRenewer{cfg: cfg, token: token}
 }
 
-// run keeps validUntil up to date until ctx ends, and waits for all that it has started.
-func (r *leaseRenewer) run(ctx context.Context, leaderSilent func() bool) {
+// run keeps this controller registered while leaderContactLost returns true, and updates validUntil accordingly, until
+// ctx ends. It returns once all goroutines that it has started have ended.
+func (r *leaseRenewer) run(ctx context.Context, leaderContactLost func() bool) {
 	var group routine.Group
 	defer group.Wait()
 	var lease uint64
 	stopWatch := func() {}
-	for routine.Sleep(ctx, renewalInterval) {
-		if !leaderSilent() {
+	for routine.Sleep(ctx, registrationInterval) {
+		if !leaderContactLost() {
 			r.setValidUntil(0)
 			lease = 0
 			stopWatch()
@@ -93,18 +97,18 @@
 		}
 		if err != nil {
 			lease = 0
-			r.cfg.Log.Debug("the leases of the leader's workers can't be renewed", "error", err)
+			r.cfg.Log.Debug("cannot renew worker leases on the leader's behalf", "error", err)
 			continue
 		}
-		if r.setValidUntil(requestedAt.Add(renewalTTL-renewalMargin)) == 0 {
-			r.cfg.Log.Info("renewing the leases of the silent leader's workers", "fencing_token", r.token)
+		if r.setValidUntil(requestedAt.Add(registrationTTL-registrationMargin)) == 0 {
+			r.cfg.Log.Info("lost contact with the leader, renewing worker leases on its behalf", "fencing_token", r.token)
 		}
 	}
 	r.setValidUntil(0)
 	stopWatch()
 }
 
-// setValidUntil sets until when worker leases may be renewed, and returns until when they could be before.
+// setValidUntil sets the time until which worker leases may be renewed, and returns the previous one.
 func (r *leaseRenewer) setValidUntil(until micros.Timestamp) (before micros.Timestamp) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,11 +116,11 @@
 	return before
 }
 
-// register writes the records that the leader looks for, and returns the store's lease on the one that lasts as long as
-// worker leases are renewed.
+// register writes the records by which the leader recognizes that this controller renews worker leases. It returns the
+// store lease of the record that exists only while this controller does so.
 func (r *leaseRenewer) register(ctx context.Context) (lease uint64, err error) {
 	controller := r.cfg.Settings.Member
-	lease, err = r.cfg.Store.GrantLease(ctx, renewalTTL.AsDuration())
+	lease, err = r.cfg.Store.GrantLease(ctx, registrationTTL.AsDuration())
 	if err != nil {
 		return 0, err
 	}
@@ -137,34 +141,34 @@
 	return lease, nil
 }
 
-// startWatch reads which jobs have ended, and follows that in the background until stopped. An error means that it
-// can't be read now; stop is never nil.
+// startWatch reads the open-job records and watches them in the background until stop is called. An error means that
+// the records can't be read now. stop is never nil.
 func (r *leaseRenewer) startWatch(ctx context.Context, group *routine.Group) (stop context.CancelFunc, err error) {
-	complete := openjobs.Update{RequestedAt: r.cfg.Clock.Now()}
+	initial := openjobs.Update{RequestedAt: r.cfg.Clock.Now()}
 	var revision uint64
-	if complete.Records, revision, err = r.cfg.Store.List(ctx, state.OpenJobPrefix); err != nil {
+	if initial.Records, revision, err = r.cfg.Store.List(ctx, state.OpenJobPrefix); err != nil {
 		return func() {}, err
 	}
 	r.reset()
 	ctx, stop = context.WithCancel(ctx)
-	watcher := openjobs.Watcher{Store: r.cfg.Store, Clock: r.cfg.Clock, Served: r.cfg.Health.StoreServed}
+	watcher := openjobs.Watcher{Store: r.cfg.Store, Clock: r.cfg.Clock, OnServed: r.cfg.Health.StoreServed}
 	group.Go(func() {
-		r.applyOpenJobs(ctx, complete)
+		r.applyOpenJobs(ctx, initial)
 		watcher.Run(ctx, revision, func(update openjobs.Update) { r.applyOpenJobs(ctx, update) })
 	})
 	return stop, nil
 }
 
-// reset forgets which jobs have ended.
+// reset discards all knowledge of ended jobs.
 func (r *leaseRenewer) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ended, r.mayLaunch = map[wire.JobID]bool{}, map[wire.MachineID][]endedAttempt{}
+	r.ended, r.possibleLaunches = map[wire.JobID]bool{}, map[wire.MachineID][]endedAttempt{}
 	r.resolved = openjobs.ResolvedTimestamp{}
 }
 
-// applyOpenJobs applies an update of the open records. The ended jobs in it count as known once their attempts are
-// known, too.
+// applyOpenJobs applies an update of the open-job records. It does not apply the update's ended jobs, nor advance the
+// resolved timestamp, until the attempts of these jobs have been read.
 func (r *leaseRenewer) applyOpenJobs(ctx context.Context, update openjobs.Update) {
 	var ended []wire.JobID
 	attempts := map[wire.MachineID][]endedAttempt{}
@@ -172,7 +176,7 @@
 		if !r.hasEnded(item) {
 			continue
 		}
-		job := openjobs.JobOf(item.Key)
+		job := openjobs.JobIDFromKey(item.Key)
 		ended = append(ended, job)
 		if !r.readAttempts(ctx, job, attempts) {
 			return
@@ -184,30 +188,30 @@
 		r.ended[job] = true
 	}
 	for machine, found := range attempts {
-		r.mayLaunch[machine] = append(r.mayLaunch[machine], found...)
+		r.possibleLaunches[machine] = append(r.possibleLaunches[machine], found...)
 	}
 	for _, job := range update.Removed {
 		delete(r.ended, job)
-		for machine, known := range r.mayLaunch {
-			r.mayLaunch[machine] = slices.DeleteFunc(known, func(a endedAttempt) bool { return a.job == job })
+		for machine, known := range r.possibleLaunches {
+			r.possibleLaunches[machine] = slices.DeleteFunc(known, func(a endedAttempt) bool { return a.job == job })
 		}
 	}
 	r.resolved.Advance(update.RequestedAt)
 }
 
-// hasEnded reports whether an open record is that of a job in its final state. Of the record it decodes no more.
+// hasEnded reports whether an open-job record is of a job in a final state. It decodes no other field of the record.
 func (r *leaseRenewer) hasEnded(item wire.KeyValue) bool {
 	var record struct {
 		FinalState string `json:"over"`
 	}
 	if err := json.Unmarshal(item.Value, &record); err != nil {
-		r.cfg.Log.Error("an open record can't be read", "key", item.Key, "error", err)
+		r.cfg.Log.Error("cannot decode an open-job record", "key", item.Key, "error", err)
 	}
 	return record.FinalState != ""
 }
 
-// readAttempts adds the recorded attempts of an ended job by machine, unless the leader itself has known that it
-// ended. It repeats reading until it succeeds, and returns false if ctx ended first.
+// readAttempts adds the recorded attempts of an ended job to attempts, unless the leader already knew that the job had
+// ended. It retries until the read succeeds, and returns false if ctx ended first.
 func (r *leaseRenewer) readAttempts(
 	ctx context.Context, job wire.JobID, attempts map[wire.MachineID][]endedAttempt,
 ) bool {
@@ -227,9 +231,12 @@
 	return true
 }
 
-// earliestCancellation returns the earliest time at which a job that is found to have ended can have been cancelled.
-// ok is false if the leader itself has known of the job's end. At first there is only the leader's last snapshot that
-// was built on recent cancellations: a job in it was not cancelled before.
+// earliestCancellation returns the earliest time at which a job that has now been found ended can have been cancelled.
+// ok is false if the leader already knew that the job had ended.
+//
+// While the resolved timestamp is 0, the bound comes from the last snapshot that the leader published while the store
+// served it. The leader then knew all cancellations older than LeaderLeaseTTL, so a job in the snapshot was cancelled
+// no earlier than LeaderLeaseTTL before the snapshot.
 func (r *leaseRenewer) earliestCancellation(job wire.JobID) (at micros.Timestamp, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -239,33 +246,34 @@
 	return r.cfg.Health.LeaderStoreServed().Add(-r.cfg.LeaderLeaseTTL), r.cfg.Health.JobPublished(job)
 }
 
-// addAttempts adds by machine the attempts in a progress record of a job that was cancelled at the earliest at a time.
+// addAttempts adds the attempts in a progress record of a job to attempts. cancelledAt is the earliest time at which
+// the job can have been cancelled.
 func (r *leaseRenewer) addAttempts(attempts map[wire.MachineID][]endedAttempt, job wire.JobID, item wire.KeyValue,
 	cancelledAt micros.Timestamp) {
 	var progress state.ProgressRecord
 	if err := json.Unmarshal(item.Value, &progress); err != nil {
-		r.cfg.Log.Error("a progress record can't be read", "key", item.Key, "error", err)
+		r.cfg.Log.Error("cannot decode a progress record", "key", item.Key, "error", err)
 	}
 	cancelTimeout := micros.Seconds(r.cfg.Settings.Deployment.Workers.CancelS)
 	until := cancelledAt.Add(manager.LaunchAndStopWindow(cancelTimeout))
-	for _, placed := range progress.Active {
-		attempts[placed.Machine] = append(attempts[placed.Machine], endedAttempt{
+	for _, placement := range progress.Active {
+		attempts[placement.Machine] = append(attempts[placement.Machine], endedAttempt{
 			job:         job,
-			task:        wire.TaskName(job, placed.Task),
-			attempt:     placed.Attempt,
-			incarnation: placed.Incarnation,
+			task:        wire.TaskName(job, placement.Task),
+			attempt:     placement.Attempt,
+			incarnation: placement.Incarnation,
 			until:       until,
 		})
 	}
 }
 
-// respond returns a response that renews a worker's lease, or nil if it may not be renewed here.
+// respond returns a response that renews a worker's lease, or nil if this controller must not renew the lease.
 func (r *leaseRenewer) respond(heartbeat *wire.Heartbeat) *wire.HeartbeatResponse {
 	now := r.cfg.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	recent := r.resolved.NewerThan(now, r.cfg.Settings.MaxStaleness())
-	if now >= r.validUntil || !recent || heartbeat.FencingToken > r.token {
+	fresh := r.resolved.Fresh(now, r.cfg.Settings.MaxStaleness())
+	if now >= r.validUntil || !fresh || heartbeat.FencingToken > r.token {
 		return nil
 	}
 	response := &wire.HeartbeatResponse{FencingToken: r.token, Commands: []wire.Command{}}
@@ -275,7 +283,7 @@
 			response.Commands = append(response.Commands, wire.StopCommand(task.Task, task.Attempt, 0))
 		}
 	}
-	for _, attempt := range r.mayLaunch[heartbeat.Machine] {
+	for _, attempt := range r.possibleLaunches[heartbeat.Machine] {
 		switch {
 		case attempt.incarnation != heartbeat.Incarnation || attempt.reportedIn(heartbeat):
 		case now < attempt.until:
@@ -283,14 +291,15 @@
 				wire.Command{Op: wire.OpStart, Task: attempt.task, Attempt: attempt.attempt},
 				wire.StopCommand(attempt.task, attempt.attempt, 0))
 		default:
-			// Only the end of the agent's incarnation makes sure that no late launch starts the attempt.
+			// It is too late to launch and stop the attempt. The lease must expire, because only the end of the agent's
+			// incarnation ensures that a late launch can't start the attempt.
 			return nil
 		}
 	}
 	return response
 }
 
-// reportedIn reports whether a worker knows the attempt.
+// reportedIn reports whether a worker's heartbeat lists the attempt.
 func (a endedAttempt) reportedIn(heartbeat *wire.Heartbeat) bool {
 	return slices.ContainsFunc(heartbeat.Tasks, func(task wire.TaskStatus) bool {
 		return task.Task == a.task && task.Attempt == a.attempt
--- a/internal/follower/lease_renewer_test.go
+++ b/internal/follower/lease_renewer_test.go
@@ -20,7 +20,7 @@
 
 const token = 7
 
-// fakeStore lists its records.
+// fakeStore is a store that lists the given records.
 type fakeStore struct {
 	Store
 	records []wire.KeyValue
@@ -45,8 +45,8 @@
 	return wire.KeyValue{Key: key, Value: encoded}
 }
 
-// newTestRenewer returns a renewer that may renew leases for a second, and knows that run-1 has ended, with an
-// attempt 3 of its first task recorded on machine m1 under incarnation 5, and that run-2 has not.
+// newTestRenewer returns a leaseRenewer that may renew worker leases for a second. It knows that run-1 has ended, with
+// attempt 3 of its first task recorded on machine m1 under incarnation 5, and that run-2 has not ended.
 func newTestRenewer(t *testing.T) *leaseRenewer {
 	t.Helper()
 	set := &settings.Settings{}
@@ -81,26 +81,26 @@
 	taskA, taskB := wire.TaskName("run-1", 0), wire.TaskName("run-2", 0)
 	launch := wire.Command{Op: wire.OpStart, Task: taskA, Attempt: 3}
 	stop := wire.StopCommand(taskA, 3, 0)
-	onOther := wire.Heartbeat{Machine: "m2"}
-	onRecorded := wire.Heartbeat{Machine: "m1", Incarnation: 5}
-	onRestarted := wire.Heartbeat{Machine: "m1", Incarnation: 6}
+	fromOther := wire.Heartbeat{Machine: "m2"}
+	fromRecorded := wire.Heartbeat{Machine: "m1", Incarnation: 5}
+	fromRestarted := wire.Heartbeat{Machine: "m1", Incarnation: 6}
 	cases := map[string]struct {
 		heartbeat wire.Heartbeat
-		token     wire.FencingToken // that the worker has seen
-		tasks     []wire.TaskStatus
-		after     time.Duration
+		token     wire.FencingToken // the token in the heartbeat
+		tasks     []wire.TaskStatus // the tasks in the heartbeat
+		after     time.Duration     // from the start of the renewer to the heartbeat
 		refused   bool
 		want      []wire.Command
 	}{
-		"nothing to stop":           {heartbeat: onOther, tasks: running(taskB, 4)},
-		"a task of an ended job":    {heartbeat: onOther, tasks: running(taskA, 3), want: []wire.Command{stop}},
-		"a launch may yet arrive":   {heartbeat: onRecorded, want: []wire.Command{launch, stop}},
-		"the launch has arrived":    {heartbeat: onRecorded, tasks: running(taskA, 3), want: []wire.Command{stop}},
-		"of a later incarnation":    {heartbeat: onRestarted},
-		"a higher token was seen":   {heartbeat: onOther, token: token + 1, refused: true},
-		"the token is the leader's": {heartbeat: onOther, token: token},
-		"no longer confirmed":       {heartbeat: onOther, after: time.Second, refused: true},
-		"still confirmed":           {heartbeat: onOther, after: 999 * time.Millisecond},
+		"task of an open job":             {heartbeat: fromOther, tasks: running(taskB, 4)},
+		"task of an ended job":            {heartbeat: fromOther, tasks: running(taskA, 3), want: []wire.Command{stop}},
+		"launch may still arrive":         {heartbeat: fromRecorded, want: []wire.Command{launch, stop}},
+		"launch has arrived":              {heartbeat: fromRecorded, tasks: running(taskA, 3), want: []wire.Command{stop}},
+		"later incarnation":               {heartbeat: fromRestarted},
+		"higher fencing token":            {heartbeat: fromOther, token: token + 1, refused: true},
+		"fencing token of the leader":     {heartbeat: fromOther, token: token},
+		"registration has expired":        {heartbeat: fromOther, after: time.Second, refused: true},
+		"registration is about to expire": {heartbeat: fromOther, after: 999 * time.Millisecond},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -111,7 +111,7 @@
 				response := renewer.respond(&c.heartbeat)
 				if c.refused {
 					if response != nil {
-						t.Errorf("the response is %+v, want none", response)
+						t.Errorf("the response is %+v, want nil", response)
 					}
 					return
 				}
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestLeaseIsNotRenewedOnceLaunchAndStopAreTooLate(t *testing.T) {
+func TestRespondRefusesRenewalWhenTooLateToStopLaunch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		renewer := newTestRenewer(t)
 		heartbeat := &wire.Heartbeat{Machine: "m1", Incarnation: 5}
@@ -133,23 +133,23 @@
 		renewer.setValidUntil(now.Add(micros.Second))
 		renewer.applyOpenJobs(t.Context(), openjobs.Update{RequestedAt: now})
 		if response := renewer.respond(heartbeat); response != nil {
-			t.Errorf("the response is %+v, want none: a late launch could start the attempt", response)
+			t.Errorf("the response is %+v, want nil because a late launch could start the attempt", response)
 		}
-		// Once the job's records are deleted, none of its attempts can exist.
+		// A job's records are deleted only once none of its attempts can exist any more.
 		renewer.applyOpenJobs(t.Context(), openjobs.Update{RequestedAt: now, Removed: []wire.JobID{"run-1"}})
 		if response := renewer.respond(heartbeat); response == nil {
-			t.Error("there is no response though the job's records are deleted")
+			t.Error("no response after the job's records were deleted")
 		}
 	})
 }
 
-func TestLeaseIsNotRenewedOnOldCancellations(t *testing.T) {
+func TestRespondRefusesRenewalOnStaleCancellations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		renewer := newTestRenewer(t)
 		time.Sleep(renewer.cfg.Settings.MaxStaleness().AsDuration())
 		renewer.setValidUntil(renewer.cfg.Clock.Now().Add(micros.Second))
 		if response := renewer.respond(&wire.Heartbeat{Machine: "m2"}); response != nil {
-			t.Errorf("the response is %+v, want none", response)
+			t.Errorf("the response is %+v, want nil because the known cancellations are stale", response)
 		}
 	})
 }
--- a/internal/leader/commandpush.go
+++ b/internal/leader/command_push.go
@@ -9,9 +9,9 @@
 	"saffronbend/internal/worker"
 )
 
-// pushCommands sends the commands that don't wait for a machine's next heartbeat. While the processor does not keep
-// up, launches wait for heartbeats: a push takes several times the work of a heartbeat, whose response can carry the
-// launch too.
+// pushCommands pushes commands that must not wait for the machine's next heartbeat. While the processor is overloaded,
+// launches are not pushed but wait for heartbeats: a push takes several times the work of a heartbeat, whose response
+// can carry the launch as well.
 func (t *Term) pushCommands(ctx context.Context, now micros.Timestamp) {
 	mayLaunch := t.leaseValid(now) && !t.tickDelay.late
 	for _, push := range t.manager.CommandPushes(now, mayLaunch) {
@@ -22,7 +22,7 @@
 func (t *Term) pushCommand(ctx context.Context, push manager.CommandPush) {
 	executed, heartbeat, err := t.cfg.Workers.PushCommands(ctx, push.Addr, push.Body)
 	if err != nil {
-		t.cfg.Log.Debug("a command push was not answered", "machine", push.Machine, "error", err)
+		t.cfg.Log.Debug("no response to a command push", "machine", push.Machine, "error", err)
 	}
 	t.loop.Post(ctx, func(now micros.Timestamp) {
 		if t.manager.CommandPushDone(now, push, pushOutcome(executed, err), heartbeat) {
@@ -31,7 +31,7 @@
 	})
 }
 
-// pushOutcome returns what is known of a command push.
+// pushOutcome maps the result of a command push to its outcome.
 func pushOutcome(executed bool, err error) manager.PushOutcome {
 	switch {
 	case executed:
--- a/internal/leader/delay.go
+++ b/internal/leader/delay.go
@@ -2,18 +2,19 @@
 
 import "saffronbend/internal/micros"
 
-// delayDetector detects, by how late a regular tick is handled, that the processor does not keep up with the work.
+// delayDetector detects that the processor is overloaded by how late periodic ticks are handled.
 type delayDetector struct {
-	interval micros.Duration
-	last     micros.Timestamp // when the last tick was handled
-	late     bool             // the last tick was handled too late
+	interval micros.Duration  // time between two ticks
+	lastTick micros.Timestamp // when the last tick was handled; 0: no tick yet
+	late     bool             // whether the last tick was handled more than maxDelay late
 }
 
-// maxDelay is how late a tick may be handled. Timers alone are late by a few milliseconds.
+// maxDelay is how late a tick may be handled before the processor counts as overloaded. Without any load, timers are
+// already a few milliseconds late.
 const maxDelay = 50 * micros.Millisecond
 
-// observe reports that a tick is handled now.
+// observe records that a tick is being handled at time now.
 func (d *delayDetector) observe(now micros.Timestamp) {
-	d.late = d.last != 0 && now.Sub(d.last) > d.interval+maxDelay
-	d.last = now
+	d.late = d.lastTick != 0 && now.Sub(d.lastTick) > d.interval+maxDelay
+	d.lastTick = now
 }
--- a/internal/leader/delay_test.go
+++ b/internal/leader/delay_test.go
@@ -16,7 +16,7 @@
 		{500 * micros.Millisecond, false},
 		{500*micros.Millisecond + maxDelay, false},
 		{500*micros.Millisecond + maxDelay + 1, true},
-		{100 * micros.Millisecond, false}, // the next comes early after a late one
+		{100 * micros.Millisecond, false}, // after a late tick the next one follows early
 		{2 * micros.Second, true},
 	}
 	now := micros.Timestamp(0)
@@ -24,7 +24,7 @@
 		now = now.Add(step.after)
 		detector.observe(now)
 		if detector.late != step.late {
-			t.Errorf("step %d: late is %v, want %v", i, detector.late, step.late)
+			t.Errorf("step %d: late = %v, want %v", i, detector.late, step.late)
 		}
 	}
 }
--- a/internal/leader/drains/drains.go
+++ b/internal/leader/drains/drains.go
@@ -1,10 +1,10 @@
-// Package drains carries out the drains of a leader's term: it makes operators' requests durable, has drain.Planner
-// decide once a tick, and carries out its decisions through the manager and the scaler.
+// Package drains executes the drains of a leader's term: it makes operators' requests durable, runs drain.Planner once
+// per tick, and executes the planner's decisions through the manager and the scaler.
 //
 // The planner is owned by the goroutine of the term's event loop, on which Round, Restore, SetShortage and
-// RemainingBudgets are called. Operators' commands (Start, ChangeState, List) run on the goroutine of their request:
-// one at a time writes records, and a record is applied to the planner when it is durable. The package decides
-// nothing about evictions itself.
+// RemainingBudgets are called. Operators' commands (Start, ChangeState, List) run on the goroutines of their requests.
+// Only one of them writes records at a time, and a record is applied to the planner once it is durable. The planner,
+// not this package, decides which tasks to evict.
 package drains
 
 import (
@@ -22,7 +22,7 @@
 	"saffronbend/wire"
 )
 
-// Manager is the part of the term's manager that drains need. It is called on the term's goroutine only.
+// Manager contains the methods of the term's manager that drains use. They are called on the term's goroutine only.
 type Manager interface {
 	DrainSnapshot(now micros.Timestamp) drain.Snapshot
 	Evict(now micros.Timestamp, task disruption.Task) drain.EvictionOutcome
@@ -31,17 +31,17 @@
 	SetReplacements(tasks []disruption.Task)
 }
 
-// Scaler deletes machines. It is called on the term's goroutine.
+// Scaler deletes machines. It is called on the term's goroutine only.
 type Scaler interface {
 	ScaleIn(ctx context.Context, machines []wire.MachineID)
 }
 
-// Config is what an Executor needs.
+// Config holds the dependencies and parameters of an Executor.
 type Config struct {
 	FencingToken wire.FencingToken
 	Teams        []settings.Team
 	Tuning       settings.Tuning
-	// ValueKB is how large a value of the key-value store may be, in kilobytes.
+	// ValueKB is the maximum size of a value in the key-value store, in kilobytes.
 	ValueKB float64
 	Clock   micros.Clock
 	Log     *slog.Logger
@@ -52,35 +52,36 @@
 	Scaler  Scaler
 }
 
-// Executor carries out the drains of one term.
+// Executor executes the drains of one term.
 type Executor struct {
-	cfg     Config
-	planner *drain.Planner
-	records *fenced.Records
-	// lists counts the lists of machines written in this term. Owned by the holder of the records' lock.
-	lists int
-	// ending has the drains whose end is being written. Owned by the term's goroutine.
-	ending map[string]bool
+	cfg          Config
+	planner      *drain.Planner
+	serialWriter *fenced.SerialWriter
+	// machineLists is the number of machine lists written in this term. It is accessed only within
+	// serialWriter.Exclusive.
+	machineLists int
+	// completing contains the drains whose completion is being written. It is owned by the term's goroutine.
+	completing map[string]bool
 }
 
-// New returns an executor without drains.
+// New returns an Executor without drains.
 func New(cfg Config) *Executor {
 	teams := make([]wire.TeamName, len(cfg.Teams))
 	for i, team := range cfg.Teams {
 		teams[i] = wire.TeamName(team.Name)
 	}
 	options := cfg.Tuning.Drains
-	executor := &Executor{cfg: cfg, ending: map[string]bool{}, planner: drain.New(drain.Config{
+	executor := &Executor{cfg: cfg, completing: map[string]bool{}, planner: drain.New(drain.Config{
 		Teams:         teams,
 		DefaultBudget: options.DefaultBudget,
 		TeamBudgets:   options.Budgets,
 		StepSize:      options.Step,
 	})}
-	executor.records = fenced.NewRecords(cfg.Writer, cfg.Loop, executor.reload)
+	executor.serialWriter = fenced.NewSerialWriter(cfg.Writer, cfg.Loop, executor.reload)
 	return executor
 }
 
-// Round decides on evictions and on the deletion of empty machines, and carries both out.
+// Round has the planner decide on evictions and on the deletion of empty machines, and executes its decisions.
 func (e *Executor) Round(ctx context.Context, now micros.Timestamp) {
 	if !e.planner.HasCordons() {
 		e.cfg.Manager.SetReplacements(nil)
@@ -100,32 +101,33 @@
 	}
 }
 
-// complete records that a drain is done, whose machines are all gone.
+// complete makes durable, in the background, that a drain is done because all its machines are gone.
 func (e *Executor) complete(ctx context.Context, name string) {
-	if e.ending[name] {
+	if e.completing[name] {
 		return
 	}
-	e.ending[name] = true
+	e.completing[name] = true
 	e.cfg.Loop.Go(func() {
 		if _, err := e.ChangeState(ctx, name, drain.Done); err != nil {
-			// The next round tries again.
-			e.cfg.Log.Debug("the end of a drain could not be written", "drain", name, "error", err)
+			// The next round retries.
+			e.cfg.Log.Debug("cannot record that a drain is done", "drain", name, "error", err)
 		}
-		e.cfg.Loop.Post(ctx, func(micros.Timestamp) { delete(e.ending, name) })
+		e.cfg.Loop.Post(ctx, func(micros.Timestamp) { delete(e.completing, name) })
 	})
 }
 
-// SetShortage says why there is no room yet for tasks that are to be evicted, "" if there is.
+// SetShortage sets the reason why no resources are available yet for tasks that are to be evicted, for the status that
+// operators see; "" means that no shortage is known.
 func (e *Executor) SetShortage(reason string) { e.planner.SetShortage(reason) }
 
-// RemainingBudgets returns how many more tasks of each team may be disrupted now.
+// RemainingBudgets returns how many more tasks of each team may be disrupted now, given the teams' current usage.
 func (e *Executor) RemainingBudgets(usage map[wire.TeamName]drain.TeamUsage) map[wire.TeamName]int {
 	return e.planner.RemainingBudgets(usage)
 }
 
-// Start makes a drain durable and returns its status. Starting the same drain again changes nothing.
+// Start makes a drain durable and returns its status. Repeating a request has no effect.
 func (e *Executor) Start(ctx context.Context, request drain.Request) (drain.Status, error) {
-	err := e.records.Exclusive(ctx, func() error { return e.create(ctx, request) })
+	err := e.serialWriter.Exclusive(ctx, func() error { return e.create(ctx, request) })
 	if err != nil {
 		return drain.Status{}, err
 	}
@@ -140,30 +142,30 @@
 		return err
 	}
 	pages := paginate(prepared.Machines, e.cfg.ValueKB)
-	e.lists++
+	e.machineLists++
 	record := prepared.Record
-	record.MachineListID = fmt.Sprintf("%d.%d", e.cfg.FencingToken, e.lists)
+	record.MachineListID = fmt.Sprintf("%d.%d", e.cfg.FencingToken, e.machineLists)
 	record.MachinePages = len(pages)
 	if err := e.writePages(ctx, record.MachineListID, pages); err != nil {
 		return err
 	}
-	e.cfg.Log.Info("a drain begins", "drain", record.Name, "machines", len(prepared.Machines))
-	return e.write(ctx, record, prepared.Machines, 0)
+	e.cfg.Log.Info("starting a drain", "drain", record.Name, "machines", len(prepared.Machines))
+	return e.writeRecord(ctx, record, prepared.Machines, 0)
 }
 
-// ChangeState makes durable that a drain is in another state, and returns its status.
+// ChangeState makes a drain's transition to another state durable and returns the drain's status.
 func (e *Executor) ChangeState(ctx context.Context, name string, to drain.State) (drain.Status, error) {
-	err := e.records.Exclusive(ctx, func() error {
+	err := e.serialWriter.Exclusive(ctx, func() error {
 		change, err := eventloop.Ask(ctx, e.cfg.Loop, func(micros.Timestamp) (drain.StateChange, error) {
 			return e.planner.ChangeState(name, to)
 		})
 		if err != nil || change.Unchanged {
 			return err
 		}
-		if err := e.write(ctx, change.Record, nil, change.Version); err != nil {
+		if err := e.writeRecord(ctx, change.Record, nil, change.Version); err != nil {
 			return err
 		}
-		e.cfg.Log.Info("a drain is "+string(to), "drain", name)
+		e.cfg.Log.Info("drain state changed to "+string(to), "drain", name)
 		e.prune(ctx, change.Record)
 		return nil
 	})
@@ -177,7 +179,7 @@
 	return eventloop.Ask(ctx, e.cfg.Loop, func(micros.Timestamp) (drain.Status, error) { return e.planner.Status(name) })
 }
 
-// List returns the status of the drain of a name, or of all drains if name is "".
+// List returns the status of the drain with the given name, or of all drains if name is "".
 func (e *Executor) List(ctx context.Context, name string) ([]drain.Status, error) {
 	return eventloop.Ask(ctx, e.cfg.Loop, func(micros.Timestamp) ([]drain.Status, error) {
 		names := e.planner.Names()
--- a/internal/leader/drains/records.go
+++ b/internal/leader/drains/records.go
@@ -11,17 +11,17 @@
 	"saffronbend/wire"
 )
 
-// Store reads the records of drains.
+// Store contains the method of the key-value store with which ReadRecords reads records.
 type Store interface {
 	List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error)
 }
 
-// Records are those of drains and of disrupted work, as read from the key-value store.
+// Records holds the stored records of drains, of the pages of their machine lists, and of disrupted tasks.
 type Records struct {
 	Drains, MachinePages, Disruptions []wire.KeyValue
 }
 
-// ReadRecords reads the records of drains and of disrupted work.
+// ReadRecords reads the Records from the key-value store.
 func ReadRecords(ctx context.Context, store Store) (records Records, err error) {
 	if records.Drains, _, err = store.List(ctx, state.DrainPrefix); err != nil {
 		return records, err
@@ -33,10 +33,10 @@
 	return records, err
 }
 
-// Restore applies the records of drains when a term begins, on the goroutine of the term. It deletes, in the
-// background, the lists of machines that belong to no drain.
+// Restore applies the records of drains at the start of a term, on the term's goroutine. In the background, it deletes
+// machine lists that belong to no active drain.
 func (e *Executor) Restore(ctx context.Context, now micros.Timestamp, records Records) error {
-	if err := e.apply(records); err != nil {
+	if err := e.applyRecords(records); err != nil {
 		return err
 	}
 	e.updateCordons(now)
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// apply makes the planner's drains those of the records.
-func (e *Executor) apply(records Records) error {
+// applyRecords replaces the planner's drains by those in the records.
+func (e *Executor) applyRecords(records Records) error {
 	pages, err := decodePages(records.MachinePages)
 	if err != nil {
 		return err
@@ -73,13 +73,13 @@
 	return nil
 }
 
-// pageID names a page of a list of machines.
+// pageID identifies a page of a machine list.
 type pageID struct {
 	list string
 	page int
 }
 
-// decodePages returns the machines of each page.
+// decodePages returns the machines of each page. It ignores keys that don't name a page.
 func decodePages(items []wire.KeyValue) (map[pageID][]wire.MachineID, error) {
 	pages := map[pageID][]wire.MachineID{}
 	for _, item := range items {
@@ -96,29 +96,29 @@
 	return pages, nil
 }
 
-// reload reads and applies the records of drains.
+// reload reads the records of drains again and applies them.
 func (e *Executor) reload(ctx context.Context) error {
 	records, err := ReadRecords(ctx, e.cfg.Store)
 	if err != nil {
 		return err
 	}
 	return e.cfg.Loop.Do(ctx, func(now micros.Timestamp) error {
-		err := e.apply(records)
+		err := e.applyRecords(records)
 		e.updateCordons(now)
 		return err
 	})
 }
 
-// updateCordons sets in the manager what the planner cordons and vacates.
+// updateCordons passes the planner's cordoned machines and vacated pools to the manager.
 func (e *Executor) updateCordons(now micros.Timestamp) {
 	e.cfg.Manager.SetCordons(now, e.planner.Cordons(), e.planner.VacatedPools())
 }
 
-// write writes a drain's record, and applies it once it is durable.
-func (e *Executor) write(
+// writeRecord writes a drain's record on condition that it has the given version, and applies it once it is durable.
+func (e *Executor) writeRecord(
 	ctx context.Context, record state.DrainRecord, machines []wire.MachineID, version uint64,
 ) error {
-	revision, err := e.records.Put(ctx, state.DrainKey(record.Name), version, record)
+	revision, err := e.serialWriter.Put(ctx, state.DrainKey(record.Name), version, record)
 	if err != nil {
 		return err
 	}
@@ -131,14 +131,14 @@
 	})
 }
 
-// paginate divides machines so that each page, encoded, fits into a value.
+// paginate splits machines into pages, each of which fits into a stored value when encoded as JSON.
 func paginate(machines []wire.MachineID, valueKB float64) [][]wire.MachineID {
-	const bytesPerKB, overhead, perName = 1024, 64, 3
-	maxSize := int(valueKB*bytesPerKB) - overhead
+	const bytesPerKB, pageOverhead, nameOverhead = 1024, 64, 3 // nameOverhead: two quotes and a comma
+	maxSize := int(valueKB*bytesPerKB) - pageOverhead
 	var pages [][]wire.MachineID
 	size := maxSize
 	for _, machine := range machines {
-		need := len(machine) + perName
+		need := len(machine) + nameOverhead
 		if size+need > maxSize {
 			pages, size = append(pages, nil), 0
 		}
@@ -149,7 +149,7 @@
 	return pages
 }
 
-// writePages writes a drain's machines. Until the drain's record is written they have no effect.
+// writePages writes the pages of a drain's machine list. They have no effect until the drain's record is written.
 func (e *Executor) writePages(ctx context.Context, list string, pages [][]wire.MachineID) error {
 	var changes []wire.Change
 	for i, machines := range pages {
@@ -162,8 +162,8 @@
 	return e.cfg.Writer.CommitAll(ctx, changes)
 }
 
-// prune deletes the pages of a drain that has ended, and the records of the oldest such drains. Records that
-// can't be deleted now are deleted when the next drain ends, pages when the next term begins.
+// prune deletes the machine list of a drain that has ended, and the records of the oldest drains that have ended.
+// Records that can't be deleted now are deleted when the next drain ends, machine lists when the next term begins.
 func (e *Executor) prune(ctx context.Context, record state.DrainRecord) {
 	if drain.State(record.State).Active() {
 		return
@@ -182,10 +182,10 @@
 		changes = append(changes, wire.Change{Delete: state.DrainKey(name)})
 	}
 	if err := e.cfg.Writer.CommitAll(ctx, changes); err != nil {
-		e.cfg.Log.Debug("records of drains that have ended could not be deleted", "error", err)
+		e.cfg.Log.Debug("cannot delete the records of drains that have ended", "error", err)
 		return
 	}
-	// An error means that the term has ended, and the planner with it.
+	// An error means that the term has ended, and the planner is no longer used.
 	_ = e.cfg.Loop.Do(ctx, func(micros.Timestamp) error {
 		for _, name := range prunable {
 			e.planner.RemoveDrain(name)
@@ -194,7 +194,7 @@
 	})
 }
 
-// deleteOrphanedPages deletes the pages of lists that belong to no active drain.
+// deleteOrphanedPages deletes the pages of machine lists that belong to no active drain.
 func (e *Executor) deleteOrphanedPages(ctx context.Context, records Records) {
 	active := map[string]bool{}
 	for _, item := range records.Drains {
@@ -210,6 +210,6 @@
 		}
 	}
 	if err := e.cfg.Writer.CommitAll(ctx, changes); err != nil {
-		e.cfg.Log.Debug("lists of machines that belong to no drain could not be deleted", "error", err)
+		e.cfg.Log.Debug("cannot delete machine lists that belong to no active drain", "error", err)
 	}
 }
--- a/internal/leader/drains/records_test.go
+++ b/internal/leader/drains/records_test.go
@@ -10,7 +10,7 @@
 	"saffronbend/wire"
 )
 
-func TestPagesFitIntoValues(t *testing.T) {
+func TestPaginateFitsValueSize(t *testing.T) {
 	machines := make([]wire.MachineID, 500)
 	for i := range machines {
 		machines[i] = wire.MachineID(fmt.Sprintf("machine-%0*d", 1+i%20, i))
@@ -28,15 +28,15 @@
 				}
 			}
 			if !slices.Equal(slices.Concat(pages...), machines) {
-				t.Error("the pages together are not the machines in their order")
+				t.Error("the concatenated pages differ from the list of machines")
 			}
 		})
 	}
 }
 
-func TestNoMachinesNoPages(t *testing.T) {
+func TestPaginateWithoutMachines(t *testing.T) {
 	if pages := paginate(nil, 1); len(pages) != 0 {
-		t.Errorf("%d pages of no machines", len(pages))
+		t.Errorf("got %d pages for an empty list of machines, want 0", len(pages))
 	}
 }
 
@@ -53,7 +53,7 @@
 	}
 	want := map[pageID][]wire.MachineID{{"7.1", 0}: {"a", "b"}, {"7.1", 1}: {"c"}, {"8.1", 0}: {"d"}}
 	if len(pages) != len(want) {
-		t.Errorf("%d pages, want %d", len(pages), len(want))
+		t.Errorf("got %d pages, want %d", len(pages), len(want))
 	}
 	for id, machines := range want {
 		if got := pages[id]; !slices.Equal(got, machines) {
@@ -61,6 +61,6 @@
 		}
 	}
 	if _, err := decodePages([]wire.KeyValue{item(state.DrainMachinesKey("7.1", 0), `{}`)}); err == nil {
-		t.Error("a page that is no list of machines was decoded")
+		t.Error("no error for a page that is not a list of machines")
 	}
 }
--- a/internal/leader/followers.go
+++ b/internal/leader/followers.go
@@ -12,23 +12,23 @@
 	"saffronbend/wire"
 )
 
-// followerTimeout is how long after its last lease request or subscription a follower keeps its teams.
+// followerTimeout is how long after its last lease request or subscription a follower remains assigned to its teams.
 const followerTimeout = 1500 * micros.Millisecond
 
-// followers are the other controllers as a term knows them: who follows, and which teams each places tasks for. Owned
-// by the loop's goroutine.
+// followers tracks the controllers that follow this term's leader, and assigns teams to controllers: each controller
+// places the tasks of its teams. It is owned by the event loop's goroutine.
 type followers struct {
-	controller    string // this one
+	controller    string // this controller, which leads
 	teams         []wire.TeamName
 	subscriptions map[*subscription]bool
-	lastContact   map[string]micros.Timestamp
-	assignments   map[wire.TeamName]string // controller by team
+	lastContact   map[string]micros.Timestamp // by controller
+	assignments   map[wire.TeamName]string    // controller by team
 }
 
-// subscription is that of a controller that follows.
+// subscription is a follower's subscription to snapshots.
 type subscription struct {
 	controller string
-	published  chan struct{} // holds a token when there may be a newer snapshot
+	updated    chan struct{} // has capacity 1, and holds an element if there may be a newer snapshot
 }
 
 func newFollowers(set *settings.Settings) *followers {
@@ -44,29 +44,29 @@
 	}
 }
 
-// contacted notes that a controller has shown that it works.
-func (f *followers) contacted(now micros.Timestamp, controller string) {
+// recordContact records that a controller was in contact with this leader at time now.
+func (f *followers) recordContact(now micros.Timestamp, controller string) {
 	f.lastContact[controller] = now
 }
 
-// notify wakes those who wait for a newer snapshot.
+// notify wakes the subscribers that wait for a newer snapshot. It never blocks.
 func (f *followers) notify() {
-	for subscribed := range f.subscriptions {
+	for sub := range f.subscriptions {
 		select {
-		case subscribed.published <- struct{}{}:
+		case sub.updated <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// assign divides the teams among this controller and those that follow and were in contact recently. It returns the
-// controller of each team.
+// assign distributes the teams among this controller and the followers that were in contact within followerTimeout. It
+// returns the controller of each team.
 func (f *followers) assign(now micros.Timestamp) map[wire.TeamName]string {
 	controllers := []string{f.controller}
-	for subscribed := range f.subscriptions {
-		recent := now.Sub(f.lastContact[subscribed.controller]) < followerTimeout
-		if recent && !slices.Contains(controllers, subscribed.controller) {
-			controllers = append(controllers, subscribed.controller)
+	for sub := range f.subscriptions {
+		recent := now.Sub(f.lastContact[sub.controller]) < followerTimeout
+		if recent && !slices.Contains(controllers, sub.controller) {
+			controllers = append(controllers, sub.controller)
 		}
 	}
 	slices.Sort(controllers)
@@ -78,19 +78,19 @@
 	t.manager.SetTeamAssignments(t.followers.assign(now))
 }
 
-// Subscribe registers a controller that follows, until ctx ends. It returns a function that waits for a snapshot
-// newer than the one of a version and returns what has changed since; that returns nil when the term or ctx has
-// ended. Subscribe returns nil if that is so already.
+// Subscribe registers a controller as a follower until ctx ends. It returns a function that waits for a snapshot newer
+// than version since and returns the changes from that version to the newest. The function returns nil once the term
+// or ctx has ended. Subscribe returns nil if either has ended already.
 func (t *Term) Subscribe(ctx context.Context, controller string) func(since uint64) *snapshot.Update {
-	subscribed := &subscription{controller: controller, published: make(chan struct{}, 1)}
-	subscribed.published <- struct{}{}
+	sub := &subscription{controller: controller, updated: make(chan struct{}, 1)}
+	sub.updated <- struct{}{}
 	if !t.awaitRecovery(ctx) {
 		return nil
 	}
 	err := t.loop.Do(ctx, func(now micros.Timestamp) error {
-		t.followers.subscriptions[subscribed] = true
-		t.followers.contacted(now, controller)
-		t.cfg.Log.Info("a controller follows", "follower", controller)
+		t.followers.subscriptions[sub] = true
+		t.followers.recordContact(now, controller)
+		t.cfg.Log.Info("follower subscribed", "follower", controller)
 		t.assignTeams(now)
 		return nil
 	})
@@ -98,23 +98,23 @@
 		return nil
 	}
 	context.AfterFunc(ctx, func() {
-		t.loop.Post(context.WithoutCancel(ctx), func(now micros.Timestamp) { t.unsubscribe(now, subscribed) })
+		t.loop.Post(context.WithoutCancel(ctx), func(now micros.Timestamp) { t.unsubscribe(now, sub) })
 	})
-	return func(since uint64) *snapshot.Update { return t.nextUpdate(ctx, subscribed, since) }
+	return func(since uint64) *snapshot.Update { return t.nextUpdate(ctx, sub, since) }
 }
 
-func (t *Term) unsubscribe(now micros.Timestamp, subscribed *subscription) {
-	if !t.followers.subscriptions[subscribed] {
+func (t *Term) unsubscribe(now micros.Timestamp, sub *subscription) {
+	if !t.followers.subscriptions[sub] {
 		return
 	}
-	delete(t.followers.subscriptions, subscribed)
-	t.cfg.Log.Info("a controller follows no longer", "follower", subscribed.controller)
+	delete(t.followers.subscriptions, sub)
+	t.cfg.Log.Info("follower unsubscribed", "follower", sub.controller)
 	t.assignTeams(now)
 }
 
-func (t *Term) nextUpdate(ctx context.Context, subscribed *subscription, since uint64) *snapshot.Update {
+func (t *Term) nextUpdate(ctx context.Context, sub *subscription, since uint64) *snapshot.Update {
 	select {
-	case <-subscribed.published:
+	case <-sub.updated:
 	case <-ctx.Done():
 		return nil
 	case <-t.loop.Stopped():
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -9,11 +9,12 @@
 	"saffronbend/wire"
 )
 
-// heartbeatTimeout is how long a worker's heartbeat waits for its response at most.
+// heartbeatTimeout bounds how long a worker's heartbeat waits for its response.
 const heartbeatTimeout = 2 * time.Second
 
-// Heartbeat applies a worker's heartbeat and returns the response, which is nil if the worker's lease may not be
-// renewed. relayedBy names the controller that relays it, "" if the worker sent it here.
+// Heartbeat applies a worker's heartbeat and returns the response. RelayResponse.Response is nil if the worker's lease
+// must not be renewed. relayedBy names the controller that relayed the heartbeat; it is "" if the worker sent the
+// heartbeat to this controller.
 func (t *Term) Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat, relayedBy string) peer.RelayResponse {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
@@ -38,7 +39,7 @@
 	if !t.mayRenewWorkerLeases(now) {
 		return peer.RelayResponse{}
 	}
-	// A leader that can't reach the store goes on renewing worker leases for a bounded time, but launches nothing.
+	// A leader that can't reach the store continues to renew worker leases for a bounded time, but launches no tasks.
 	response, superseded := t.manager.Heartbeat(now, heartbeat, relayedBy, t.leaseValid(now))
 	if superseded {
 		t.loop.Go(func() { t.stepDown(reasonHigherToken) })
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,10 +1,11 @@
-// Package leader runs one leader's term: the time in which this controller leads under one fencing token.
+// Package leader runs a leader's term: the period in which this controller leads under one fencing token.
 //
-// A Term owns the manager (machines, jobs, leases) and, through the packages below this one, drains, rebalancing and
-// scaling. All of these belong to the goroutine of Term.Run; everything else reaches them by the term's event loop.
-// Package leadership starts and ends terms; the controller's services call a term with heartbeats, lease requests,
-// subscriptions and operators' commands, from any goroutine. A term never decides whether it leads: when it finds out
-// that it does not, it calls the stepDown function of NewTerm and goes on until its context ends.
+// A Term owns the manager (machines, jobs, leases) and, through the subpackages of this package, drains, rebalancing
+// and scaling. All of these belong to the goroutine of Term.Run; other goroutines access them through the term's event
+// loop. Package leadership starts and ends terms. The controller's services pass heartbeats, lease requests,
+// subscriptions and operators' commands to the term from any goroutine. A term does not decide whether this controller
+// leads: if it detects that the term is over, it calls the stepDown function given to NewTerm and continues until its
+// context ends.
 package leader
 
 import (
@@ -22,32 +23,32 @@
 	"saffronbend/wire"
 )
 
-// Store is the key-value store.
+// Store contains the methods of the key-value store that a Term uses.
 type Store interface {
 	Get(ctx context.Context, key string) (*wire.KeyValue, error)
 	List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error)
 	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (*wire.WatchResponse, error)
 	CompareAndSwap(ctx context.Context, txn wire.Transaction) (revision uint64, err error)
-	// CompareAndSwapDeferrable gives way to the writes that a user waits for.
+	// CompareAndSwapDeferrable is a CompareAndSwap with lower priority than the writes that users wait for.
 	CompareAndSwapDeferrable(ctx context.Context, txn wire.Transaction) (revision uint64, err error)
 }
 
-// Workers pushes commands to machines, without waiting for their next heartbeat.
+// Workers pushes commands to workers without waiting for their next heartbeat.
 type Workers interface {
 	PushCommands(ctx context.Context, addr string, push wire.CommandPush) (
 		executed bool, heartbeat *wire.Heartbeat, err error)
 }
 
-// Placer places tasks by the snapshots that it is offered.
+// Placer places tasks on the basis of the newest snapshot that was offered to it.
 type Placer interface {
 	Offer(newest *snapshot.Snapshot, leader placement.LeaseGranter)
 }
 
-// Config is what the terms of a controller need.
+// Config holds the dependencies and parameters of a controller's terms.
 type Config struct {
 	Settings *settings.Settings
-	// LeaseTTL bounds how old the known cancellations may be when something new is granted: as long as the leader's
-	// lease.
+	// LeaseTTL is the time to live of the leader's lease. It also bounds how stale the term's knowledge of cancellations
+	// may be when the term starts new work.
 	LeaseTTL micros.Duration
 	Log      *slog.Logger
 	Clock    micros.Clock
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -9,11 +9,11 @@
 	"saffronbend/internal/peer"
 )
 
-// RequestLeases grants or refuses the lease requests of a controller's framework scheduler. It returns
+// RequestLeases grants or refuses the lease requests of the framework scheduler of a controller. It returns
 // peer.ErrNotLeader if the term has ended.
 func (t *Term) RequestLeases(ctx context.Context, request peer.LeaseRequests) (*peer.LeaseResponses, error) {
 	responses, err := eventloop.Ask(ctx, t.loop, func(now micros.Timestamp) (*peer.LeaseResponses, error) {
-		t.followers.contacted(now, request.Member)
+		t.followers.recordContact(now, request.Member)
 		return t.grantLeases(now, request), nil
 	})
 	if err != nil {
@@ -43,14 +43,16 @@
 	}
 }
 
-// localPlacer is this controller's own placer as a source of lease requests.
-type localPlacer struct{ term *Term }
+// localLeaseGranter passes the lease requests of this controller's own placer to the term.
+type localLeaseGranter struct{ term *Term }
 
 // RequestLeases implements placement.LeaseGranter.
-func (p localPlacer) RequestLeases(ctx context.Context, requests []lease.Transaction) (*peer.LeaseResponses, error) {
-	return p.term.RequestLeases(ctx, peer.LeaseRequests{
-		Member:       p.term.cfg.Settings.Member,
-		FencingToken: p.term.token,
+func (g localLeaseGranter) RequestLeases(
+	ctx context.Context, requests []lease.Transaction,
+) (*peer.LeaseResponses, error) {
+	return g.term.RequestLeases(ctx, peer.LeaseRequests{
+		Member:       g.term.cfg.Settings.Member,
+		FencingToken: g.term.token,
 		Requests:     requests,
 	})
 }
--- a/internal/leader/rebalancing/rebalancing_test.go
+++ b/internal/leader/rebalancing/rebalancing_test.go
@@ -18,7 +18,7 @@
 	"saffronbend/wire"
 )
 
-// fakeStore holds one record, which a transaction replaces.
+// fakeStore holds one record, which each transaction replaces. If err is set, every request fails with it.
 type fakeStore struct {
 	record *wire.KeyValue
 	err    error
@@ -40,19 +40,19 @@
 		store   fakeStore
 		paused  bool
 		version uint64
-		fails   bool
+		wantErr bool
 	}{
-		"nothing is stored": {},
+		"no record":         {},
 		"paused":            {store: fakeStore{record: stored(`{"paused":true}`)}, paused: true, version: 4},
 		"resumed":           {store: fakeStore{record: stored(`{"paused":false}`)}, version: 4},
-		"it can't be read":  {store: fakeStore{record: stored(`[]`)}, fails: true},
-		"the store is away": {store: fakeStore{err: state.ErrUnavailable}, fails: true},
+		"invalid record":    {store: fakeStore{record: stored(`[]`)}, wantErr: true},
+		"store unavailable": {store: fakeStore{err: state.ErrUnavailable}, wantErr: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			record, err := ReadRecord(t.Context(), &c.store)
-			if (err != nil) != c.fails {
-				t.Fatalf("the error is %v, want one: %v", err, c.fails)
+			if (err != nil) != c.wantErr {
+				t.Fatalf("ReadRecord returned error %v, want an error: %v", err, c.wantErr)
 			}
 			if err == nil && (record.Paused != c.paused || record.Version != c.version) {
 				t.Errorf("the record is %+v, want paused %v at version %d", record, c.paused, c.version)
@@ -61,7 +61,7 @@
 	}
 }
 
-// fakeManager counts the rounds that it is asked to take part in.
+// fakeManager counts rounds by the calls of RebalanceSnapshot.
 type fakeManager struct{ rounds int }
 
 func (m *fakeManager) TeamUsage(micros.Timestamp) map[wire.TeamName]drain.TeamUsage { return nil }
@@ -91,14 +91,14 @@
 	}, 1, record), manager
 }
 
-func TestRoundGivesWay(t *testing.T) {
+func TestRoundSkipped(t *testing.T) {
 	cases := map[string]struct {
 		leaseValid, overloaded bool
 		sinceLast              micros.Duration
 		want                   int
 	}{
-		"as usual":                    {true, false, roundInterval, 1},
-		"the last one was just now":   {true, false, roundInterval - 1, 0},
+		"the interval has passed":     {true, false, roundInterval, 1},
+		"the interval has not passed": {true, false, roundInterval - 1, 0},
 		"the lease may have expired":  {false, false, roundInterval, 0},
 		"the processor is overloaded": {true, true, roundInterval, 0},
 	}
@@ -108,13 +108,13 @@
 			executor.lastRound = micros.Timestamp(micros.Minute)
 			executor.Round(executor.lastRound.Add(c.sinceLast), c.leaseValid, c.overloaded)
 			if manager.rounds != c.want {
-				t.Errorf("%d rounds, want %d", manager.rounds, c.want)
+				t.Errorf("got %d rounds, want %d", manager.rounds, c.want)
 			}
 		})
 	}
 }
 
-// runLoop handles events until the test ends.
+// runLoop returns an event loop whose events are handled until the test ends.
 func runLoop(t *testing.T) *eventloop.Loop {
 	t.Helper()
 	loop, ended := eventloop.New(), make(chan struct{})
@@ -138,7 +138,7 @@
 	return loop
 }
 
-func TestPauseIsDurable(t *testing.T) {
+func TestSetPausedIsDurable(t *testing.T) {
 	store := &fakeStore{}
 	executor, _ := newTestExecutor(store, runLoop(t), Record{})
 	for i, paused := range []bool{true, false, true} {
@@ -157,18 +157,18 @@
 			t.Fatal(err)
 		}
 		if status.Paused != paused {
-			t.Errorf("the status says paused %v, want %v", status.Paused, paused)
+			t.Errorf("Status().Paused = %v, want %v", status.Paused, paused)
 		}
 	}
 }
 
-func TestPauseWithoutTheStore(t *testing.T) {
+func TestSetPausedWithStoreUnavailable(t *testing.T) {
 	executor, _ := newTestExecutor(&fakeStore{err: state.ErrUnavailable}, runLoop(t), Record{})
 	if err := executor.SetPaused(t.Context(), true); !errors.Is(err, operator.ErrUnavailable) {
-		t.Errorf("the error is %v, want operator.ErrUnavailable", err)
+		t.Errorf("SetPaused returned %v, want operator.ErrUnavailable", err)
 	}
 	status, err := executor.Status(t.Context(), 0)
 	if err != nil || status.Paused {
-		t.Errorf("the status is %+v, %v; want not paused", status, err)
+		t.Errorf("Status() = %+v, %v; want a status that is not paused", status, err)
 	}
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	writeRetryInterval    = 20 * micros.Millisecond // doubles with each try
+	writeRetryInterval    = 20 * micros.Millisecond // before the first retry; doubles with each retry
 	maxWriteRetryInterval = 500 * micros.Millisecond
 )
 
-// writeBatch carries out a write batch, and repeats it until its outcome is known. The manager has one batch carried
-// out at a time, so at most one has an unknown outcome.
+// writeBatch writes a batch to the store and retries until the outcome is known. The manager has at most one batch in
+// flight, so at most one batch has an unknown outcome.
 func (t *Term) writeBatch(ctx context.Context, batch *manager.WriteBatch) {
 	txn, largestValue, err := t.encode(batch)
 	if err != nil {
@@ -41,22 +41,22 @@
 				t.stepDown(reasonLeaderKeyChanged)
 				return
 			}
-			if t.explainConflict(ctx, batch) {
+			if t.resolveConflict(ctx, batch) {
 				return
 			}
 		case errors.Is(err, state.ErrRefused):
-			t.writeRefused(ctx, batch, largestValue, err)
+			t.handleRefusedWrite(ctx, batch, largestValue, err)
 			return
 		}
-		t.cfg.Log.Debug("a write has to be repeated", "error", err)
+		t.cfg.Log.Debug("retrying a write batch", "error", err)
 		if !routine.Sleep(ctx, wait) {
 			return
 		}
 	}
 }
 
-// encode returns the transaction of a batch, and the size of its largest value in bytes. Every record that changes is
-// conditioned on its version.
+// encode returns the transaction for a batch and the size of its largest value in bytes. The transaction is conditioned
+// on the leader's key, on the version of every record that it changes, and on the batch's open-job records.
 func (t *Term) encode(batch *manager.WriteBatch) (txn wire.Transaction, largestValue int, err error) {
 	txn.If = []wire.Condition{t.writer.Condition()}
 	for _, change := range slices.Concat(batch.Changes, batch.OpenRecordConditions) {
@@ -80,25 +80,26 @@
 	return txn, largestValue, nil
 }
 
-// writeRefused reports that the store has lower limits now than the settings say: the same batch would be refused for
-// ever, and the manager makes a smaller one.
-func (t *Term) writeRefused(ctx context.Context, batch *manager.WriteBatch, largestValue int, err error) {
+// handleRefusedWrite tells the manager that the store refused a batch because the store's limits are now lower than
+// those in the settings. Retrying the same batch would always fail, so the manager builds a smaller one.
+func (t *Term) handleRefusedWrite(ctx context.Context, batch *manager.WriteBatch, largestValue int, err error) {
 	keys := make([]string, len(batch.Changes))
 	for i, change := range batch.Changes {
 		keys[i] = change.Key
 	}
 	t.loop.Post(ctx, func(now micros.Timestamp) {
 		if !t.manager.WriteRefused(now, batch, largestValue) {
-			t.cfg.Log.Error("the key-value store refuses a write that can't be made smaller",
+			t.cfg.Log.Error("the key-value store refuses a write batch that can't be split further",
 				"keys", keys, "bytes", largestValue, "error", err)
 		}
 	})
 }
 
-// explainConflict finds out why a batch's conditions failed though this controller leads: an earlier try of it was
-// carried out, or a user has cancelled a job that it was to complete or to launch tasks of. It reports false if that
-// can't be found out now.
-func (t *Term) explainConflict(ctx context.Context, batch *manager.WriteBatch) bool {
+// resolveConflict determines why the conditions of a batch failed although this controller leads, and reports the
+// outcome to the manager: either an earlier attempt to write the batch was committed, or a user has cancelled a job
+// that the batch completes or places tasks of. For any other cause the term steps down. It returns false if the store
+// could not be read, so that the cause is not known yet.
+func (t *Term) resolveConflict(ctx context.Context, batch *manager.WriteBatch) bool {
 	for _, change := range batch.Changes {
 		item, err := t.cfg.Store.Get(ctx, change.Key)
 		if err != nil {
@@ -108,10 +109,10 @@
 			continue
 		}
 		switch {
-		case carriedOut(change, item):
+		case wasCommitted(change, item):
 			version := versionOf(item)
 			if item == nil {
-				// A deletion leaves no version behind; any later one will do.
+				// A deleted key has no version. Any version higher than the deleted one is sufficient here.
 				version = change.Version + 1
 			}
 			t.loop.Post(ctx, func(now micros.Timestamp) { t.manager.WriteCommitted(now, batch.ID, version) })
@@ -119,13 +120,13 @@
 		case change.IdempotencyMark == "" && item != nil:
 			return t.abandonBatch(ctx, batch)
 		}
-		t.stepDown(reasonConcurrentlyEdited)
+		t.stepDown(reasonRecordConflict)
 		return true
 	}
 	return t.abandonBatch(ctx, batch)
 }
 
-// versionOf returns the version of a stored record, 0 if there is none.
+// versionOf returns the version of a stored record, 0 if the record does not exist.
 func versionOf(item *wire.KeyValue) uint64 {
 	if item == nil {
 		return 0
@@ -133,9 +134,9 @@
 	return item.Version
 }
 
-// carriedOut reports whether a stored record, which has another version than a change was conditioned on, is what the
-// change makes of it.
-func carriedOut(change manager.RecordChange, item *wire.KeyValue) bool {
+// wasCommitted reports whether a change was committed, judging by the stored record, whose version is not the one that
+// the change was conditioned on.
+func wasCommitted(change manager.RecordChange, item *wire.KeyValue) bool {
 	switch {
 	case item == nil:
 		return change.Value == nil
@@ -149,9 +150,9 @@
 	return false
 }
 
-// abandonBatch ends a batch that changed nothing because a user has cancelled a job of it. The watch may lag: the
-// open records are read here, so that the manager does not make the same batch again. It reports false if they can't
-// be read.
+// abandonBatch reports to the manager that a batch was not committed because a user has cancelled one of its jobs. The
+// watch may lag, so abandonBatch reads the open-job records itself and applies them first; otherwise the manager would
+// build the same batch again. It returns false if the records can't be read.
 func (t *Term) abandonBatch(ctx context.Context, batch *manager.WriteBatch) bool {
 	var update openjobs.Update
 	for _, condition := range batch.OpenRecordConditions {
@@ -168,7 +169,7 @@
 	return true
 }
 
-// applyOpenJobs applies an update of the open records.
+// applyOpenJobs applies an update of the open-job records.
 func (t *Term) applyOpenJobs(ctx context.Context, update openjobs.Update) {
 	type openJob struct {
 		record  state.OpenJobRecord
@@ -178,7 +179,7 @@
 	for _, item := range update.Records {
 		job := openJob{version: item.Version}
 		if err := json.Unmarshal(item.Value, &job.record); err != nil {
-			t.cfg.Log.Error("an open record can't be read", "key", item.Key, "error", err)
+			t.cfg.Log.Error("cannot decode an open-job record", "key", item.Key, "error", err)
 			continue
 		}
 		jobs = append(jobs, job)
@@ -195,12 +196,13 @@
 	})
 }
 
-// readLeaseRenewers reads which controllers renew worker leases in this leader's stead.
+// readLeaseRenewers reads the records of controllers that renew worker leases on behalf of this leader, and passes them
+// to the manager.
 func (t *Term) readLeaseRenewers(ctx context.Context) {
 	requestedAt := t.cfg.Clock.Now()
 	items, _, err := t.cfg.Store.List(ctx, state.RenewerPrefix)
 	if err != nil {
-		t.cfg.Log.Debug("the lease renewers' records can't be read", "error", err)
+		t.cfg.Log.Debug("cannot read the records of lease renewers", "error", err)
 		return
 	}
 	t.loop.Post(ctx, func(now micros.Timestamp) { t.manager.LeaseRenewersRead(now, requestedAt, items) })
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -23,19 +23,19 @@
 	}{
 		"executed":  {true, nil, manager.PushExecuted},
 		"not sent":  {false, fmt.Errorf("dial: %w", worker.ErrNotSent), manager.PushNotSent},
-		"no answer": {false, context.DeadlineExceeded, manager.PushOutcomeUnknown},
+		"timed out": {false, context.DeadlineExceeded, manager.PushOutcomeUnknown},
 		"refused":   {false, nil, manager.PushRefused},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			if got := pushOutcome(c.executed, c.err); got != c.want {
-				t.Errorf("pushOutcome(%v, %v) is %v, want %v", c.executed, c.err, got, c.want)
+				t.Errorf("pushOutcome(%v, %v) = %v, want %v", c.executed, c.err, got, c.want)
 			}
 		})
 	}
 }
 
-func TestCarriedOut(t *testing.T) {
+func TestWasCommitted(t *testing.T) {
 	stored := func(value string) *wire.KeyValue { return &wire.KeyValue{Value: json.RawMessage(value), Version: 9} }
 	progress := manager.RecordChange{Value: state.ProgressRecord{IdempotencyMark: "1.7"}, IdempotencyMark: "1.7"}
 	deletion := manager.RecordChange{}
@@ -45,19 +45,19 @@
 		item   *wire.KeyValue
 		want   bool
 	}{
-		"progress with the batch's mark":  {progress, stored(`{"w":"1.7"}`), true},
-		"progress with another mark":      {progress, stored(`{"w":"1.6"}`), false},
-		"progress that can't be read":     {progress, stored(`{`), false},
-		"progress that was deleted":       {progress, nil, false},
-		"a deletion":                      {deletion, nil, true},
-		"a record that was to be deleted": {deletion, stored(`{}`), false},
-		"a completed job":                 {completion, stored(`{"status":"done"}`), true},
-		"a cancelled job":                 {completion, stored(`{"status":"cancelled"}`), false},
+		"progress with the batch's mark":    {progress, stored(`{"w":"1.7"}`), true},
+		"progress with another mark":        {progress, stored(`{"w":"1.6"}`), false},
+		"progress that can't be decoded":    {progress, stored(`{`), false},
+		"progress that no longer exists":    {progress, nil, false},
+		"deletion, the record is gone":      {deletion, nil, true},
+		"deletion, the record still exists": {deletion, stored(`{}`), false},
+		"completion, the job is done":       {completion, stored(`{"status":"done"}`), true},
+		"completion, the job is cancelled":  {completion, stored(`{"status":"cancelled"}`), false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			if got := carriedOut(c.change, c.item); got != c.want {
-				t.Errorf("carriedOut is %v, want %v", got, c.want)
+			if got := wasCommitted(c.change, c.item); got != c.want {
+				t.Errorf("wasCommitted(%+v, %+v) = %v, want %v", c.change, c.item, got, c.want)
 			}
 		})
 	}
@@ -72,7 +72,7 @@
 		},
 		OpenRecordConditions: []manager.RecordChange{
 			{Key: "open/a", Version: 5},
-			{Key: "tasks/b/0", Version: 4}, // the same condition once more
+			{Key: "tasks/b/0", Version: 4}, // duplicates the condition of the change
 		},
 	})
 	if err != nil {
@@ -86,18 +86,18 @@
 		Then: []wire.Change{{Put: "tasks/a/0", Value: json.RawMessage(`"four"`)}, {Delete: "tasks/b/0"}},
 	}
 	if !reflect.DeepEqual(txn, want) {
-		t.Errorf("the transaction is\n%+v, want\n%+v", txn, want)
+		t.Errorf("the transaction is\n%+v\nwant\n%+v", txn, want)
 	}
 	if want := len(`"four"`); largest != want {
 		t.Errorf("the largest value has %d bytes, want %d", largest, want)
 	}
 }
 
-func TestEncodeNamesTheRecord(t *testing.T) {
+func TestEncodeErrorNamesRecord(t *testing.T) {
 	term := &Term{writer: fenced.NewWriter(nil, 7, 1, 10)}
 	_, _, err := term.encode(&manager.WriteBatch{Changes: []manager.RecordChange{{Key: "tasks/a/0", Value: func() {}}}})
 	var recordErr *state.RecordError
 	if !errors.As(err, &recordErr) || recordErr.Key != "tasks/a/0" {
-		t.Errorf("the error is %v, want one for the record tasks/a/0", err)
+		t.Errorf("the error is %v, want a *state.RecordError for tasks/a/0", err)
 	}
 }
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -14,18 +14,19 @@
 	"saffronbend/wire"
 )
 
-// records are what a term begins with.
-type records struct {
-	requestedAt micros.Timestamp // when the open jobs were requested
-	revision    uint64           // of the open jobs
+// storedRecords holds the stored records from which a term recovers its state.
+type storedRecords struct {
+	requestedAt micros.Timestamp // when the list of open-job records was requested
+	revision    uint64           // the revision from which the open-job records must be watched
 	openJobs    []wire.KeyValue
 	progress    []wire.KeyValue
 	drains      drains.Records
 	rebalancing rebalancing.Record
 }
 
-// recoverState reads the records until that succeeds, and builds the term's state from them. It returns the revision
-// from which the open jobs must be watched, and false if ctx ended or the records can't be used.
+// recoverState reads the stored records, retrying until it succeeds, and restores the term's state from them. It
+// returns the revision from which the open-job records must be watched. ok is false if ctx ended or the records are
+// invalid.
 func (t *Term) recoverState(ctx context.Context) (revision uint64, ok bool) {
 	const retryInterval = 100 * micros.Millisecond
 	for {
@@ -33,14 +34,14 @@
 		if err == nil {
 			return stored.revision, t.restore(ctx, stored)
 		}
-		t.cfg.Log.Debug("the records can't be read yet", "error", err)
+		t.cfg.Log.Debug("cannot read the stored records, retrying", "error", err)
 		if !routine.Sleep(ctx, retryInterval) {
 			return 0, false
 		}
 	}
 }
 
-func (t *Term) readRecords(ctx context.Context) (stored records, err error) {
+func (t *Term) readRecords(ctx context.Context) (stored storedRecords, err error) {
 	tuning := t.cfg.Settings.Tuning
 	stored.requestedAt = t.cfg.Clock.Now()
 	if stored.openJobs, stored.revision, err = t.cfg.Store.List(ctx, state.OpenJobPrefix); err != nil {
@@ -60,12 +61,12 @@
 	return stored, err
 }
 
-// restore builds the term's state from records. If they can't be used it steps down and returns false.
-func (t *Term) restore(ctx context.Context, stored records) bool {
+// restore restores the term's state from the stored records. If they are invalid, it steps down and returns false.
+func (t *Term) restore(ctx context.Context, stored storedRecords) bool {
 	now := t.cfg.Clock.Now()
 	if err := t.restoreManager(ctx, now, stored); err != nil {
-		t.cfg.Log.Error(reasonBadRecords, "error", err)
-		t.stepDown(reasonBadRecords)
+		t.cfg.Log.Error(reasonInvalidRecords, "error", err)
+		t.stepDown(reasonInvalidRecords)
 		return false
 	}
 	if t.cfg.Settings.Tuning.Rebalancing.Enabled {
@@ -83,13 +84,13 @@
 		t.scaler.SetTypes(types)
 	}
 	t.resolved.Advance(stored.requestedAt)
-	t.cfg.Log.Info("term begins", "fencing_token", t.token,
+	t.cfg.Log.Info("term started", "fencing_token", t.token,
 		"open_jobs", len(stored.openJobs), "records", len(stored.progress))
 	return true
 }
 
-// restoreManager builds the manager, and the drains and scaling that report to it.
-func (t *Term) restoreManager(ctx context.Context, now micros.Timestamp, stored records) (err error) {
+// restoreManager builds the manager, and the executors of drains and scaling, which report to it.
+func (t *Term) restoreManager(ctx context.Context, now micros.Timestamp, stored storedRecords) (err error) {
 	t.manager, err = manager.New(now, t.managerConfig(), t.cfg.Clock.UnixMicro(), stored.openJobs, stored.progress)
 	if err != nil {
 		return err
@@ -119,9 +120,10 @@
 
 func (t *Term) managerConfig() manager.Config {
 	const (
-		// leaseMargin is waited beyond a worker's lease before it counts as expired.
+		// leaseMargin is how long after its expiry a worker's lease is treated as expired.
 		leaseMargin = micros.Second
-		// A connection in so many may be for a command push, and there may be a few in any case.
+		// One in connectionsPerPush of the allowed connections may be used for a command push, but at least
+		// minCommandPushes pushes may be in flight at once.
 		connectionsPerPush = 16
 		minCommandPushes   = 4
 	)
--- a/internal/leader/scaling/scaling.go
+++ b/internal/leader/scaling/scaling.go
@@ -1,8 +1,9 @@
-// Package scaling is the part of a leader's term that speaks with the cloud: it reads machines, types and prices, has
-// fleet.Fleet decide, and repeats requests to create and delete machines until their outcome is known.
+// Package scaling is the part of a leader's term that communicates with the cloud: it reads machines, machine types and
+// prices, runs fleet.Fleet, and retries requests to create and delete machines until their outcome is known.
 //
-// The fleet is owned by the goroutine of the term's event loop, on which all methods but WatchMachines and WatchTypes
-// are called; those two run in goroutines of their own. The package decides nothing about the fleet's size itself.
+// The fleet is owned by the goroutine of the term's event loop, on which all methods are called except PollMachines
+// and PollTypes, which run in separate goroutines. The fleet, not this package, decides how many machines there
+// should be.
 package scaling
 
 import (
@@ -25,12 +26,14 @@
 )
 
 const (
-	// roundInterval is short against the time that a machine takes to come up.
+	// roundInterval is the minimum time between two rounds. It is short compared with the time that a machine takes to
+	// boot.
 	roundInterval = 500 * micros.Millisecond
-	// typesInterval is the time between two reads of types and prices, typesRetryInterval after one that failed.
-	typesInterval      = 30 * micros.Second
+	// typesPollInterval is the time between two reads of machine types and prices, typesRetryInterval the time before a
+	// failed read is retried.
+	typesPollInterval  = 30 * micros.Second
 	typesRetryInterval = 2 * micros.Second
-	// requestRetryInterval is the time between two tries of a request to create or delete machines.
+	// requestRetryInterval is the time before a request to create or delete machines is retried.
 	requestRetryInterval = micros.Second
 )
 
@@ -42,7 +45,8 @@
 	ScaleIn(ctx context.Context, machines []wire.MachineID) error
 }
 
-// Manager is the part of the term's manager that scaling reports to. It is called on the term's goroutine only.
+// Manager contains the methods of the term's manager that scaling reports to. They are called on the term's goroutine
+// only.
 type Manager interface {
 	SetTypes(types []wire.MachineType)
 	MachinesListed(now micros.Timestamp, machines []wire.Machine)
@@ -51,17 +55,17 @@
 	MachinesDeleted(now micros.Timestamp, machines []wire.MachineID)
 }
 
-// TypeCatalog holds the machine types for all of the controller.
+// TypeCatalog holds the machine types for the other parts of the controller.
 type TypeCatalog interface {
 	Replace(types []wire.MachineType)
 }
 
-// Config is what an Executor needs.
+// Config holds the dependencies and parameters of an Executor.
 type Config struct {
 	Fleet fleet.Config
-	// RequestsPerSecond is how many requests the cloud allows.
+	// RequestsPerSecond is the cloud's limit on the rate of requests.
 	RequestsPerSecond float64
-	// ValueKB is how large a value of the key-value store may be, in kilobytes.
+	// ValueKB is the maximum size of a value in the key-value store, in kilobytes.
 	ValueKB float64
 	Log     *slog.Logger
 	Loop    *eventloop.Loop
@@ -71,42 +75,42 @@
 	Types   TypeCatalog
 }
 
-// Executor carries out the scaling of one term.
+// Executor executes the scaling of one term.
 type Executor struct {
 	cfg       Config
 	fleet     *fleet.Fleet
 	lastRound micros.Timestamp
-	// machineSilent is set while some machine that was up sends no heartbeats.
-	machineSilent atomic.Bool
+	// heartbeatOverdue is true while heartbeats are overdue from any machine that has booted and is not being deleted.
+	heartbeatOverdue atomic.Bool
 }
 
-// New returns the executor of a term that begins now.
+// New returns the Executor of a term that begins at time now.
 func New(cfg Config, now micros.Timestamp) *Executor {
 	return &Executor{cfg: cfg, fleet: fleet.New(now, cfg.Fleet)}
 }
 
-// SetTypes sets the machine types, for the manager too.
+// SetTypes sets the machine types in the manager and the fleet.
 func (e *Executor) SetTypes(types []wire.MachineType) {
 	e.cfg.Manager.SetTypes(types)
 	e.fleet.SetTypes(types)
 }
 
-// ObserveSnapshot notes which machines are silent. The list of machines is then read more often: a machine that has
-// fallen silent may have been reclaimed, which the list shows soonest.
+// ObserveSnapshot determines whether the heartbeats of any machine are overdue. While they are, PollMachines reads the
+// cloud's list of machines more often: the cloud may have reclaimed the machine, which the list is the first to show.
 func (e *Executor) ObserveSnapshot(now micros.Timestamp, published *snapshot.Snapshot) {
-	silence := 2*e.cfg.Fleet.HeartbeatInterval + micros.Second
-	e.machineSilent.Store(slices.ContainsFunc(published.Machines, func(machine *snapshot.Machine) bool {
-		return machine.State != wire.MachineStarting && !machine.Deleting && now.Sub(machine.LastHeartbeat) > silence
+	timeout := 2*e.cfg.Fleet.HeartbeatInterval + micros.Second
+	e.heartbeatOverdue.Store(slices.ContainsFunc(published.Machines, func(machine *snapshot.Machine) bool {
+		return machine.State != wire.MachineStarting && !machine.Deleting && now.Sub(machine.LastHeartbeat) > timeout
 	}))
 }
 
-// ReadyForRound reports whether it is time for a next round.
-func (e *Executor) ReadyForRound(now micros.Timestamp) bool {
+// RoundDue reports whether the next round is due.
+func (e *Executor) RoundDue(now micros.Timestamp) bool {
 	return now.Sub(e.lastRound) >= roundInterval
 }
 
-// Round decides on the fleet's size and carries it out. It returns why there is no room yet for tasks that are to be
-// evicted.
+// Round has the fleet decide which machines to create and delete, and sends the requests in the background. It returns
+// the reason why no resources are available yet for tasks that are to be evicted.
 func (e *Executor) Round(ctx context.Context, now micros.Timestamp, published *snapshot.Snapshot) fleet.Shortage {
 	e.lastRound = now
 	actions := e.fleet.Decide(now, published)
@@ -122,7 +126,7 @@
 	return actions.Shortage
 }
 
-// scaleOut repeats a request until its outcome is known. A request is never reused for anything else.
+// scaleOut sends a request and retries it until its outcome is known. A request is never reused for anything else.
 func (e *Executor) scaleOut(ctx context.Context, request wire.ScaleOutRequest) {
 	for {
 		machines, err := e.cfg.Cloud.ScaleOut(ctx, request)
@@ -141,17 +145,17 @@
 	}
 }
 
-// ScaleIn deletes machines, in the background.
+// ScaleIn deletes machines in the background.
 func (e *Executor) ScaleIn(ctx context.Context, machines []wire.MachineID) {
-	const perRequest = 100
-	for part := range slices.Chunk(machines, perRequest) {
+	const maxPerRequest = 100
+	for part := range slices.Chunk(machines, maxPerRequest) {
 		e.cfg.Manager.DeletionRequested(part)
-		e.cfg.Loop.Go(func() { e.delete(ctx, part) })
+		e.cfg.Loop.Go(func() { e.deleteMachines(ctx, part) })
 	}
 }
 
-// delete repeats a deletion until it has been carried out.
-func (e *Executor) delete(ctx context.Context, machines []wire.MachineID) {
+// deleteMachines sends a request to delete machines and retries it until it succeeds.
+func (e *Executor) deleteMachines(ctx context.Context, machines []wire.MachineID) {
 	for {
 		if err := e.cfg.Cloud.ScaleIn(ctx, machines); err == nil {
 			e.cfg.Loop.Post(ctx, func(now micros.Timestamp) { e.cfg.Manager.MachinesDeleted(now, machines) })
@@ -163,8 +167,8 @@
 	}
 }
 
-// WatchMachines reads the list of machines again and again until ctx ends.
-func (e *Executor) WatchMachines(ctx context.Context) {
+// PollMachines polls the cloud's list of machines until ctx ends.
+func (e *Executor) PollMachines(ctx context.Context) {
 	machines := 0
 	for {
 		list, err := e.cfg.Cloud.ListMachines(ctx)
@@ -172,10 +176,10 @@
 			machines = len(list)
 			e.cfg.Loop.Post(ctx, func(now micros.Timestamp) { e.cfg.Manager.MachinesListed(now, list) })
 		} else {
-			e.cfg.Log.Debug("the cloud's list of machines can't be read", "error", err)
+			e.cfg.Log.Debug("cannot list the cloud's machines", "error", err)
 		}
 		interval := listInterval(machines, e.cfg.RequestsPerSecond)
-		if !e.machineSilent.Load() {
+		if !e.heartbeatOverdue.Load() {
 			interval = max(interval, e.cfg.Fleet.ListLag)
 		}
 		if !routine.Sleep(ctx, interval) {
@@ -184,17 +188,18 @@
 	}
 }
 
-// listInterval is the time between two lists of so many machines. Their pages take at most a quarter of the requests
-// that the cloud allows: creation and deletion of machines have the same limit.
+// listInterval returns the time between two reads of a list with the given number of machines. Reading its pages uses
+// at most a quarter of the request rate that the cloud allows, because the requests that create and delete machines
+// count towards the same limit.
 func listInterval(machines int, requestsPerSecond float64) micros.Duration {
-	const share = 4
+	const rateDivisor = 4
 	pages := 1 + machines/wire.MachinePageSize
-	return max(micros.Second, micros.Seconds(share*float64(pages)/requestsPerSecond))
+	return max(micros.Second, micros.Seconds(rateDivisor*float64(pages)/requestsPerSecond))
 }
 
-// WatchTypes reads types and prices again and again until ctx ends, and stores the types once for controllers that
-// start while the cloud does not answer.
-func (e *Executor) WatchTypes(ctx context.Context) {
+// PollTypes polls machine types and prices until ctx ends. It also stores the types once, for controllers that start
+// while the cloud is unavailable.
+func (e *Executor) PollTypes(ctx context.Context) {
 	stored := false
 	for {
 		types, err := e.cfg.Cloud.MachineTypes(ctx)
@@ -205,7 +210,7 @@
 				stored = e.storeTypes(ctx, types)
 			}
 		}
-		interval := typesInterval
+		interval := typesPollInterval
 		if err != nil {
 			interval = typesRetryInterval
 		}
@@ -215,8 +220,8 @@
 	}
 }
 
-// storeTypes reports whether it has stored the types, or they can't be stored: then a controller asks the cloud for
-// them.
+// storeTypes stores the machine types. It returns false if that must be retried, and true if the types are stored or
+// can't be stored because they are too large. In the latter case controllers read the types from the cloud only.
 func (e *Executor) storeTypes(ctx context.Context, types []wire.MachineType) bool {
 	const bytesPerKB = 1024
 	value, err := json.Marshal(types)
--- a/internal/leader/scaling/scaling_test.go
+++ b/internal/leader/scaling/scaling_test.go
@@ -23,27 +23,27 @@
 		requestsPerSecond float64
 		want              micros.Duration
 	}{
-		"a small fleet":    {10, 100, micros.Second},
-		"one page":         {wire.MachinePageSize - 1, 2, 2 * micros.Second},
-		"eight pages":      {4000 - 1, 8, 4 * micros.Second},
-		"nothing known":    {0, 4, micros.Second},
-		"a very slow rate": {0, 0.5, 8 * micros.Second},
+		"minimum interval":      {10, 100, micros.Second},
+		"one page":              {wire.MachinePageSize - 1, 2, 2 * micros.Second},
+		"eight pages":           {4000 - 1, 8, 4 * micros.Second},
+		"no known machines":     {0, 4, micros.Second},
+		"very low request rate": {0, 0.5, 8 * micros.Second},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			if got := listInterval(c.machines, c.requestsPerSecond); got != c.want {
-				t.Errorf("listInterval(%d, %g) is %v, want %v", c.machines, c.requestsPerSecond, got, c.want)
+				t.Errorf("listInterval(%d, %g) = %v, want %v", c.machines, c.requestsPerSecond, got, c.want)
 			}
 		})
 	}
 }
 
-func TestSilentMachines(t *testing.T) {
+func TestObserveSnapshotDetectsOverdueHeartbeats(t *testing.T) {
 	const heartbeatInterval = 2 * micros.Second
 	const limit = 2*heartbeatInterval + micros.Second
 	const now = micros.Timestamp(micros.Minute)
-	machine := func(silence micros.Duration) *snapshot.Machine {
-		return &snapshot.Machine{State: wire.MachineRunning, LastHeartbeat: now.Add(-silence)}
+	machine := func(sinceHeartbeat micros.Duration) *snapshot.Machine {
+		return &snapshot.Machine{State: wire.MachineRunning, LastHeartbeat: now.Add(-sinceHeartbeat)}
 	}
 	starting, deleting := machine(micros.Minute), machine(micros.Minute)
 	starting.State, deleting.Deleting = wire.MachineStarting, true
@@ -51,23 +51,23 @@
 		machine *snapshot.Machine
 		want    bool
 	}{
-		"a heartbeat in time": {machine(limit), false},
-		"silent":              {machine(limit + 1), true},
-		"starting":            {starting, false},
-		"being deleted":       {deleting, false},
+		"heartbeat in time":     {machine(limit), false},
+		"heartbeat overdue":     {machine(limit + 1), true},
+		"machine starting":      {starting, false},
+		"machine being deleted": {deleting, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			executor := New(Config{Fleet: fleet.Config{HeartbeatInterval: heartbeatInterval}}, 0)
 			executor.ObserveSnapshot(now, &snapshot.Snapshot{Machines: []*snapshot.Machine{machine(0), c.machine}})
-			if got := executor.machineSilent.Load(); got != c.want {
-				t.Errorf("silent is %v, want %v", got, c.want)
+			if got := executor.heartbeatOverdue.Load(); got != c.want {
+				t.Errorf("heartbeatOverdue = %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// fakeCloud answers each request by the next of its errors, nil after the last.
+// fakeCloud returns the next of errs for each request, and nil after the last.
 type fakeCloud struct {
 	Cloud
 	errs     []error
@@ -91,7 +91,7 @@
 
 func (c *fakeCloud) ScaleIn(context.Context, []wire.MachineID) error { return c.next() }
 
-// fakeManager keeps what is reported to it.
+// fakeManager records the machines that are reported to it as created and deleted.
 type fakeManager struct {
 	Manager
 	scaledOut, deleted [][]wire.MachineID
@@ -107,8 +107,9 @@
 	m.deleted = append(m.deleted, machines)
 }
 
-// play runs f on the goroutine of an event loop, waits a minute and ends the loop.
-func play(t *testing.T, errs []error, f func(ctx context.Context, executor *Executor)) (*fakeCloud, *fakeManager) {
+// runLoop calls f on the goroutine of an event loop and then runs the loop for a minute of virtual time. The cloud
+// returns errs for the first requests, in order.
+func runLoop(t *testing.T, errs []error, f func(ctx context.Context, executor *Executor)) (*fakeCloud, *fakeManager) {
 	t.Helper()
 	fake, manager := &fakeCloud{errs: errs}, &fakeManager{}
 	synctest.Test(t, func(t *testing.T) {
@@ -130,8 +131,8 @@
 	return fake, manager
 }
 
-func TestScaleOutIsRepeatedUntilItsOutcomeIsKnown(t *testing.T) {
-	errUnknown := errors.New("no answer")
+func TestScaleOutRetriesUntilOutcomeKnown(t *testing.T) {
+	errUnknown := errors.New("no response")
 	cases := map[string]struct {
 		errs     []error
 		requests int
@@ -143,22 +144,22 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			fake, manager := play(t, c.errs, func(ctx context.Context, executor *Executor) {
+			fake, manager := runLoop(t, c.errs, func(ctx context.Context, executor *Executor) {
 				executor.cfg.Loop.Go(func() { executor.scaleOut(ctx, wire.ScaleOutRequest{Count: 1}) })
 			})
 			if fake.requests != c.requests || !reflect.DeepEqual(manager.scaledOut, c.want) {
-				t.Errorf("%d requests, reported %v; want %d and %v", fake.requests, manager.scaledOut, c.requests, c.want)
+				t.Errorf("got %d requests, created %v; want %d, %v", fake.requests, manager.scaledOut, c.requests, c.want)
 			}
 		})
 	}
 }
 
-func TestDeletionIsRepeatedUntilCarriedOut(t *testing.T) {
-	errUnknown := errors.New("no answer")
-	fake, manager := play(t, []error{errUnknown}, func(ctx context.Context, executor *Executor) {
+func TestScaleInRetriesUntilDeleted(t *testing.T) {
+	errUnknown := errors.New("no response")
+	fake, manager := runLoop(t, []error{errUnknown}, func(ctx context.Context, executor *Executor) {
 		executor.ScaleIn(ctx, []wire.MachineID{"m1", "m2"})
 	})
 	if want := [][]wire.MachineID{{"m1", "m2"}}; fake.requests != 2 || !reflect.DeepEqual(manager.deleted, want) {
-		t.Errorf("%d requests, reported %v; want 2 and %v", fake.requests, manager.deleted, want)
+		t.Errorf("got %d requests, deleted %v; want 2, %v", fake.requests, manager.deleted, want)
 	}
 }
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -25,30 +25,31 @@
 
 // Reasons for which a term steps down.
 const (
-	reasonBadRecords         = "the records can't be used"
-	reasonHigherToken        = "a worker has seen a higher fencing token"
-	reasonNoAttemptNumbers   = "the term has no attempt numbers left"
-	reasonEncoding           = "a record can't be encoded"
-	reasonLeaderKeyChanged   = "the leader's key has changed"
-	reasonConcurrentlyEdited = "a record of the leader has been changed by another"
+	reasonInvalidRecords   = "the stored records are invalid"
+	reasonHigherToken      = "a worker has seen a higher fencing token"
+	reasonNoAttemptNumbers = "the term has used up its attempt numbers"
+	reasonEncoding         = "a record can't be encoded"
+	reasonLeaderKeyChanged = "the leader's key has changed"
+	reasonRecordConflict   = "another controller has changed a record that only the leader writes"
 )
 
-// Term is the time in which this controller leads under one fencing token.
+// Term is the period in which this controller leads under one fencing token.
 type Term struct {
 	cfg      Config
 	token    wire.FencingToken
 	stepDown func(reason string)
 	writer   *fenced.Writer
 	loop     *eventloop.Loop
-	// recovered is closed once the records are loaded; what is owned by the loop's goroutine is set then.
+	// recovered is closed once the state has been restored from the stored records. The fields that are owned by the
+	// event loop's goroutine are set by then.
 	recovered chan struct{}
-	// leaseValidUntil is when the leader's lease may expire, less a margin for clocks.
+	// leaseValidUntil is a micros.Timestamp: the earliest time at which the leader's lease may expire, less margins.
 	leaseValidUntil atomic.Int64
 
-	// Owned by the loop's goroutine.
+	// The following fields are owned by the event loop's goroutine.
 	manager       *manager.Manager
 	drains        *drains.Executor
-	rebalancer    *rebalancing.Executor // nil: moves are switched off
+	rebalancer    *rebalancing.Executor // nil: rebalancing is disabled
 	scaler        *scaling.Executor
 	followers     *followers
 	resolved      openjobs.ResolvedTimestamp
@@ -56,8 +57,8 @@
 	tickDelay     delayDetector
 }
 
-// NewTerm returns a term under a fencing token; Run runs it. stepDown is called when something shows that the term must
-// end: it must cause the context of Run to end, and may be called several times.
+// NewTerm returns a term under the given fencing token; Run starts it. The term calls stepDown when it detects that it
+// must end. stepDown must cause the context of Run to end; it may be called several times.
 func NewTerm(cfg Config, token wire.FencingToken, stepDown func(reason string)) *Term {
 	limits := cfg.Settings.Deployment.State.Effective()
 	return &Term{
@@ -72,26 +73,27 @@
 	}
 }
 
-// FencingToken returns the token of the term.
+// FencingToken returns the fencing token of the term.
 func (t *Term) FencingToken() wire.FencingToken { return t.token }
 
-// ExtendLease sets until when the leader's lease is valid, by this controller's clock.
+// ExtendLease sets the time until which the leader's lease is valid, by this controller's clock.
 func (t *Term) ExtendLease(until micros.Timestamp) { t.leaseValidUntil.Store(int64(until)) }
 
-// leaseValid reports whether something new may be granted: while the leader's lease is valid, and only if the
-// cancellations that are known are recent. After an outage the lease is renewed at once, while cancellations may
-// still be on their way.
+// leaseValid reports whether the term may start new work, such as granting leases or launching tasks. The leader's
+// lease must be valid, and all cancellations up to a recent time must be known. The lease alone is not sufficient:
+// after an outage of the store it is renewed at once, while the watch may not have delivered all cancellations yet.
 func (t *Term) leaseValid(now micros.Timestamp) bool {
-	return int64(now) < t.leaseValidUntil.Load() && t.resolved.NewerThan(now, t.cfg.LeaseTTL)
+	return int64(now) < t.leaseValidUntil.Load() && t.resolved.Fresh(now, t.cfg.LeaseTTL)
 }
 
-// mayRenewWorkerLeases reports whether a worker's lease may be renewed: cancellations must be known up to a time so
-// recent that a job cancelled since is off the worker in time.
+// mayRenewWorkerLeases reports whether worker leases may be renewed. All cancellations must be known up to a time that
+// is recent enough for the tasks of a job that was cancelled later to be stopped within the cancel timeout.
 func (t *Term) mayRenewWorkerLeases(now micros.Timestamp) bool {
-	return t.resolved.NewerThan(now, t.cfg.Settings.MaxStaleness())
+	return t.resolved.Fresh(now, t.cfg.Settings.MaxStaleness())
 }
 
-// Run recovers the state from the records and then handles events until ctx ends. It waits for all that it has started.
+// Run recovers the term's state from the stored records and then handles events until ctx ends. It returns once all
+// goroutines that it has started have ended.
 func (t *Term) Run(ctx context.Context) {
 	defer t.loop.Stop()
 	revision, ok := t.recoverState(ctx)
@@ -99,7 +101,7 @@
 		return
 	}
 	close(t.recovered)
-	t.startWatches(ctx, revision)
+	t.startEventSources(ctx, revision)
 	tick := time.NewTicker(tickInterval.AsDuration())
 	defer tick.Stop()
 	publish := time.NewTimer(0)
@@ -122,28 +124,29 @@
 				t.publishSnapshot(ctx, now)
 			}
 		}
-		t.carryOutDecisions(ctx, now)
+		t.executeDecisions(ctx, now)
 	}
 }
 
-// startWatches starts what brings events to the loop; the open records are followed from a revision on.
-func (t *Term) startWatches(ctx context.Context, revision uint64) {
-	watcher := openjobs.Watcher{Store: t.cfg.Store, Clock: t.cfg.Clock, Served: t.cfg.Health.StoreServed}
+// startEventSources starts the goroutines that post events from the store and the cloud to the event loop. The open-job
+// records are watched from the given revision.
+func (t *Term) startEventSources(ctx context.Context, revision uint64) {
+	watcher := openjobs.Watcher{Store: t.cfg.Store, Clock: t.cfg.Clock, OnServed: t.cfg.Health.StoreServed}
 	t.loop.Go(func() {
 		watcher.Run(ctx, revision, func(update openjobs.Update) { t.applyOpenJobs(ctx, update) })
 	})
-	t.loop.Go(func() { t.scaler.WatchMachines(ctx) })
+	t.loop.Go(func() { t.scaler.PollMachines(ctx) })
 	t.loop.Go(func() { t.readLeaseRenewers(ctx) })
-	t.loop.Go(func() { t.scaler.WatchTypes(ctx) })
+	t.loop.Go(func() { t.scaler.PollTypes(ctx) })
 }
 
-// awaitRecovery waits until the records are loaded. It returns false if ctx or the term ended first.
+// awaitRecovery waits until the term has recovered its state. It returns false if ctx or the term ended first.
 func (t *Term) awaitRecovery(ctx context.Context) bool {
 	select {
 	case <-t.recovered:
 		return true
 	default:
-		// A heartbeat that waits must not keep others from being admitted.
+		// Requests of low priority are admitted in batches. A heartbeat that waits here must not delay the next batch.
 		ingress.Yield(ctx)
 	}
 	select {
@@ -155,7 +158,7 @@
 	return false
 }
 
-// tick does what is due regularly.
+// tick performs the periodic work of the term.
 func (t *Term) tick(ctx context.Context, now micros.Timestamp) {
 	t.tickDelay.observe(now)
 	t.manager.Tick(now)
@@ -183,8 +186,8 @@
 	}
 }
 
-// carryOutDecisions carries out what the manager has decided by now.
-func (t *Term) carryOutDecisions(ctx context.Context, now micros.Timestamp) {
+// executeDecisions logs the manager's events and starts the writes and command pushes that the manager has decided on.
+func (t *Term) executeDecisions(ctx context.Context, now micros.Timestamp) {
 	for _, event := range t.manager.Events() {
 		t.cfg.Log.Info(event.Message, event.Attrs...)
 	}
--- a/internal/openjobs/openjobs.go
+++ b/internal/openjobs/openjobs.go
@@ -1,6 +1,6 @@
-// Package openjobs follows the records of open jobs in the key-value store, and holds the resolved timestamp up to
-// which a controller knows all cancellations. The leader's term and the lease renewer of a follower use it; each runs
-// a Watcher in a goroutine of its own and owns its ResolvedTimestamp. The package writes nothing.
+// Package openjobs watches the records of open jobs in the key-value store, and provides the resolved timestamp up to
+// which a controller knows all cancellations. The leader's term and a follower's lease renewer use it; each runs a
+// Watcher in a separate goroutine and owns a ResolvedTimestamp. The package only reads from the store.
 package openjobs
 
 import (
@@ -15,48 +15,51 @@
 	"saffronbend/wire"
 )
 
-// ResolvedTimestamp is an instant by this controller's clock: all cancellations that any controller has confirmed
-// before it are known here. It advances by the lists and watches of the open records themselves, by when they were
-// requested, and by nothing else: that a lease could be renewed says nothing about a watch that waits, lags or is
-// being read again. The zero ResolvedTimestamp means that nothing is known.
+// ResolvedTimestamp is a time by this controller's clock. This controller knows all cancellations that any controller
+// has confirmed before that time. It advances only to the times at which lists and watches of the open-job records
+// were requested. Other successful requests, such as the renewal of a lease, must not advance it, because they say
+// nothing about whether the watch is blocked, lags or is being re-established. The zero ResolvedTimestamp means that no
+// cancellations are known.
 type ResolvedTimestamp struct{ at micros.Timestamp }
 
-// Advance moves the timestamp to when a list or watch was requested, unless it is later already.
+// Advance moves the timestamp forward to when a list or watch was requested. It never moves the timestamp back.
 func (r *ResolvedTimestamp) Advance(requestedAt micros.Timestamp) { r.at = max(r.at, requestedAt) }
 
-// At returns the timestamp, 0 while nothing is known.
+// At returns the timestamp. It returns 0 if the timestamp never advanced.
 func (r *ResolvedTimestamp) At() micros.Timestamp { return r.at }
 
-// NewerThan reports whether anything is known, and the timestamp is less than maxAge before now.
-func (r *ResolvedTimestamp) NewerThan(now micros.Timestamp, maxAge micros.Duration) bool {
+// Fresh reports whether the timestamp has ever advanced and is less than maxAge before now.
+func (r *ResolvedTimestamp) Fresh(now micros.Timestamp, maxAge micros.Duration) bool {
 	return r.at != 0 && now.Sub(r.at) < maxAge
 }
 
-// Update is what has become of the open records by the time at which it was requested.
+// Update contains changes of the open-job records, or all of them. It includes every change that was committed before
+// RequestedAt and that no earlier update included.
 type Update struct {
 	RequestedAt micros.Timestamp
-	// CompleteAt is the revision at which Records are all open records there were; 0: Records are those that changed.
+	// CompleteAt is 0 if Records are the records that have changed. Otherwise Records are all open-job records that
+	// existed at the revision CompleteAt.
 	CompleteAt uint64
 	Records    []wire.KeyValue
-	Removed    []wire.JobID // jobs whose record was deleted
+	Removed    []wire.JobID // jobs whose records were deleted
 }
 
-// Store is the part of the key-value store that a Watcher reads.
+// Store contains the methods of the key-value store that a Watcher uses.
 type Store interface {
 	List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error)
 	Watch(ctx context.Context, prefix string, from uint64, block time.Duration) (*wire.WatchResponse, error)
 }
 
-// Watcher follows the open records.
+// Watcher watches the open-job records.
 type Watcher struct {
 	Store Store
 	Clock micros.Clock
-	// Served is called when the store has answered a watch.
-	Served func()
+	// OnServed is called whenever the store has served a watch request.
+	OnServed func()
 }
 
-// Run calls apply with all updates after a revision, in their order, until ctx ends. When the store has compacted the
-// events since then, the update is a complete list.
+// Run calls apply with every update after the given revision, in order, until ctx ends. If the store has already
+// compacted the events after that revision, the update is a complete list.
 func (w *Watcher) Run(ctx context.Context, revision uint64, apply func(Update)) {
 	const retryInterval = 100 * micros.Millisecond
 	for ctx.Err() == nil {
@@ -70,7 +73,7 @@
 	}
 }
 
-// next returns the update after a revision, and the revision at which it was complete.
+// next returns the next update after the given revision, and the revision after which the watch must continue.
 func (w *Watcher) next(ctx context.Context, revision uint64) (update Update, next uint64, err error) {
 	update.RequestedAt = w.Clock.Now()
 	result, err := w.Store.Watch(ctx, state.OpenJobPrefix, revision, settings.WatchTimeout.AsDuration())
@@ -82,10 +85,10 @@
 	if err != nil {
 		return update, revision, err
 	}
-	w.Served()
+	w.OnServed()
 	for _, event := range result.Events {
 		if event.Delete != "" {
-			update.Removed = append(update.Removed, JobOf(event.Delete))
+			update.Removed = append(update.Removed, JobIDFromKey(event.Delete))
 		} else {
 			update.Records = append(update.Records, wire.KeyValue{Key: event.Put, Value: event.Value, Version: event.Version})
 		}
@@ -93,5 +96,5 @@
 	return update, result.Revision, nil
 }
 
-// JobOf returns the job that an open record's key names.
-func JobOf(key string) wire.JobID { return wire.JobID(key[len(state.OpenJobPrefix):]) }
+// JobIDFromKey returns the job ID in the key of an open-job record.
+func JobIDFromKey(key string) wire.JobID { return wire.JobID(key[len(state.OpenJobPrefix):]) }
--- a/internal/openjobs/openjobs_test.go
+++ b/internal/openjobs/openjobs_test.go
@@ -15,28 +15,28 @@
 
 func TestResolvedTimestamp(t *testing.T) {
 	var resolved ResolvedTimestamp
-	if resolved.NewerThan(1, micros.Forever) {
-		t.Error("a timestamp that never advanced is new")
+	if resolved.Fresh(1, micros.Forever) {
+		t.Error("a timestamp that never advanced counts as fresh")
 	}
 	resolved.Advance(100)
-	resolved.Advance(50) // a request that was answered late
+	resolved.Advance(50) // an earlier request whose response arrives late
 	cases := map[micros.Timestamp]bool{100: true, 109: true, 110: false, 200: false}
 	for now, want := range cases {
-		if got := resolved.NewerThan(now, 10); got != want || resolved.At() != 100 {
-			t.Errorf("at %d: newer than 10 us is %v, want %v; the timestamp is %d, want 100", now, got, want, resolved.At())
+		if got := resolved.Fresh(now, 10); got != want || resolved.At() != 100 {
+			t.Errorf("Fresh(%d, 10) = %v, want %v; At() = %d, want 100", now, got, want, resolved.At())
 		}
 	}
 }
 
-// fakeStore answers each watch by the next of its answers, and blocks after the last.
+// fakeStore expects the given watch requests in order, and blocks any further ones until their context ends.
 type fakeStore struct {
 	t       *testing.T
-	watches []watch
+	watches []expectedWatch
 	listed  []wire.KeyValue
 }
 
-// watch is a watch that the store expects, and its answer.
-type watch struct {
+// expectedWatch is an expected watch request and the response to it.
+type expectedWatch struct {
 	from   uint64
 	result *wire.WatchResponse
 	err    error
@@ -52,7 +52,7 @@
 	next := s.watches[0]
 	s.watches = s.watches[1:]
 	if from != next.from || prefix != state.OpenJobPrefix {
-		s.t.Errorf("watched %q from revision %d, want %q from %d", prefix, from, state.OpenJobPrefix, next.from)
+		s.t.Errorf("got a watch of %q from revision %d, want %q from %d", prefix, from, state.OpenJobPrefix, next.from)
 	}
 	return next.result, next.err
 }
@@ -61,39 +61,39 @@
 	return s.listed, 30, nil
 }
 
-func TestWatcherContinuesFromWhatItHas(t *testing.T) {
+func TestWatcherContinuesFromLastRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		value := json.RawMessage(`{}`)
 		listed := []wire.KeyValue{{Key: state.OpenJobKey("c"), Value: value, Version: 25}}
 		events := []wire.WatchEvent{{Put: state.OpenJobKey("a"), Value: value, Version: 11}, {Delete: state.OpenJobKey("b")}}
-		store := &fakeStore{t: t, listed: listed, watches: []watch{
+		store := &fakeStore{t: t, listed: listed, watches: []expectedWatch{
 			{from: 10, result: &wire.WatchResponse{Revision: 12, Events: events}},
 			{from: 12, err: state.ErrUnavailable},
 			{from: 12, err: state.ErrCompacted},
 			{from: 30, result: &wire.WatchResponse{Revision: 31}},
 		}}
 		clock := micros.NewClock()
-		began, served := clock.Now(), 0
+		start, served := clock.Now(), 0
 		ctx, cancel := context.WithCancel(t.Context())
 		var updates []Update
-		watcher := Watcher{Store: store, Clock: clock, Served: func() { served++ }}
+		watcher := Watcher{Store: store, Clock: clock, OnServed: func() { served++ }}
 		watcher.Run(ctx, 10, func(update Update) {
 			if updates = append(updates, update); len(updates) == 3 {
 				cancel()
 			}
 		})
-		after := began.Add(100 * micros.Millisecond) // the pause after an error
+		after := start.Add(100 * micros.Millisecond) // the retry interval after the error
 		changed := []wire.KeyValue{{Key: state.OpenJobKey("a"), Value: value, Version: 11}}
 		want := []Update{
-			{RequestedAt: began, Records: changed, Removed: []wire.JobID{"b"}},
+			{RequestedAt: start, Records: changed, Removed: []wire.JobID{"b"}},
 			{RequestedAt: after, CompleteAt: 30, Records: listed},
 			{RequestedAt: after},
 		}
 		if !reflect.DeepEqual(updates, want) {
-			t.Errorf("updates are\n%+v, want\n%+v", updates, want)
+			t.Errorf("updates are\n%+v\nwant\n%+v", updates, want)
 		}
 		if served != 2 {
-			t.Errorf("the store served %d watches, want 2", served)
+			t.Errorf("OnServed was called %d times, want 2", served)
 		}
 	})
 }
