--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,6 +1,6 @@
-// Package placement runs a controller's framework scheduler on the leader's snapshots. A Placer owns the scheduler,
-// in one goroutine; the term or the follower of this controller offers it snapshots, and its lease requests go to the
-// leader that published them. It grants nothing and writes nothing.
+// Package placement runs a controller's framework scheduler on the leader's snapshots. A Placer owns the scheduler in
+// the goroutine of Run. The controller's term or follower offers it snapshots, and it sends the scheduler's lease
+// requests to the leader that published the snapshot. A Placer grants no leases and writes nothing to the store.
 package placement
 
 import (
@@ -17,21 +17,21 @@
 	"saffronbend/wire"
 )
 
-// contactInterval is the longest time between two lease requests: an empty one shows the leader that this controller
-// works.
-const contactInterval = 400 * micros.Millisecond
+// keepaliveInterval is the maximum time between two messages with lease requests. If the scheduler has no requests, an
+// empty message shows the leader that this controller is alive.
+const keepaliveInterval = 400 * micros.Millisecond
 
-// LeaseGranter is the leader, which grants or refuses lease requests.
+// LeaseGranter sends lease requests to the leader, which grants or refuses them.
 type LeaseGranter interface {
 	RequestLeases(ctx context.Context, requests []lease.Transaction) (*peer.LeaseResponses, error)
 }
 
-// TypeCatalog has the machine types, nil while they are not known.
+// TypeCatalog provides the machine types. Types returns nil while the types are not known.
 type TypeCatalog interface {
 	Types() []wire.MachineType
 }
 
-// Config is what a Placer needs.
+// Config holds the dependencies and parameters of a Placer.
 type Config struct {
 	Controller string
 	Tuning     settings.Tuning
@@ -43,7 +43,7 @@
 // Placer places the tasks of the teams that the leader has assigned to this controller.
 type Placer struct {
 	cfg    Config
-	offers chan offer // holds the newest
+	offers chan offer // has capacity 1, and holds the newest offer that Run has not received yet
 }
 
 // offer is a snapshot and the leader that published it.
@@ -52,10 +52,11 @@
 	leader   LeaseGranter
 }
 
-// New returns a placer; Run runs it.
+// New returns a Placer that places tasks once Run is called.
 func New(cfg Config) *Placer { return &Placer{cfg: cfg, offers: make(chan offer, 1)} }
 
-// Offer replaces the snapshot that waits, if any, by a newer one. Only one goroutine may call it at a time.
+// Offer passes a new snapshot to the Placer. It replaces the previously offered snapshot if Run has not received that
+// yet. Offer must not be called concurrently.
 func (p *Placer) Offer(newest *snapshot.Snapshot, leader LeaseGranter) {
 	for {
 		select {
@@ -67,15 +68,15 @@
 	}
 }
 
-// mergeCompletedRuns returns the newer snapshot with the completed runs of the one that it replaces before its own:
-// each is published once.
+// mergeCompletedRuns returns the newer snapshot with the completed runs of the snapshot that it replaces prepended to
+// its own. Each completed run is published in only one snapshot, so it would otherwise be lost.
 func mergeCompletedRuns(replaced, newer *snapshot.Snapshot) *snapshot.Snapshot {
 	if replaced.FencingToken != newer.FencingToken || len(replaced.CompletedRuns) == 0 {
 		return newer
 	}
-	both := *newer
-	both.CompletedRuns = append(append([]snapshot.CompletedRun(nil), replaced.CompletedRuns...), newer.CompletedRuns...)
-	return &both
+	merged := *newer
+	merged.CompletedRuns = append(append([]snapshot.CompletedRun(nil), replaced.CompletedRuns...), newer.CompletedRuns...)
+	return &merged
 }
 
 // Run places tasks until ctx ends.
@@ -96,19 +97,19 @@
 	}
 }
 
-// place decides on one snapshot, in as many rounds as it takes unless a newer snapshot comes. It returns when the last
-// lease request was sent.
+// place runs scheduling rounds on one snapshot. It stops when the scheduler has finished, when the snapshot no longer
+// shows all granted leases, or when a newer snapshot is available. It returns when the last lease request was sent.
 func (p *Placer) place(ctx context.Context, framework *scheduler.Scheduler, leader LeaseGranter,
 	lastRequest micros.Timestamp) micros.Timestamp {
 	for more := true; more; more = framework.Unfinished() && framework.UpToDate() && len(p.offers) == 0 {
 		requests := framework.Round(p.cfg.Clock.Now(), routine.Budget(p.cfg.Tuning.RoundBudget))
-		if len(requests) == 0 && p.cfg.Clock.Now().Sub(lastRequest) < contactInterval {
+		if len(requests) == 0 && p.cfg.Clock.Now().Sub(lastRequest) < keepaliveInterval {
 			continue
 		}
 		lastRequest = p.cfg.Clock.Now()
 		responses, err := leader.RequestLeases(ctx, requests)
 		if err != nil {
-			p.cfg.Log.Debug("lease requests were not served", "error", err)
+			p.cfg.Log.Debug("the leader did not serve the lease requests", "error", err)
 			return lastRequest
 		}
 		if len(requests) > 0 {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -20,13 +20,15 @@
 		offers []*snapshot.Snapshot
 		want   []wire.JobID
 	}{
-		"one": {[]*snapshot.Snapshot{offered(1, 1, "a")}, []wire.JobID{"a"}},
-		"several of a term": {
+		"one snapshot": {[]*snapshot.Snapshot{offered(1, 1, "a")}, []wire.JobID{"a"}},
+		"several snapshots of a term": {
 			[]*snapshot.Snapshot{offered(1, 1, "a"), offered(1, 2), offered(1, 3, "b", "c")},
 			[]wire.JobID{"a", "b", "c"},
 		},
-		"of an earlier term":  {[]*snapshot.Snapshot{offered(1, 7, "a"), offered(2, 1, "b")}, []wire.JobID{"b"}},
-		"nothing was dropped": {[]*snapshot.Snapshot{offered(1, 1), offered(1, 2, "b")}, []wire.JobID{"b"}},
+		"snapshots of two terms": {[]*snapshot.Snapshot{offered(1, 7, "a"), offered(2, 1, "b")}, []wire.JobID{"b"}},
+		"no runs in the replaced snapshot": {
+			[]*snapshot.Snapshot{offered(1, 1), offered(1, 2, "b")}, []wire.JobID{"b"},
+		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -36,14 +38,14 @@
 			}
 			latest := (<-placer.offers).snapshot
 			if want := c.offers[len(c.offers)-1].Version; latest.Version != want {
-				t.Errorf("version %d waits, want %d", latest.Version, want)
+				t.Errorf("the offered snapshot has version %d, want %d", latest.Version, want)
 			}
 			var got []wire.JobID
 			for _, run := range latest.CompletedRuns {
 				got = append(got, run.Job)
 			}
 			if !slices.Equal(got, c.want) {
-				t.Errorf("completed runs of %v, want %v", got, c.want)
+				t.Errorf("completed runs are of jobs %v, want %v", got, c.want)
 			}
 		})
 	}
