--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -191,7 +191,7 @@
 		for _, job := range update.Removed {
 			t.manager.OpenRecordRemoved(job)
 		}
-		t.manager.ForgetRemovedBefore(update.CompleteAt)
+		t.manager.ForgetDeletionsUpTo(update.CompleteAt)
 		t.resolved.Advance(update.RequestedAt)
 	})
 }
--- a/internal/manager/assignments.go
+++ b/internal/manager/assignments.go
@@ -7,13 +7,14 @@
 	"saffronbend/wire"
 )
 
-// AssignTeams assigns each team to the controller that places its jobs, and returns the assignments by team; nil if
-// there are no controllers. A team stays where it was while that controller lives and no controller has two teams
-// more than another.
+// AssignTeams distributes teams evenly over controllers and returns the controller of each team, which places the
+// team's jobs. before holds the previous assignments: a team keeps its controller as long as the controller is alive,
+// unless the team has to be reassigned because one controller has at least two teams more than another. The result is
+// nil if there are no controllers.
 func AssignTeams(
 	before map[wire.TeamName]string, teams []wire.TeamName, controllers []string,
 ) map[wire.TeamName]string {
-	load := map[string]int{} // teams by controller
+	load := map[string]int{} // number of teams by controller
 	for _, controller := range controllers {
 		load[controller] = 0
 	}
--- a/internal/manager/assignments_test.go
+++ b/internal/manager/assignments_test.go
@@ -17,13 +17,13 @@
 		want        assignments
 	}{
 		{"no controllers", nil, []wire.TeamName{"red"}, nil, nil},
-		{"teams are spread", nil, []wire.TeamName{"red", "blue", "green"}, []string{"c0", "c1"},
+		{"teams are distributed evenly", nil, []wire.TeamName{"red", "blue", "green"}, []string{"c0", "c1"},
 			assignments{"red": "c0", "blue": "c1", "green": "c0"}},
-		{"teams stay where they are", assignments{"red": "c1", "blue": "c0"}, []wire.TeamName{"red", "blue"},
+		{"teams keep their controllers", assignments{"red": "c1", "blue": "c0"}, []wire.TeamName{"red", "blue"},
 			[]string{"c0", "c1"}, assignments{"red": "c1", "blue": "c0"}},
-		{"a controller has ended", assignments{"red": "c1", "blue": "c0"}, []wire.TeamName{"red", "blue"},
+		{"a controller is gone", assignments{"red": "c1", "blue": "c0"}, []wire.TeamName{"red", "blue"},
 			[]string{"c0", "c2"}, assignments{"red": "c2", "blue": "c0"}},
-		{"a controller is new", assignments{"red": "c0", "blue": "c0", "green": "c0"},
+		{"a controller joins", assignments{"red": "c0", "blue": "c0", "green": "c0"},
 			[]wire.TeamName{"red", "blue", "green"}, []string{"c0", "c1"},
 			assignments{"red": "c1", "blue": "c0", "green": "c0"}},
 	} {
--- a/internal/manager/cancellation_test.go
+++ b/internal/manager/cancellation_test.go
@@ -8,13 +8,13 @@
 	"saffronbend/wire"
 )
 
-// Until when a late launch of a cancelled job can still be made known counts from the earliest moment at which its
-// cancellation can have been confirmed.
+// The period in which a late launch of a cancelled job is answered with a launch and a stop is measured from the
+// earliest time at which the cancellation can have been confirmed to the user.
 func TestLateLaunchIsStoppedOnlyWithinTheCancelTimeout(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		age      micros.Duration
-		commands int // launch and stop, or none
+		commands int // 2: launch and stop
 	}{
 		{"soon after the cancellation", 2 * micros.Second, 2},
 		{"when the cancel timeout is nearly over", 26 * micros.Second, 0},
--- a/internal/manager/disruptions.go
+++ b/internal/manager/disruptions.go
@@ -9,24 +9,26 @@
 	"saffronbend/wire"
 )
 
-// disruptionRecord is the record of the ledger's entries that belong to a progress shard. Both records are written in
-// the same transaction, so that an attempt does not vanish from the one before it is found in the other.
+// disruptionRecord tracks the record of the open disruptions in one progress shard. It is written in the same
+// transaction as the shard's progress record, so that a new leader finds every disrupted attempt in one or the other.
 type disruptionRecord struct {
-	version uint64 // 0: the record does not exist
-	stored  string // its entries as they are stored
-	writing string // its entries in the write that is in flight
+	version  uint64 // in the key-value store; 0: the record does not exist
+	stored   string // encoded entries as last committed
+	inFlight string // encoded entries in the write that is in flight
 }
 
-// committed applies that the write of the record was executed.
+// committed records that the write of the record was committed at a revision. A write without entries deletes the
+// record.
 func (record *disruptionRecord) committed(revision uint64) {
-	record.stored, record.version = record.writing, revision
+	record.stored, record.version = record.inFlight, revision
 	if record.stored == "" {
 		record.version = 0
 	}
 }
 
-// beginDisruption records that an attempt which may run is being stopped, or was lost. The job's own end is no
-// disruption, nor is the end of an attempt whose result is known.
+// beginDisruption opens a disruption for an attempt that may be running and is being stopped or was lost. It does
+// nothing if the job is final, if the task's result is known or if the attempt was never launched: none of these is a
+// disruption.
 func (m *Manager) beginDisruption(now micros.Timestamp, attempt *taskAttempt, cause disruption.Cause) {
 	job := attempt.job
 	if m.ledger == nil || job.final() || job.taskPhases[attempt.taskIndex] != taskActive || neverLaunched(attempt) {
@@ -42,9 +44,9 @@
 	}
 }
 
-// endDisruptionIfRunning applies that an attempt is reported as running, which ends its task's disruption. If it is
-// the very attempt that was to be stopped, an earlier leader has decided that and not carried it out, and will not
-// any more: the agent has our token.
+// endDisruptionIfRunning ends a task's disruption when an attempt of the task is reported as running. This may be the
+// attempt whose stop opened the disruption: if this leader is not stopping it, the stop was decided by an earlier
+// leader and not carried out. It cannot be carried out any more, because the agent has this leader's fencing token.
 func (m *Manager) endDisruptionIfRunning(now micros.Timestamp, attempt *taskAttempt) {
 	disrupted, ok := m.ledger.Get(attempt.task())
 	if !ok || disrupted.Attempt == attempt.id && attempt.stopPending() {
@@ -53,7 +55,7 @@
 	m.endDisruption(now, attempt.job, attempt.taskIndex)
 }
 
-// endDisruption records that a task runs again, or need not any more.
+// endDisruption closes a task's disruption because the task is running again or no longer has to run.
 func (m *Manager) endDisruption(now micros.Timestamp, job *jobState, task int) {
 	disrupted, ok := m.ledger.End(disruption.Task{Job: job.id(), Index: task})
 	if !ok {
@@ -64,8 +66,8 @@
 		"reason", string(disrupted.Cause), "after_s", now.Sub(disrupted.Since).Seconds())
 }
 
-// RestoreDisruptions recovers the ledger from the records below the disruption prefix. It must be called before
-// anything is granted, and fails with a state.RecordError if a record cannot be decoded.
+// RestoreDisruptions restores the ledger from the records below the disruption prefix. It must be called before the
+// first lease is granted, and returns a state.RecordError if a record cannot be decoded.
 func (m *Manager) RestoreDisruptions(now micros.Timestamp, items []wire.KeyValue) error {
 	if m.ledger == nil {
 		return nil
@@ -93,7 +95,7 @@
 	return nil
 }
 
-// restoreDisruption recovers one entry, unless its task is done or its job is final by now.
+// restoreDisruption restores one open disruption, unless the task is done or the job is final.
 func (m *Manager) restoreDisruption(now micros.Timestamp, job *jobState, open state.OpenDisruption) {
 	if open.Task < 0 || open.Task >= len(job.taskPhases) || job.taskPhases[open.Task] >= taskDone || job.final() {
 		return
@@ -103,11 +105,11 @@
 		Task: task, Team: job.spec().Team, Attempt: open.Attempt, Cause: disruption.Cause(open.Cause), Since: now,
 	})
 	if open.ReservedMachine != "" {
-		m.reservations.inherited[task] = open.ReservedMachine
+		m.reservations.pendingRestore[task] = open.ReservedMachine
 	}
 }
 
-// encodeDisruptions returns entries as they are stored; empty: there are none.
+// encodeDisruptions returns the JSON encoding of open disruptions, or an empty string if there are none.
 func encodeDisruptions(open []state.OpenDisruption) (string, error) {
 	if len(open) == 0 {
 		return "", nil
@@ -116,7 +118,7 @@
 	return string(data), err
 }
 
-// openDisruptions returns the ledger's entries that belong to a progress shard.
+// openDisruptions returns the open disruptions of the tasks in a progress shard.
 func (m *Manager) openDisruptions(job *jobState, shardIndex int) []state.OpenDisruption {
 	var entries []state.OpenDisruption
 	for _, index := range m.ledger.TasksOfJob(job.id()) {
@@ -136,8 +138,8 @@
 	return entries
 }
 
-// disruptionChange returns the change of the record of a shard's disruptions that has to be written together with its
-// progress; changed is false if the stored record is up to date.
+// disruptionChange returns the change of a shard's disruption record, which must be written in the same transaction as
+// the shard's progress record. changed is false if the stored record is up to date.
 func (m *Manager) disruptionChange(job *jobState, shardIndex int, mark string) (change RecordChange, changed bool) {
 	if m.ledger == nil {
 		return RecordChange{}, false
@@ -148,7 +150,7 @@
 	if err != nil || encoded == record.stored {
 		return RecordChange{}, false
 	}
-	record.writing = encoded
+	record.inFlight = encoded
 	change = RecordChange{Key: state.DisruptionKey(job.id(), shardIndex), Version: record.version}
 	if len(open) > 0 {
 		change.Value = state.DisruptionRecord{Open: open, IdempotencyMark: mark}
@@ -157,8 +159,9 @@
 	return change, true
 }
 
-// evictionsRecordedIn returns the attempts of a progress shard whose eviction is being recorded.
-func (m *Manager) evictionsRecordedIn(job *jobState, shardIndex int) []*taskAttempt {
+// pendingEvictionsInShard returns the attempts in a progress shard that are stopped as soon as their disruption is
+// durable.
+func (m *Manager) pendingEvictionsInShard(job *jobState, shardIndex int) []*taskAttempt {
 	if m.ledger == nil {
 		return nil
 	}
--- a/internal/manager/disruptions_test.go
+++ b/internal/manager/disruptions_test.go
@@ -10,8 +10,8 @@
 	"saffronbend/wire"
 )
 
-// A loss counts once, whichever way it becomes known, and however often.
-func TestLossCountsOnce(t *testing.T) {
+// A lost attempt is counted as one disruption, however its loss is detected and however often it is reported.
+func TestLossIsCountedOnce(t *testing.T) {
 	running := taskStatus("run-1/0", firstAttempt, "running")
 	for _, c := range []struct {
 		name string
@@ -32,7 +32,7 @@
 			h.runTask()
 			c.lose(h)
 			h.want(h.openDisruptions(), "run-1/0 lost")
-			// A late copy of a heartbeat changes nothing.
+			// A delayed heartbeat is ignored.
 			h.heartbeatWithSeq(3, "n-1-a", token, 1, running)
 			h.start("n-4-a")
 			h.grant("run-1", "n-4-a", 1)
@@ -47,12 +47,12 @@
 	}
 }
 
-// An attempt that fails by itself or is done is not disrupted.
-func TestExitsThatAreNoDisruption(t *testing.T) {
+// A task whose attempt exits by itself, with or without a result, is not disrupted.
+func TestExitIsNoDisruption(t *testing.T) {
 	for _, c := range []struct{ name, exit string }{
-		{"it fails", "ended error"},
-		{"it is done", "ended done"},
-		{"the machine has no room for it", "ended no_room"},
+		{"the task fails", "ended error"},
+		{"the task completes", "ended done"},
+		{"the machine has insufficient resources", "ended no_room"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newDrainHarness(t, nil, nil, nil)
@@ -63,7 +63,7 @@
 	}
 }
 
-// An attempt that was never launched is not disrupted when it is withdrawn.
+// Withdrawing an attempt that was never launched does not disrupt its task.
 func TestWithdrawalIsNoDisruption(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.placeTask()
@@ -72,35 +72,38 @@
 	h.want(h.m.jobs.byID["run-1"].waiting, 1)
 }
 
-// A new leader knows what was disrupted. An eviction that was decided and not carried out is decided anew; one whose
-// task already writes its checkpoint goes on.
-func TestDisruptionsSurviveTheLeader(t *testing.T) {
-	const before = 5<<attemptBits | 3
+// A new leader restores the open disruptions from their records. An eviction that was recorded but not carried out has
+// to be decided again: the disruption ends as soon as the task is reported as running. The disruption of a task that is
+// already writing its checkpoint stays open.
+func TestDisruptionsSurviveLeaderChange(t *testing.T) {
+	const earlierAttempt = 5<<attemptBits | 3
 	open := []wire.KeyValue{storedItem("open/run-1", 4, record("run-1", 3, withCheckpoints))}
 	progress := []wire.KeyValue{storedItem("tasks/run-1/0", 6, state.ProgressRecord{Active: []state.Placement{
-		{Task: 0, Machine: "n-1-a", Attempt: before, Incarnation: 1},
-		{Task: 1, Machine: "n-1-a", Attempt: before + 1, Incarnation: 1},
+		{Task: 0, Machine: "n-1-a", Attempt: earlierAttempt, Incarnation: 1},
+		{Task: 1, Machine: "n-1-a", Attempt: earlierAttempt + 1, Incarnation: 1},
 	}})}
 	disruptions := []wire.KeyValue{
 		storedItem("disruption/run-1/0", 6, state.DisruptionRecord{Open: []state.OpenDisruption{
-			{Task: 0, Attempt: before, Cause: "drain"},
-			{Task: 1, Attempt: before + 1, Cause: "drain"},
-			{Task: 2, Attempt: before + 2, Cause: "lost"},
+			{Task: 0, Attempt: earlierAttempt, Cause: "drain"},
+			{Task: 1, Attempt: earlierAttempt + 1, Cause: "drain"},
+			{Task: 2, Attempt: earlierAttempt + 2, Cause: "lost"},
 		}}),
 		storedItem("disruption/run-9/0", 7, state.DisruptionRecord{Open: []state.OpenDisruption{
-			{Task: 0, Attempt: before, Cause: "lost"},
+			{Task: 0, Attempt: earlierAttempt, Cause: "lost"},
 		}}),
 	}
 	h := newDrainHarness(t, open, progress, disruptions)
 	h.want(h.openDisruptions(), "run-1/0 drain, run-1/1 drain, run-1/2 lost")
-	h.heartbeat("n-1-a", 5, 1, taskStatus("run-1/0", before, "running"), taskStatus("run-1/1", before+1, "saving"))
-	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", before, "running"), taskStatus("run-1/1", before+1, "saving"))
+	h.heartbeat("n-1-a", 5, 1,
+		taskStatus("run-1/0", earlierAttempt, "running"), taskStatus("run-1/1", earlierAttempt+1, "saving"))
+	h.heartbeat("n-1-a", token, 1,
+		taskStatus("run-1/0", earlierAttempt, "running"), taskStatus("run-1/1", earlierAttempt+1, "saving"))
 	h.want(h.openDisruptions(), "run-1/1 drain, run-1/2 lost")
 	_, keys := h.nextWrite()
 	h.want(keys, "-disruption/run-9/0")
 }
 
-// A preempted task is disrupted, though no budget allows it.
+// A preempted task is disrupted. Preemption is not limited by disruption budgets.
 func TestPreemptionIsADisruption(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
@@ -113,7 +116,7 @@
 	h.want(h.openDisruptions(), "run-1/0 preemption")
 }
 
-// A task that writes its checkpoint because its machine is reclaimed is disrupted from then on.
+// A task that is stopped because its machine is about to be reclaimed is disrupted.
 func TestReclaimedMachineIsADisruption(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
@@ -122,7 +125,8 @@
 	h.want(h.openDisruptions(), "run-1/0 reclaimed")
 }
 
-// A write contains a shard's progress and its disruptions, or neither, also where transactions have two changes.
+// The progress record and the disruption record of a shard are written in one transaction or not at all, even if a
+// transaction is limited to two changes.
 func TestProgressAndDisruptionsAreWrittenTogether(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
--- a/internal/manager/drains.go
+++ b/internal/manager/drains.go
@@ -12,12 +12,13 @@
 	"saffronbend/wire"
 )
 
-// lateListFactor is how many list lags it takes, in a new term, until a machine that is not listed is gone: a list
-// may lag by twice the usual time and be older than the one before.
-const lateListFactor = 4
+// listLagFactor is the number of list lags that must pass in a new term before a machine that the cloud does not list
+// counts as gone: a list can be twice as old as usual, and can be older than the list before it.
+const listLagFactor = 4
 
-// SetCordons sets which machines get nothing new, and in which pools the fleet rents no machine that it can rent
-// elsewhere. What was granted on a machine that is newly cordoned and was not launched is withdrawn.
+// SetCordons sets the cordoned machines, which receive no new tasks, and the vacated pools, in which the fleet rents
+// machines only if it cannot rent them elsewhere. Attempts on newly cordoned machines that have been granted but not
+// launched are withdrawn.
 func (m *Manager) SetCordons(now micros.Timestamp, cordons map[wire.MachineID]bool, vacatedPools []drain.VacatedPool) {
 	m.vacatedPools = vacatedPools
 	before := m.cordons
@@ -35,7 +36,7 @@
 	}
 }
 
-// withdrawUnlaunched withdraws what was granted on a machine and never launched.
+// withdrawUnlaunched withdraws the attempts on a machine that were granted but never launched.
 func (m *Manager) withdrawUnlaunched(now micros.Timestamp, machine *machineState) {
 	for _, attempt := range attemptsByID(machine.attempts) {
 		switch {
@@ -48,8 +49,8 @@
 	}
 }
 
-// SetReplacements sets which tasks are to be evicted once there is room for them elsewhere; a gang counts as a whole.
-// The next snapshot shows them to the fleet.
+// SetReplacements sets the tasks that are to be evicted as soon as other machines have capacity for them. A task of a
+// gang stands for the whole gang. The next snapshot reports these tasks to the fleet.
 func (m *Manager) SetReplacements(tasks []disruption.Task) {
 	clear(m.replacements)
 	for _, task := range tasks {
@@ -61,7 +62,8 @@
 	}
 }
 
-// publishedReplacements returns the jobs with tasks that cannot leave their machines for lack of room elsewhere.
+// publishedReplacements returns the jobs with tasks that cannot be evicted for lack of capacity on other machines.
+// Waiting is the number of these tasks of each job.
 func (m *Manager) publishedReplacements() []*snapshot.Job {
 	var jobs []*snapshot.Job
 	for _, id := range slices.Sorted(maps.Keys(m.replacements)) {
@@ -74,14 +76,14 @@
 	return jobs
 }
 
-// DrainSnapshot returns the cordoned machines with their attempts, and how many tasks of each team run and are
-// disrupted.
+// DrainSnapshot returns the cordoned machines with their attempts, and the numbers of running and disrupted tasks of
+// each team.
 func (m *Manager) DrainSnapshot(now micros.Timestamp) drain.Snapshot {
 	published := drain.Snapshot{
 		Now:            now,
 		Machines:       map[wire.MachineID]drain.Machine{},
 		Teams:          m.TeamUsage(now),
-		MachinesListed: m.machines.listed && now.Sub(m.termStart) > lateListFactor*m.cfg.ListLag,
+		MachinesListed: m.machines.listed && now.Sub(m.termStart) > listLagFactor*m.cfg.ListLag,
 	}
 	for id := range m.cordons {
 		if machine := m.machines.byID[id]; machine != nil {
@@ -112,19 +114,20 @@
 		DisruptedTasks: 1,
 		ExpectedEnd:    m.estimates.expectedEnd(now, attempt),
 		Stopping:       !m.evictable(attempt),
-		Checkpoints:    spec.CheckpointIntervalS > 0, // one that is reported as fetching may run by now
+		Checkpoints:    spec.CheckpointIntervalS > 0, // also if reported as fetching: it may be running by now
 	}
 	if peers := attempt.job.gang; peers != nil {
 		phase := peers.Phase()
 		drained.Gang, drained.DisruptedTasks = true, len(attempt.job.active)
 		drained.Stopping = drained.Stopping ||
 			phase == gang.Checkpointing || phase == gang.Aborting || phase == gang.Complete
-		drained.Checkpoints = drained.Checkpoints && (phase == gang.Launched || m.savesInTime(now, attempt.job))
+		drained.Checkpoints = drained.Checkpoints && (phase == gang.Launched || m.canCheckpointInTime(now, attempt.job))
 	}
 	return drained
 }
 
-// resultsDurable reports whether all results that came from a machine are durable: only then may it be deleted.
+// resultsDurable reports whether all results reported from a machine are durable. The machine must not be deleted
+// before. Results that have become durable are dropped from machine.unwrittenResults.
 func (m *Manager) resultsDurable(machine *machineState) bool {
 	machine.unwrittenResults = slices.DeleteFunc(machine.unwrittenResults, func(result completedTask) bool {
 		job := result.job
@@ -133,7 +136,7 @@
 	return len(machine.unwrittenResults) == 0
 }
 
-// TeamUsage returns how many tasks of each team run and are disrupted, by team.
+// TeamUsage returns the numbers of running and disrupted tasks by team. A disrupted task counts as running, too.
 func (m *Manager) TeamUsage(now micros.Timestamp) map[wire.TeamName]drain.TeamUsage {
 	usage := map[wire.TeamName]drain.TeamUsage{}
 	for name := range m.quota {
@@ -146,8 +149,8 @@
 	return usage
 }
 
-// addTeamUsage adds the tasks on a machine. What is on a machine that does not report may be lost already, so it
-// counts as disrupted until more is known.
+// addTeamUsage adds the tasks on a machine to the usage of their teams. Tasks on a machine that does not report may be
+// lost already, so they count as disrupted until the machine reports again.
 func (m *Manager) addTeamUsage(now micros.Timestamp, machine *machineState, usage map[wire.TeamName]drain.TeamUsage) {
 	known := m.hasCurrentStatus(now, machine)
 	for _, attempt := range machine.attempts {
@@ -163,7 +166,7 @@
 	}
 }
 
-// KnownMachines returns the machines that a drain may name, by identifier.
+// KnownMachines returns the machines that a drain may select, in order of their identifiers.
 func (m *Manager) KnownMachines(now micros.Timestamp) []drain.KnownMachine {
 	var known []drain.KnownMachine
 	for _, machine := range m.machines.sorted() {
--- a/internal/manager/drains_test.go
+++ b/internal/manager/drains_test.go
@@ -9,8 +9,9 @@
 	"saffronbend/wire"
 )
 
-// Cordoned machines get nothing new in any way, and have no room for anybody.
-func TestCordonedMachinesGetNothing(t *testing.T) {
+// A cordoned machine receives no tasks, whether by a grant, by waiting for a lease or by a reservation, and it is not
+// published as usable or expected to be usable soon.
+func TestCordonedMachineReceivesNoTasks(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
 	h.submit("run-2", 4, nil)
@@ -23,14 +24,14 @@
 	h.m.ReserveForWaitingJobs(h.now)
 	for _, published := range h.m.Snapshot(h.now).Machines {
 		if published.Usable || published.ExpectedSoon || published.ReservedForJob != "" {
-			t.Errorf("%+v", published)
+			t.Errorf("cordoned machine is published as available: %+v", published)
 		}
 	}
 	h.m.SetCordons(h.now, map[wire.MachineID]bool{}, nil)
 	h.want(h.grant("run-2", "n-2-a", 1), 1)
 }
 
-// A machine is empty for a drain only when the results that came from it are durable.
+// A drain treats a machine as empty only when the results reported from it are durable.
 func TestMachineIsEmptyOnceResultsAreDurable(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
@@ -41,9 +42,9 @@
 	h.want(h.m.DrainSnapshot(h.now).Machines["n-1-a"].Empty, true)
 }
 
-// A task that writes no checkpoint and was last reported as fetching may run by now: its end is waited for. The
-// scenario drain-deadline failed in 2 of 16 plays before that.
-func TestFetchingTaskMayRun(t *testing.T) {
+// A task that writes no checkpoints and was last reported as fetching may be running by now, so a drain has to wait for
+// its end instead of evicting it. Without this rule, the scenario drain-deadline failed in 2 of 16 runs.
+func TestFetchingTaskMayBeRunning(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.placeTask()
 	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "fetching"))
@@ -51,7 +52,8 @@
 	h.want(h.m.DrainSnapshot(h.now).Machines["n-1-a"].Attempts[0].Checkpoints, false)
 }
 
-// Tasks on machines that do not report count as disrupted; for a new leader until they have reported, too.
+// Tasks on machines that do not report count as disrupted. Under a new leader, tasks on machines that have not reported
+// to it yet count as disrupted, too.
 func TestTasksOnSilentMachinesCountAsDisrupted(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
--- a/internal/manager/estimates.go
+++ b/internal/manager/estimates.go
@@ -6,23 +6,23 @@
 	"saffronbend/internal/micros"
 )
 
-// runTimeEstimator learns, by class, how far the owners' estimates of run times are off. On some days they are mostly
-// too high or mostly too low.
+// runTimeEstimator learns for each job class how far submitted run time estimates are off. On some days most estimates
+// are too high, on other days most are too low.
 type runTimeEstimator struct {
-	bias map[string]float64 // by class: logarithm of run time over estimate
+	bias map[string]float64 // by class: moving average of the logarithm of run time over estimate
 }
 
-// learn takes a job that is done into account. It counts once, however many tasks it has, since they share their
-// estimate.
-func (estimator *runTimeEstimator) learn(job *jobState) {
+// observeCompletedJob updates the bias of a completed job's class. A job counts once regardless of its number of tasks,
+// because all its tasks share one estimate.
+func (estimator *runTimeEstimator) observeCompletedJob(job *jobState) {
 	spec := job.spec()
 	if job.normalRuns == 0 || spec.EstimateS <= 0 {
 		return
 	}
 	const (
-		weight     = 0.15 // of the newest job
-		maxBias    = 1.5
-		minRunTime = 0.1 // seconds
+		weight     = 0.15 // of the newest job in the moving average
+		maxBias    = 1.5  // limit for the logarithm of a single job
+		minRunTime = 0.1  // seconds
 	)
 	meanRunTime := job.normalRunTime.Seconds() / float64(job.normalRuns)
 	ratio := math.Log(max(minRunTime, meanRunTime) / spec.EstimateS)
@@ -30,8 +30,8 @@
 	estimator.bias[spec.Class] = bias + weight*(min(maxBias, max(-maxBias, ratio))-bias)
 }
 
-// estimate returns a job's expected run time: the mean of its tasks where some are done, or else the owner's estimate,
-// corrected by the bias of its class.
+// estimate returns the expected run time of a job's tasks: the mean run time of its completed tasks if there are enough
+// of them, otherwise the submitted estimate corrected by the bias of the job's class.
 func (estimator *runTimeEstimator) estimate(job *jobState) micros.Duration {
 	const enoughRuns = 3
 	if job.normalRuns >= enoughRuns {
@@ -41,7 +41,7 @@
 	return micros.Seconds(spec.EstimateS).Scale(math.Exp(estimator.bias[spec.Class]))
 }
 
-// expectedEnd returns when an attempt's run should end. One that has not begun counts as beginning now.
+// expectedEnd returns when an attempt is expected to end. An attempt that is not running yet is assumed to start now.
 func (estimator *runTimeEstimator) expectedEnd(now micros.Timestamp, attempt *taskAttempt) micros.Timestamp {
 	start := now
 	if attempt.runningSince != 0 {
--- a/internal/manager/estimates_test.go
+++ b/internal/manager/estimates_test.go
@@ -8,8 +8,8 @@
 	"saffronbend/wire"
 )
 
-// Where a class's estimates are mostly too high, those of its next jobs are corrected; those of another class are
-// not.
+// If completed jobs of a class have mostly run shorter than estimated, the estimates of that class's next jobs are
+// lowered. Other classes are not affected.
 func TestEstimatesAreCorrectedByClass(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	next := firstAttempt
@@ -31,7 +31,7 @@
 	for _, published := range h.m.Snapshot(h.now).Jobs {
 		s := published.Estimate.Seconds()
 		if published.ID == "run-90" && (s < 20 || s > 35) || published.ID == "run-91" && s != 80 {
-			t.Errorf("%s is expected to run %v s", published.ID, s)
+			t.Errorf("estimated run time of %s: %v s, want 20 to 35 s for run-90 and 80 s for run-91", published.ID, s)
 		}
 	}
 }
--- a/internal/manager/evictions.go
+++ b/internal/manager/evictions.go
@@ -11,9 +11,9 @@
 	"saffronbend/internal/resources"
 )
 
-// Evict has a task, or the gang that it belongs to, leave its machine: room for the successor is reserved, and the
-// attempt is stopped once its disruption is durable. If there is no room, nothing changes. A task that has no attempt
-// any more is reported as such.
+// Evict evicts a task, or the whole gang that the task belongs to: it reserves capacity for the successors, and stops
+// the attempts once their disruptions are durable. It changes nothing if there is not enough capacity (NoCapacity) or
+// if the task has no attempt (AttemptEnded).
 func (m *Manager) Evict(now micros.Timestamp, task disruption.Task) drain.EvictionOutcome {
 	job := m.jobs.byID[task.Job]
 	if job == nil || job.active[task.Index] == nil {
@@ -33,7 +33,7 @@
 	return drain.Evicted
 }
 
-// beginEviction reserves room for an attempt's successor and has the eviction recorded.
+// beginEviction reserves capacity for an attempt's successor and queues the write that records the eviction.
 func (m *Manager) beginEviction(
 	now micros.Timestamp, attempt *taskAttempt, destination *machineState, cause disruption.Cause,
 ) {
@@ -43,7 +43,8 @@
 	m.writes.markDirty(now, attempt.job, attempt.taskIndex, true)
 }
 
-// executeEvictions stops the attempts whose eviction has become durable.
+// executeEvictions stops the attempts whose disruption has become durable. It abandons a move if the destination was
+// lost meanwhile.
 func (m *Manager) executeEvictions(now micros.Timestamp, evictions []*taskAttempt) {
 	for _, attempt := range evictions {
 		job, cause := attempt.job, attempt.pendingEviction
@@ -63,27 +64,28 @@
 	}
 }
 
-// evictable reports whether an attempt may be stopped for a drain or a move: it is not being stopped already, its
-// task is not disrupted, and its job is not final.
+// evictable reports whether an attempt may be stopped for a drain or a move: it is not being stopped already, its task
+// is not disrupted, and its job is not final.
 func (m *Manager) evictable(attempt *taskAttempt) bool {
 	_, disrupted := m.ledger.Get(attempt.task())
-	return !disrupted && !m.leaving(attempt)
+	return !disrupted && !m.stopping(attempt)
 }
 
-// leaving reports whether an attempt is being stopped for whatever reason. The successor of one that was is not: it is
-// load on its machine from the moment at which it is placed, though its task is still disrupted.
-func (m *Manager) leaving(attempt *taskAttempt) bool {
+// stopping reports whether an attempt is being stopped for any reason. The successor of a stopped attempt is not
+// stopping although the task stays disrupted until the successor runs: from its placement on, the successor counts as
+// load on its machine.
+func (m *Manager) stopping(attempt *taskAttempt) bool {
 	disrupted, ok := m.ledger.Get(attempt.task())
 	return attempt.stopPending() || ok && disrupted.Attempt == attempt.id || attempt.job.final()
 }
 
-// destinationsFor returns a machine for the successor of each evicted attempt of a job; ok is false if there is not
-// enough room for all. The successors of a gang may use the room of their predecessors on machines that are not
-// cordoned.
+// destinationsFor returns a machine for the successor of each evicted attempt of a job. ok is false if there is not
+// enough capacity for all of them. The successors of a gang's attempts may use the resources that the gang releases on
+// machines that are not cordoned.
 func (m *Manager) destinationsFor(
 	now micros.Timestamp, job *jobState, evicted []*taskAttempt,
 ) (destinations []*machineState, ok bool) {
-	released := map[*machineState]int{} // tasks of the gang by machine
+	released := map[*machineState]int{} // evicted tasks of the gang by machine
 	if job.gang != nil {
 		for _, attempt := range evicted {
 			released[attempt.machine]++
@@ -105,23 +107,24 @@
 	return nil, false
 }
 
-// fillMachines returns a machine for each of so many tasks of a job, filling the machines in their order; ok is false
-// if there is not enough room for all.
+// fillMachines fills machines in the given order with a number of tasks of a job and returns the machine of each task.
+// ok is false if the machines cannot hold all of these tasks.
 func (m *Manager) fillMachines(
 	machines []*machineState, job *jobState, released map[*machineState]int, tasks int,
 ) (filled []*machineState, ok bool) {
 	need := resources.ForTask(job.spec())
 	for _, machine := range machines {
-		room := m.freeResources(machine).AddTasks(need, float64(released[machine]))
-		for range room.MaxTasks(need, tasks-len(filled)) {
+		free := m.freeResources(machine).AddTasks(need, float64(released[machine]))
+		for range free.MaxTasks(need, tasks-len(filled)) {
 			filled = append(filled, machine)
 		}
 	}
 	return filled, len(filled) == tasks
 }
 
-// evictionDestinations returns the machines that have room for a task of a job: those with its image first, then those
-// with the least free processors.
+// evictionDestinations returns the machines that can hold a task of a job: those that have the job's image first, then
+// those with the fewest free CPUs. released is the number of the job's tasks that the eviction removes from each
+// machine.
 func (m *Manager) evictionDestinations(
 	now micros.Timestamp, job *jobState, released map[*machineState]int,
 ) []*machineState {
@@ -136,9 +139,9 @@
 		if !m.mayHostSuccessor(now, machine, job) {
 			continue
 		}
-		if room := m.freeResources(machine); room.AddTasks(need, float64(released[machine])).Fits(need) {
+		if free := m.freeResources(machine); free.AddTasks(need, float64(released[machine])).Fits(need) {
 			candidates = append(candidates, candidate{
-				machine: machine, hasImage: machine.images.ready(job.spec().Image), freeCPUs: room.CPUs,
+				machine: machine, hasImage: machine.images.ready(job.spec().Image), freeCPUs: free.CPUs,
 			})
 		}
 	}
@@ -158,8 +161,8 @@
 	return machines
 }
 
-// mayHostSuccessor reports whether an evicted task of a job may be placed on a machine that has room. A gang as a whole
-// leaves its zones, so these do not matter for it.
+// mayHostSuccessor reports whether the successor of an evicted task may be placed on a machine that has the resources.
+// Zone constraints are not checked for gangs, because all tasks of a gang leave their machines.
 func (m *Manager) mayHostSuccessor(now micros.Timestamp, machine *machineState, job *jobState) bool {
 	return machine.reservedForJob == "" && m.usable(now, machine) &&
 		job.spec().Allows(machine.machineType, machine.zone, machine.spot) &&
--- a/internal/manager/evictions_test.go
+++ b/internal/manager/evictions_test.go
@@ -8,15 +8,15 @@
 	"saffronbend/wire"
 )
 
-// A task is stopped only once its disruption is durable, together with its progress record. Its successor goes where
-// room was reserved. The disruption ends when that is reported as running, and no sooner.
+// A task is stopped only after its disruption has become durable, in one transaction with its progress record. Its
+// successor is placed where capacity was reserved. The disruption ends when the successor is reported as running.
 func TestEvictionIsDurableBeforeTheStop(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
 	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-1-a": true}, nil)
 	h.want(h.m.Evict(h.now, firstTask("run-1")), drain.Evicted)
 	h.want(h.openDisruptions(), "run-1/0 drain")
-	// The machine with the reserved room is not idle.
+	// A machine with reserved capacity is not idle.
 	h.want(h.m.Snapshot(h.now).Machines[1].ProvenIdle(), false)
 	batch, keys := h.nextWrite()
 	h.want(keys, "tasks/run-1/0 disruption/run-1/0")
@@ -41,7 +41,8 @@
 	h.want(keys, "tasks/run-1/0 -disruption/run-1/0")
 }
 
-// A task whose job is cancelled while its eviction is written is not evicted, and is not disrupted any more.
+// If a job is cancelled while the eviction of its task is being written, the eviction is not carried out and the
+// disruption ends.
 func TestJobCancelledDuringEviction(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
--- a/internal/manager/exits.go
+++ b/internal/manager/exits.go
@@ -57,7 +57,7 @@
 		m.stopOtherAttempts(now, job, exit.status.Attempt)
 	}
 	if job.allDone() {
-		m.estimates.learn(job)
+		m.estimates.observeCompletedJob(job)
 	}
 	m.writes.queueFinalWrites(job)
 }
@@ -74,7 +74,7 @@
 	if exit.belongsTo(attempt) && attempt.grantedThisTerm && attempt.runningSince != 0 {
 		runTime := now.Sub(attempt.runningSince)
 		m.recordRunTime(machine, job, runTime)
-		m.publisher.addRun(snapshot.CompletedRun{
+		m.publisher.addCompletedRun(snapshot.CompletedRun{
 			Job: job.id(), Class: job.spec().Class, Team: job.spec().Team, Machine: machine.id, Run: runTime,
 		})
 	}
--- a/internal/manager/gang_preemption.go
+++ b/internal/manager/gang_preemption.go
@@ -9,11 +9,11 @@
 	"saffronbend/internal/resources"
 )
 
-// maxGangPreemptions bounds how many tasks are preempted at once for a gang.
+// maxGangPreemptions is the maximum number of tasks that are preempted at once for one gang.
 const maxGangPreemptions = 32
 
-// preemptForGang preempts others' tasks where that frees room for all of a gang. Where it does not, it preempts none.
-// Of several zones it chooses the one where it costs least.
+// preemptForGang preempts tasks of other jobs if that frees enough capacity for a whole gang; otherwise it preempts
+// none. For a gang that must run in one zone, it chooses the zone with the lowest total preemption cost.
 func (round *preemptionRound) preemptForGang(job *jobState) {
 	zones := map[string][]*preemptionTarget{}
 	for _, target := range round.targetsFor(job) {
@@ -45,19 +45,19 @@
 	}
 }
 
-// victimsForGang returns the attempts whose preemption frees room for all of a gang on some machines, those that lose
-// least first; ok is false if there is not enough room.
+// victimsForGang returns the attempts to preempt on the given machines so that all waiting tasks of a gang fit there,
+// those with the lowest preemption cost first. ok is false if there is not enough capacity.
 func (round *preemptionRound) victimsForGang(
 	job *jobState, targets []*preemptionTarget,
 ) (victims []*taskAttempt, ok bool) {
 	need := resources.ForTask(job.spec())
-	missing := job.waiting // tasks without room
-	room := map[*machineState]resources.Vector{}
+	missing := job.waiting // tasks that have no capacity yet
+	free := map[*machineState]resources.Vector{}
 	var candidates []*taskAttempt
 	for _, target := range targets {
-		tasks := target.room.MaxTasks(need, missing)
+		tasks := target.free.MaxTasks(need, missing)
 		missing -= tasks
-		room[target.machine] = target.room.AddTasks(need, -float64(tasks))
+		free[target.machine] = target.free.AddTasks(need, -float64(tasks))
 		for _, attempt := range target.victims {
 			if !attempt.stop.requested && attempt.job.gang == nil && round.mayPreempt(job, attempt.job) {
 				candidates = append(candidates, attempt)
@@ -71,10 +71,10 @@
 		if missing <= 0 || len(victims) == maxGangPreemptions {
 			break
 		}
-		freed := room[attempt.machine].AddTasks(resources.ForTask(attempt.spec()), 1)
+		freed := free[attempt.machine].AddTasks(resources.ForTask(attempt.spec()), 1)
 		tasks := freed.MaxTasks(need, missing)
 		missing -= tasks
-		room[attempt.machine] = freed.AddTasks(need, -float64(tasks))
+		free[attempt.machine] = freed.AddTasks(need, -float64(tasks))
 		victims = append(victims, attempt)
 	}
 	return victims, missing <= 0
--- a/internal/manager/gangs.go
+++ b/internal/manager/gangs.go
@@ -7,8 +7,8 @@
 	"saffronbend/wire"
 )
 
-// applyGangAction carries out what a gang's state machine requires for its tasks. cause is why they are stopped, if
-// they are.
+// applyGangAction carries out an action that a gang's state machine requires. cause is the cause of the disruptions if
+// the action stops tasks.
 func (m *Manager) applyGangAction(now micros.Timestamp, job *jobState, action gang.Action, cause disruption.Cause) {
 	switch action {
 	case gang.None:
@@ -20,7 +20,7 @@
 	case gang.Stop:
 		for _, attempt := range attemptsByID(job.active) {
 			if m.heartbeatOverdue(now, attempt.machine) {
-				attempt.machine.health.unreliableUntil = now.Add(unreliablePeriod) // it may report again soon
+				attempt.machine.health.unreliableUntil = now.Add(unreliablePeriod) // it may soon report and be usable again
 			}
 			m.stopAttempt(now, attempt, 0, cause)
 		}
@@ -37,9 +37,9 @@
 	}
 }
 
-// holdLaunchesForImages holds back the launches on machines that have a large image, if peers must fetch it:
-// otherwise the first tasks to be there would give up before the last has come, and with them the fetch would be
-// given up too, again and again.
+// holdLaunchesForImages delays the launch of a gang's tasks on machines that already have the image if other tasks of
+// the gang have to fetch it for a long time. Launched at once, the first tasks would reach the gang wait timeout before
+// the last task is ready. That would end the attempt and with it the fetch, again and again.
 func (m *Manager) holdLaunchesForImages(job *jobState) {
 	spec := job.spec()
 	var withImage []*taskAttempt
@@ -60,7 +60,7 @@
 	}
 }
 
-// imagesFetched reports whether the tasks of a gang that had to fetch their image have it.
+// imagesFetched reports whether all tasks of a gang that had to fetch the image have fetched it.
 func (job *jobState) imagesFetched() bool {
 	for _, attempt := range job.active {
 		if !attempt.waitsForPeerImages &&
@@ -71,8 +71,8 @@
 	return true
 }
 
-// abortUnlaunchableGangs ends the attempt of each gang with a task on a machine that has not begun, and whose launch
-// does not arrive: its peers would wait for it in vain.
+// abortUnlaunchableGangs aborts the attempt of each launched gang with a task on a machine that does not list the task
+// and has been unreachable for too long: the launch does not arrive there, and the other tasks would wait in vain.
 func (m *Manager) abortUnlaunchableGangs(now micros.Timestamp, machine *machineState) {
 	unreachableSince := machine.agent.unreachableSince
 	if unreachableSince == 0 || now.Sub(unreachableSince) < m.heartbeatTimeout() {
@@ -85,8 +85,8 @@
 	}
 }
 
-// finishGangRecovery applies what a gang's records say together when all have been read. One task that is done proves
-// that all are, whichever record says so: an earlier leader may not have come to write the others.
+// finishGangRecovery applies the combined state of a gang's records once all of them have been read. One task that any
+// record shows as done proves that all are: an earlier leader may have ended before it recorded the others as done.
 func (m *Manager) finishGangRecovery(now micros.Timestamp, job *jobState) {
 	switch {
 	case job.gang == nil || job.final():
@@ -97,7 +97,7 @@
 	}
 }
 
-// applyGangTaskState applies that a task of a gang is reported in another state than before.
+// applyGangTaskState applies a change of the state in which a task of a gang is reported.
 func (m *Manager) applyGangTaskState(now micros.Timestamp, job *jobState, taskState wire.TaskState) {
 	switch taskState {
 	case wire.TaskWaitingForGang:
@@ -114,7 +114,7 @@
 	}
 }
 
-// stopOtherAttempts stops what there may be of another attempt of a gang than the one that is done.
+// stopOtherAttempts stops the active attempts of a gang's tasks, except for the attempt whose result was reported.
 func (m *Manager) stopOtherAttempts(now micros.Timestamp, job *jobState, done wire.AttemptID) {
 	for _, attempt := range attemptsByID(job.active) {
 		if attempt.id != done {
@@ -123,9 +123,10 @@
 	}
 }
 
-// savesInTime reports whether a command to write a checkpoint would reach all tasks of a gang in time: each agent is
-// reached, by a push or else by the answer to its next heartbeat, and no machine is reclaimed before.
-func (m *Manager) savesInTime(now micros.Timestamp, job *jobState) bool {
+// canCheckpointInTime reports whether a checkpoint command would reach all tasks of a gang in time: each agent can be
+// reached, by a push or by the answer to its next heartbeat, and no machine is reclaimed before the checkpoint is
+// written.
+func (m *Manager) canCheckpointInTime(now micros.Timestamp, job *jobState) bool {
 	const pushDelay = micros.Second
 	saveTime := micros.Seconds(job.spec().CheckpointSaveS)
 	for _, attempt := range job.active {
--- a/internal/manager/gangs_test.go
+++ b/internal/manager/gangs_test.go
@@ -12,19 +12,22 @@
 	"saffronbend/wire"
 )
 
-// twoTaskGang makes a job a gang that writes checkpoints.
-func twoTaskGang(job *wire.Job) {
+// checkpointingGang makes a job a gang whose tasks write checkpoints.
+func checkpointingGang(job *wire.Job) {
 	withCheckpoints(job)
 	job.Kind, job.CPUs = wire.KindGang, 8
 }
 
-// placeGang places the gang run-1 of two tasks on n-1-a and n-2-a, durably, and returns its attempt.
+// placeGang places the gang run-1 of two tasks on n-1-a and n-2-a, makes the placement durable and returns the gang's
+// attempt.
 func (h *harness) placeGang() wire.AttemptID {
 	h.start("n-1-a", "n-2-a")
-	h.submit("run-1", 2, twoTaskGang)
+	h.submit("run-1", 2, checkpointingGang)
 	return h.grantGang("n-1-a", "n-2-a")
 }
 
+// grantGang grants the gang run-1 one lease on each machine, makes the placement durable and returns the gang's
+// attempt.
 func (h *harness) grantGang(machines ...wire.MachineID) wire.AttemptID {
 	h.Helper()
 	var requests []lease.Request
@@ -36,26 +39,27 @@
 	return h.m.jobs.byID["run-1"].active[0].id
 }
 
-// runGang runs the gang run-1 on n-1-a and n-2-a and returns its attempt.
+// runGang runs the gang run-1 of two tasks on n-1-a and n-2-a and returns its attempt.
 func (h *harness) runGang() wire.AttemptID {
 	h.Helper()
 	id := h.placeGang()
 	h.want(h.heartbeat("n-1-a", token, 1), command("launch", "run-1/0", id))
 	h.want(h.heartbeat("n-2-a", token, 1), command("launch", "run-1/1", id))
-	h.gangStatus(id, "running")
+	h.reportGangStatus(id, "running")
 	return id
 }
 
-// gangStatus has both machines report the tasks of the gang in a status.
-func (h *harness) gangStatus(id wire.AttemptID, status string) {
+// reportGangStatus has both machines report their task of the gang in the given state.
+func (h *harness) reportGangStatus(id wire.AttemptID, status string) {
 	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", id, status))
 	h.heartbeat("n-2-a", token, 1, taskStatus("run-1/1", id, status))
 }
 
 func (h *harness) gangPhase() gang.Phase { return h.m.jobs.byID["run-1"].gang.Phase() }
 
-// When a task of a gang is gone, its peers are stopped, and the gang may be granted anew when all are gone.
-func TestGangEndsWithOneOfItsTasks(t *testing.T) {
+// When one task of a gang has exited, the other tasks are stopped. The gang can be granted again once all of its tasks
+// are gone.
+func TestGangStopsWhenOneTaskExits(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	id := h.runGang()
 	h.want(h.gangPhase(), gang.Running)
@@ -67,11 +71,12 @@
 	h.heartbeat("n-2-a", token, 1, taskStatus("run-1/1", id, "ended halted"))
 	h.want(h.gangPhase(), gang.Idle)
 	h.start("n-1-a", "n-2-a", "n-3-a")
-	h.want(h.m.eligibleFor(h.m.machines.byID["n-1-a"], h.m.jobs.byID["run-1"]), false) // it has failed there
+	h.want(h.m.eligibleFor(h.m.machines.byID["n-1-a"], h.m.jobs.byID["run-1"]), false) // a task of run-1 failed there
 	h.grantGang("n-2-a", "n-3-a")
 }
 
-// A machine that refuses a gang's task is avoided, but not blamed.
+// A machine that refuses a gang's task is avoided for that gang, but the refusal does not count as a failure of the
+// machine.
 func TestGangAvoidsMachineThatRefusesIt(t *testing.T) {
 	for _, reason := range []wire.ExitReason{wire.ExitInsufficientResources, wire.ExitConflictingAttempt} {
 		t.Run(string(reason), func(t *testing.T) {
@@ -86,8 +91,8 @@
 	}
 }
 
-// One task that is done proves that all are.
-func TestGangIsDoneWithOneOfItsTasks(t *testing.T) {
+// One task of a gang that is done proves that all of its tasks are done.
+func TestGangIsDoneWhenOneTaskIsDone(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	id := h.runGang()
 	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", id, "ended done"))
@@ -96,32 +101,32 @@
 	h.want(keys, "job/run-1 open/run-1")
 }
 
-// So it does in the records of an earlier leader.
-func TestRecoveredGangIsDoneWithOneOfItsTasks(t *testing.T) {
+// One task that an earlier leader recorded as done proves that all tasks of the recovered gang are done.
+func TestRecoveredGangIsDoneWhenOneTaskIsDone(t *testing.T) {
 	done := state.EncodeDoneBitmap(2, func(task int) bool { return task == 0 })
-	open := storedOpenJob(record("run-1", 2, twoTaskGang))
+	open := storedOpenJob(record("run-1", 2, checkpointingGang))
 	progress := []wire.KeyValue{storedItem(state.ProgressKey("run-1", 0), 6, state.ProgressRecord{Done: done})}
 	h := newHarness(t, open, progress)
 	h.want(h.m.jobs.byID["run-1"].allDone(), true)
 }
 
-// A gang of which only a part is recorded is stopped: its peers were never placed.
-func TestPartOfRecoveredGangIsStopped(t *testing.T) {
-	open := storedOpenJob(record("run-1", 2, twoTaskGang))
+// A recovered gang of which only some tasks are recorded is stopped, because the other tasks were never placed.
+func TestPartlyRecordedGangIsStopped(t *testing.T) {
+	open := storedOpenJob(record("run-1", 2, checkpointingGang))
 	h := newHarness(t, open, storedProgress(1))
 	h.want(h.gangPhase(), gang.Aborting)
 	h.heartbeat("n-1-a", token-1, 1, taskStatus("run-1/0", 99, "running"))
 	h.want(h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", 99, "running")), command("stop", "run-1/0", 99))
 }
 
-// A gang that is preempted writes its checkpoint as a whole.
+// Preempting a gang makes all of its tasks write a checkpoint and stop.
 func TestGangIsPreemptedAsAWhole(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	id := h.runGang()
 	h.submit("run-2", 2, func(job *wire.Job) { job.CPUs, job.PriorityName, job.Team = 8, "high", "blue" })
 	h.m.quota["blue"].CPUsMax = 0
 	h.advance(2 * micros.Second)
-	h.gangStatus(id, "running")
+	h.reportGangStatus(id, "running")
 	h.m.cfg.Tuning.PreemptAfter = 10
 	h.m.Preempt(h.now, func() bool { return false })
 	h.want(h.gangPhase(), gang.Checkpointing)
@@ -129,7 +134,7 @@
 	h.want(h.heartbeat("n-2-a", token, 1, taskStatus("run-1/1", id, "running")), command("stop", "run-1/1", id))
 }
 
-// Machines are reserved for all of a gang, or for none of it.
+// Machines are reserved for all tasks of a gang or for none of them.
 func TestMachinesAreReservedForAWholeGang(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -147,7 +152,7 @@
 				h.grant("run-2", machine, 1)
 			}
 			h.submit("run-1", 2, func(job *wire.Job) {
-				twoTaskGang(job)
+				checkpointingGang(job)
 				job.SameZone = true
 			})
 			h.advance(micros.Minute)
@@ -158,7 +163,8 @@
 	}
 }
 
-// A gang is evicted as a whole. Its successors may use the room of the tasks on machines that are not cordoned.
+// A gang is evicted as a whole. Its successors may use the resources that its tasks release on machines that are not
+// cordoned.
 func TestGangIsEvictedAsAWhole(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	id := h.runGang()
--- a/internal/manager/grants.go
+++ b/internal/manager/grants.go
@@ -8,9 +8,9 @@
 	"saffronbend/wire"
 )
 
-// Grant serves a scheduler's lease transaction atomically: it returns how many leases each request was granted. With
-// AllOrNothing it grants all that was requested or nothing. What is granted must still become durable, by NextWrite,
-// before it is launched.
+// Grant serves a scheduler's lease transaction atomically and returns how many leases were granted for each request. A
+// transaction with AllOrNothing is granted either in full or not at all. Granted attempts have to become durable, by
+// a write from NextWrite, before they are launched.
 func (m *Manager) Grant(now micros.Timestamp, transaction lease.Transaction) lease.Result {
 	result := lease.Result{Granted: make([]int, len(transaction.Requests))}
 	if job := m.gangOf(transaction); job != nil && !m.mayGrantGang(job, transaction) {
@@ -24,7 +24,7 @@
 	var granted []*taskAttempt
 	for i, request := range transaction.Requests {
 		if request.WaitFor != 0 {
-			if m.grantWait(now, request) {
+			if m.grantLeaseWait(now, request) {
 				result.Granted[i] = 1
 			}
 			continue
@@ -49,15 +49,15 @@
 	return result
 }
 
-// rollBack withdraws what a transaction was granted before one of its requests failed.
+// rollBack withdraws the attempts that a transaction was granted before one of its requests failed.
 func (m *Manager) rollBack(now micros.Timestamp, granted []*taskAttempt) {
 	for _, attempt := range granted {
 		m.releaseAttempt(now, attempt, provenNeverLaunched)
 	}
 }
 
-// grantWait makes a job the waiter of a lease.
-func (m *Manager) grantWait(now micros.Timestamp, request lease.Request) bool {
+// grantLeaseWait makes a job the waiter of an attempt's lease and reports whether it could.
+func (m *Manager) grantLeaseWait(now micros.Timestamp, request lease.Request) bool {
 	machine := m.machines.byID[request.Machine]
 	if machine == nil || m.cordons[machine.id] {
 		return false
@@ -75,14 +75,14 @@
 	return true
 }
 
-// grantOne grants the lease of one task, and returns the attempt, or nil if refusePlacement forbids it. granted are the
-// attempts that the transaction has been granted already.
+// grantOne grants the lease of one task and returns the attempt, or nil if the request is refused. granted holds the
+// attempts that the transaction has been granted before.
 func (m *Manager) grantOne(now micros.Timestamp, request lease.Request, granted []*taskAttempt) *taskAttempt {
 	job, machine := m.jobs.byID[request.Job], m.machines.byID[request.Machine]
-	if m.refusePlacement(now, job, machine) != placementAllowed {
+	if m.checkPlacement(now, job, machine) != placementAllowed {
 		return nil
 	}
-	claimed := m.claim(job, machine)
+	claimed := m.claimableReservation(job, machine)
 	free, need := m.freeResources(machine), resources.ForTask(job.spec())
 	if claimed != nil {
 		free = free.AddTasks(claimed.need, 1)
@@ -101,7 +101,7 @@
 		lease:           taskLease{expiry: now.Add(request.Duration)},
 	}
 	if job.gang != nil && len(granted) > 0 {
-		attempt.id = granted[0].id // the tasks of a gang know one another by their attempt
+		attempt.id = granted[0].id // the tasks of a gang identify one another by their common attempt ID
 	}
 	if !m.chooseTask(attempt, claimed) {
 		return nil
@@ -109,44 +109,44 @@
 	m.attemptIDs.advance()
 	m.registerAttempt(attempt)
 	m.writes.markDirty(now, job, attempt.taskIndex, true)
-	// The machine was reserved until it has as many of the job's tasks as it takes.
+	// A machine that is reserved for a job stays so until it cannot hold another task of the job.
 	if reserved && !free.AddTasks(need, -1).Fits(need) {
 		machine.reservedForJob = ""
 	}
 	return attempt
 }
 
-// placementRefusal is why no task of a job is placed on a machine.
+// placementRefusal is the reason why no task of a job may be placed on a machine.
 type placementRefusal string
 
 const (
-	placementAllowed         placementRefusal = ""
-	refusedUnknown           placementRefusal = "the job or the machine is not known"
-	refusedJobFinal          placementRefusal = "the job is cancelled or done"
-	refusedNothingWaits      placementRefusal = "no task of the job waits"
-	refusedBackoff           placementRefusal = "the job backs off after failures"
-	refusedMachineUnusable   placementRefusal = "the machine gets no new tasks"
-	refusedReserved          placementRefusal = "the machine is reserved for another job"
-	refusedPreemptedForOther placementRefusal = "the room was freed by preemption for a more urgent gang"
-	refusedByDemands         placementRefusal = "the job does not allow the machine's type, zone or price"
-	refusedByZones           placementRefusal = "the job's spread over zones does not allow the machine"
-	refusedByQuota           placementRefusal = "the team's limit is reached"
+	placementAllowed            placementRefusal = ""
+	refusedUnknownJobOrMachine  placementRefusal = "the job or the machine is unknown"
+	refusedJobFinal             placementRefusal = "the job is cancelled or done"
+	refusedNoWaitingTask        placementRefusal = "the job has no waiting task"
+	refusedBackoff              placementRefusal = "the job is backing off after failures"
+	refusedMachineUnusable      placementRefusal = "the machine does not accept new tasks"
+	refusedReserved             placementRefusal = "the machine is reserved for another job"
+	refusedPreemptedForOther    placementRefusal = "the capacity was freed by preemption for a gang of higher priority"
+	refusedByMachineConstraints placementRefusal = "the job does not allow the machine's type, its zone or spot machines"
+	refusedByZoneConstraint     placementRefusal = "the job's zone constraint excludes the machine's zone"
+	refusedByQuota              placementRefusal = "the team's limit is reached"
 )
 
-// refusePlacement answers why a job is not placed: why a scheduler's request for one more task of it on a machine is
-// refused. It covers what can be said without the task; grantOne refuses then for lack of free resources on the
-// machine (freeResources), and chooseTask for lack of space in the progress record of every waiting task. Grant
-// refuses a whole transaction before that when writes are backlogged, and a gang that cannot be placed as a whole
-// (mayGrantGang). A job for which no scheduler sends a request is not refused here: see package scheduler, which
-// decides by the published snapshot.
-func (m *Manager) refusePlacement(now micros.Timestamp, job *jobState, machine *machineState) placementRefusal {
+// checkPlacement returns why one more task of a job may not be placed on a machine, or placementAllowed. It is the
+// first check of a scheduler's lease request and covers what does not depend on the task that is chosen. After it,
+// grantOne refuses requests that exceed the machine's free resources (freeResources), and chooseTask refuses them if
+// the progress record of no waiting task has space. Before it, Grant refuses whole transactions while writes are
+// backlogged, and gangs that cannot be granted as a whole (mayGrantGang). A job for which no scheduler sends a request
+// is not refused here: schedulers decide on the published snapshot, see package scheduler.
+func (m *Manager) checkPlacement(now micros.Timestamp, job *jobState, machine *machineState) placementRefusal {
 	switch {
 	case job == nil || machine == nil:
-		return refusedUnknown
+		return refusedUnknownJobOrMachine
 	case job.final():
 		return refusedJobFinal
 	case job.waiting == 0:
-		return refusedNothingWaits
+		return refusedNoWaitingTask
 	case now < job.backoffUntil:
 		return refusedBackoff
 	case !m.usable(now, machine):
@@ -156,18 +156,18 @@
 	case m.preemptedForOther(now, machine, job):
 		return refusedPreemptedForOther
 	case !job.spec().Allows(machine.machineType, machine.zone, machine.spot):
-		return refusedByDemands
+		return refusedByMachineConstraints
 	case !zoneAllows(job, machine.zone):
-		return refusedByZones
+		return refusedByZoneConstraint
 	case m.quota.headroom(job.spec()) < 1:
 		return refusedByQuota
 	}
 	return placementAllowed
 }
 
-// chooseTask sets the task of an attempt to the first of its job's waiting tasks whose progress record has space for
-// the placement: that for which the room is reserved, else those that were disrupted, then the others. It reports
-// whether there is one.
+// chooseTask sets the task of an attempt and reports whether there is one. With a claimed reservation it is the task of
+// that reservation; otherwise it is the first waiting task, disrupted tasks first, whose progress record has space for
+// the placement.
 func (m *Manager) chooseTask(attempt *taskAttempt, claimed *reservation) bool {
 	job := attempt.job
 	if claimed != nil {
@@ -188,19 +188,19 @@
 		if m.tryTask(attempt, task) {
 			return true
 		}
-		task += job.record.ShardSize - task%job.record.ShardSize - 1 // on to the next record
+		task += job.record.ShardSize - task%job.record.ShardSize - 1 // skip the other tasks in this progress record
 	}
 	return false
 }
 
-// tryTask sets the task of an attempt and reports whether its progress record has space for the placement.
+// tryTask sets the task of an attempt and reports whether the task's progress record has space for the placement.
 func (m *Manager) tryTask(attempt *taskAttempt, task int) bool {
 	attempt.taskIndex = task
 	return m.writes.limits.hasSpace(attempt.job, task, placementSize(attempt.placement()))
 }
 
-// zoneAllows reports whether a job's wish for one zone, or for a spread over several, allows another task in a zone. It
-// counts every attempt that may exist.
+// zoneAllows reports whether another task of a job may be placed in a zone, if the job requires one zone for all tasks
+// or a spread over several zones. Every attempt that may exist counts.
 func zoneAllows(job *jobState, zone string) bool {
 	spec := job.spec()
 	if !spec.SameZone && !spec.SpreadZones {
@@ -212,13 +212,14 @@
 		case attempt.machine.zone == zone:
 			inZone++
 		case attempt.machine.zone == "" || spec.SameZone:
-			return false // elsewhere, or not known where
+			return false // in another zone, or in an unknown one
 		}
 	}
 	return !spec.SpreadZones || inZone < maxTasksPerZone(spec)
 }
 
-// maxTasksPerZone returns how many tasks of a job that is spread over zones may be in one: half of them.
+// maxTasksPerZone returns the maximum number of tasks in one zone for a job that is spread over zones: half of its
+// tasks, rounded up.
 func maxTasksPerZone(spec *wire.Job) int { return (spec.Tasks + 1) / 2 }
 
 // gangOf returns the gang that a transaction requests leases for, or nil.
@@ -231,8 +232,8 @@
 	return nil
 }
 
-// mayGrantGang reports whether a transaction can be granted to a gang: it must be for all its tasks, and for them
-// alone, and nothing of the previous attempt may exist any more.
+// mayGrantGang reports whether a transaction can be granted to a gang: it has to request leases for all tasks of the
+// gang and for nothing else, and no task of the gang's previous attempt may still exist.
 func (m *Manager) mayGrantGang(job *jobState, transaction lease.Transaction) bool {
 	requested := 0
 	for _, request := range transaction.Requests {
--- a/internal/manager/grants_test.go
+++ b/internal/manager/grants_test.go
@@ -8,8 +8,8 @@
 	"saffronbend/wire"
 )
 
-// Zones, types and free resources bound what is granted.
-func TestGrantsFollowTheJobsDemands(t *testing.T) {
+// Grants respect the job's constraints on zones and machine types, and the machine's free resources.
+func TestGrantsRespectJobConstraints(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a", "n-2-a", "n-3-a", "n-4-b")
 	h.submit("run-1", 3, func(j *wire.Job) { j.SpreadZones = true })
@@ -25,10 +25,10 @@
 	h.submit("run-4", 1, func(j *wire.Job) { j.MachineTypes = []string{"large"} })
 	h.want(h.grant("run-4", "n-3-a", 1), 0)
 	h.submit("run-5", 3, nil)
-	h.want(h.grant("run-5", "n-3-a", 3), 2) // no more room
+	h.want(h.grant("run-5", "n-3-a", 3), 2) // the machine is full
 }
 
-// A transaction of which one request cannot be granted is granted nothing.
+// An all-or-nothing transaction is granted nothing if one of its requests cannot be granted in full.
 func TestTransactionIsAllOrNothing(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a", "n-2-a")
@@ -38,12 +38,12 @@
 	h.want(h.grant("run-1", "n-1-a", 2), 2)
 }
 
-// A gang is granted as a whole, and its tasks know one another by their common attempt.
+// A gang is granted as a whole, and its tasks share one attempt ID, by which they identify one another.
 func TestGangSharesItsAttemptID(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a", "n-2-a")
 	h.submit("run-1", 3, func(j *wire.Job) { j.Kind = wire.KindGang })
-	h.want(h.grant("run-1", "n-1-a", 2), 0) // not in parts
+	h.want(h.grant("run-1", "n-1-a", 2), 0) // a part of the gang
 	h.grantAll(
 		lease.Request{Job: "run-1", Machine: "n-1-a", Count: 2}, lease.Request{Job: "run-1", Machine: "n-2-a", Count: 1})
 	h.commitWrites()
@@ -53,7 +53,7 @@
 	h.want(active[2].id, id)
 }
 
-// Why no task of a job is placed on a machine.
+// checkPlacement returns the reason why a task may not be placed on a machine.
 func TestPlacementRefusal(t *testing.T) {
 	zone := "b"
 	for _, c := range []struct {
@@ -63,7 +63,8 @@
 	}{
 		{"allowed", func(*harness, *jobState, *machineState) {}, placementAllowed},
 		{"the job is cancelled", func(h *harness, _ *jobState, _ *machineState) { h.cancel() }, refusedJobFinal},
-		{"no task waits", func(_ *harness, job *jobState, _ *machineState) { job.waiting = 0 }, refusedNothingWaits},
+		{"the job has no waiting task", func(_ *harness, job *jobState, _ *machineState) { job.waiting = 0 },
+			refusedNoWaitingTask},
 		{"the job backs off", func(h *harness, job *jobState, _ *machineState) { job.backoffUntil = h.now + 1 },
 			refusedBackoff},
 		{"the machine is quarantined",
@@ -78,17 +79,17 @@
 			func(_ *harness, _ *jobState, machine *machineState) { machine.reservedForJob = "run-2" }, refusedReserved},
 		{"the machine is reserved for the job",
 			func(_ *harness, _ *jobState, machine *machineState) { machine.reservedForJob = "run-1" }, placementAllowed},
-		{"the room was freed for a more urgent gang", func(h *harness, _ *jobState, machine *machineState) {
+		{"the capacity was freed for a gang of higher priority", func(h *harness, _ *jobState, machine *machineState) {
 			h.submit("run-2", 2, func(job *wire.Job) { job.Kind, job.PriorityName = wire.KindGang, "high" })
-			machine.preempted = preemptedRoom{forJob: "run-2", until: h.now + 1}
+			machine.preempted = preemptedCapacity{forJob: "run-2", until: h.now + 1}
 		}, refusedPreemptedForOther},
-		{"the job demands another zone",
-			func(_ *harness, job *jobState, _ *machineState) { job.record.Job.Zone = &zone }, refusedByDemands},
+		{"the job requires another zone",
+			func(_ *harness, job *jobState, _ *machineState) { job.record.Job.Zone = &zone }, refusedByMachineConstraints},
 		{"the job runs in another zone", func(h *harness, job *jobState, _ *machineState) {
 			job.record.Job.SameZone = true
 			h.start("n-2-b")
 			h.grant("run-1", "n-2-b", 1)
-		}, refusedByZones},
+		}, refusedByZoneConstraint},
 		{"the team's limit is reached",
 			func(h *harness, _ *jobState, _ *machineState) { h.m.quota["red"].CPUsMax = 3 }, refusedByQuota},
 	} {
@@ -98,12 +99,12 @@
 			h.submit("run-1", 3, nil)
 			job, machine := h.m.jobs.byID["run-1"], h.m.machines.byID["n-1-a"]
 			c.change(h, job, machine)
-			h.want(h.m.refusePlacement(h.now, job, machine), c.want)
+			h.want(h.m.checkPlacement(h.now, job, machine), c.want)
 		})
 	}
 }
 
-// A lease has one waiter at a time.
+// A lease has one waiter at a time. Another job can replace a waiter whose time is up.
 func TestLeaseWaiter(t *testing.T) {
 	const grace = 5
 	for _, c := range []struct {
@@ -112,16 +113,16 @@
 		want  bool
 		until micros.Timestamp
 	}{
-		{"nobody waits", taskLease{expiry: 100}, true, 105},
-		{"the lease has expired", taskLease{expiry: 10}, true, 25},
-		{"the job waits already", taskLease{expiry: 100, waiter: "run-1", waiterUntil: 105}, true, 105},
-		{"another job waits", taskLease{expiry: 100, waiter: "run-2", waiterUntil: 105}, false, 105},
-		{"another job has waited for too long", taskLease{expiry: 10, waiter: "run-2", waiterUntil: 20}, true, 25},
+		{"no other waiter", taskLease{expiry: 100}, true, 105},
+		{"expired lease", taskLease{expiry: 10}, true, 25},
+		{"the job is the waiter already", taskLease{expiry: 100, waiter: "run-1", waiterUntil: 105}, true, 105},
+		{"another job is the waiter", taskLease{expiry: 100, waiter: "run-2", waiterUntil: 105}, false, 105},
+		{"the time of another waiter is up", taskLease{expiry: 10, waiter: "run-2", waiterUntil: 20}, true, 25},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			lease := c.lease
 			if got := lease.admitWaiter(20, "run-1", grace); got != c.want || lease.waiterUntil != c.until {
-				t.Errorf("got %v until %d", got, lease.waiterUntil)
+				t.Errorf("got %v until %d, want %v until %d", got, lease.waiterUntil, c.want, c.until)
 			}
 		})
 	}
--- a/internal/manager/jobs.go
+++ b/internal/manager/jobs.go
@@ -12,27 +12,27 @@
 	"saffronbend/wire"
 )
 
-// taskPhase is what the leader knows of one task of a job.
+// taskPhase is the leader's state of one task of a job.
 type taskPhase uint8
 
 const (
-	taskWaiting taskPhase = iota // may be placed
+	taskWaiting taskPhase = iota // can be placed
 	taskActive                   // an attempt of it may exist
-	taskDone                     // reported as done, which is not durable yet
-	taskDurable                  // done, which is durable
+	taskDone                     // reported as done, but the result is not durable yet
+	taskDurable                  // done, and the result is durable
 )
 
 // jobState is a job whose open record exists.
 type jobState struct {
 	record     state.OpenJobRecord
-	version    uint64 // of the job's status and open record
+	version    uint64 // of the job's status record and open record
 	arrival    uint64 // orders jobs by acceptance
 	acceptedAt micros.Timestamp
 	deadline   micros.Timestamp // 0: none
 	gang       *gang.Gang       // nil: its tasks are independent
 
-	// finalState is empty while the job is open. finalSince is the earliest time at which it may have become final: for
-	// a cancellation, when the user may have been answered.
+	// finalState is empty while the job is open. finalSince is the earliest time at which the job may have become final:
+	// for a cancellation, the earliest time at which it can have been confirmed to the user.
 	finalState wire.JobState
 	finalSince micros.Timestamp
 
@@ -43,17 +43,17 @@
 	active       map[int]*taskAttempt
 	shards       map[int]*progressShard
 
-	// completionInFlight guards against a second completion while the write of the first one is in flight.
+	// completionInFlight prevents a second completion while the write of the first one is in flight.
 	completionInFlight bool
-	writesHeldUntil    micros.Timestamp // no write of its records before, after one that was refused
+	writesHeldUntil    micros.Timestamp // no records of the job are written before this time, after a refused write
 
-	// failuresByMachine counts failed attempts since the last success. A job that fails everywhere backs off instead of
-	// starting in a hot loop.
+	// failuresByMachine counts the failed attempts on each machine since the job's last success. A job that fails on
+	// every machine backs off instead of being restarted in a hot loop.
 	failuresByMachine map[wire.MachineID]int
 	backoffUntil      micros.Timestamp
-	normalRuns        int             // tasks that ran at a usual speed
-	normalRunTime     micros.Duration // their run times together
-	// waitingSince is since when tasks have waited without one of them being placed.
+	normalRuns        int             // completed runs that were not far too slow
+	normalRunTime     micros.Duration // total run time of normalRuns
+	// waitingSince is the time since which tasks have been waiting without any of them being placed.
 	waitingSince micros.Timestamp
 }
 
@@ -61,16 +61,16 @@
 
 func (job *jobState) spec() *wire.Job { return &job.record.Job }
 
-// final reports whether the job has been cancelled or completed: no task of it may run any more.
+// final reports whether the job has been cancelled or completed. No task of a final job may run any more.
 func (job *jobState) final() bool { return job.finalState != "" }
 
-// allDone reports whether every task is done, durably or not.
+// allDone reports whether every task is done, whether or not the results are durable.
 func (job *jobState) allDone() bool { return job.done == len(job.taskPhases) }
 
 // shardIndex returns the index of the progress shard that holds a task.
 func (job *jobState) shardIndex(task int) int { return task / job.record.ShardSize }
 
-// shard returns the progress shard at an index, which it creates if needed.
+// shard returns the progress shard at an index and creates the shard if it does not exist.
 func (job *jobState) shard(index int) *progressShard {
 	shard := job.shards[index]
 	if shard == nil {
@@ -83,8 +83,8 @@
 // shardOf returns the progress shard that holds a task.
 func (job *jobState) shardOf(task int) *progressShard { return job.shard(job.shardIndex(task)) }
 
-// restoreDone applies the bitmap of done tasks of a progress record.
-func (job *jobState) restoreDone(shardIndex int, bitmap string) error {
+// restoreDoneTasks marks the tasks as done that are set in the bitmap of a progress record.
+func (job *jobState) restoreDoneTasks(shardIndex int, bitmap string) error {
 	first := shardIndex * job.record.ShardSize
 	return state.DecodeDoneBitmap(bitmap, func(i int) {
 		if task := first + i; task < len(job.taskPhases) && job.taskPhases[task] == taskWaiting {
@@ -95,7 +95,7 @@
 	})
 }
 
-// startAttempt makes an attempt the active one of its task, which must be waiting.
+// startAttempt makes an attempt the active attempt of its task. The task must be waiting.
 func (job *jobState) startAttempt(attempt *taskAttempt) {
 	job.taskPhases[attempt.taskIndex] = taskActive
 	job.waiting--
@@ -104,7 +104,8 @@
 	job.shardOf(attempt.taskIndex).placementBytes += attempt.placementBytes
 }
 
-// endAttempt removes the active attempt of a task and reports whether the task waits again: it does unless it is done.
+// endAttempt removes the active attempt of a task and reports whether the task is waiting again, which it is unless the
+// task is done.
 func (job *jobState) endAttempt(now micros.Timestamp, attempt *taskAttempt) (waitsAgain bool) {
 	delete(job.active, attempt.taskIndex)
 	job.shardOf(attempt.taskIndex).placementBytes -= attempt.placementBytes
@@ -120,7 +121,7 @@
 	return true
 }
 
-// completeTask records that a task is done, from whichever attempt the result comes.
+// completeTask records that a task is done, whichever attempt the result comes from.
 func (m *Manager) completeTask(now micros.Timestamp, job *jobState, task int) {
 	if job.taskPhases[task] == taskWaiting {
 		job.waiting--
@@ -135,9 +136,9 @@
 // jobTable holds the jobs whose open records exist.
 type jobTable struct {
 	byID     map[wire.JobID]*jobState
-	arrivals uint64 // jobs added in this term
-	// removed are the jobs whose records this leader has deleted, with the revision of the deletion: the watch may still
-	// deliver older versions of them.
+	arrivals uint64 // number of jobs added in this term
+	// removed maps each job whose records this leader has deleted to the revision of the deletion. The watch may still
+	// deliver older versions of these records.
 	removed map[wire.JobID]uint64
 }
 
@@ -145,20 +146,20 @@
 	return jobTable{byID: map[wire.JobID]*jobState{}, removed: map[wire.JobID]uint64{}}
 }
 
-// add adds a job, as the newest.
+// add adds a job as the last in order of arrival.
 func (table *jobTable) add(job *jobState) {
 	table.arrivals++
 	job.arrival = table.arrivals
 	table.byID[job.id()] = job
 }
 
-// remove removes a job whose records were deleted at a revision.
+// remove removes a job whose records were deleted at the given revision.
 func (table *jobTable) remove(id wire.JobID, revision uint64) {
 	table.removed[id] = revision
 	delete(table.byID, id)
 }
 
-// byArrival returns the jobs that match, the oldest first.
+// byArrival returns the matching jobs in order of arrival.
 func (table *jobTable) byArrival(match func(*jobState) bool) []*jobState {
 	var jobs []*jobState
 	for _, job := range table.byID {
@@ -196,10 +197,10 @@
 	return job
 }
 
-// OpenRecordChanged applies a version of a job's open record that the watch has delivered: a new job, or a
-// cancellation. Versions that are not newer than what is known are ignored. wall is the wall clock in microseconds
-// since the epoch. notBefore is the earliest time at which the change can have been confirmed to a user: what was
-// confirmed before is known.
+// OpenRecordChanged applies a version of a job's open record that the watch has delivered: a new job or a cancellation.
+// A version that is not newer than the known one is ignored. wall is the wall clock time in microseconds since the
+// epoch. notBefore is the earliest time at which the change can have been confirmed to a user: changes that were
+// confirmed before notBefore have been delivered already.
 func (m *Manager) OpenRecordChanged(
 	now, notBefore micros.Timestamp, wall int64, record state.OpenJobRecord, version uint64,
 ) {
@@ -222,14 +223,15 @@
 	}
 }
 
-// cancelJob is where a cancellation takes effect in this term. From here on nothing of the job is granted, launched or
-// written but its end: attempts that were never launched are gone at once, the others are stopped, by a push or by the
-// answer to the next heartbeat, and the records are deleted when every attempt is provably gone.
+// cancelJob applies the cancellation of a job. From now on, none of its tasks is granted or launched, and its records
+// are written only to delete them. Attempts that were never launched are gone at once; the others are stopped by a push
+// or by the answer to the next heartbeat. The records are deleted once every attempt is provably gone.
 //
-// A cancellation that has not arrived here yet is safe all the same: the write that makes a placement durable is
-// conditional on the version of the job's open record, so no attempt of a job that was cancelled before is launched;
-// and no worker lease is renewed on knowledge of cancellations that is older than the cancel timeout allows, so what
-// runs ends by itself. A launch whose push has an unknown outcome is handled by mayStopLateLaunch.
+// A cancellation that has not been delivered to this leader yet takes effect, too. The write that makes a placement
+// durable is conditional on the version of the job's open record, so that no attempt of an already cancelled job is
+// launched. Worker leases are not renewed while the leader's knowledge of cancellations is older than the cancel
+// timeout allows, so that running attempts end by themselves. mayStopLateLaunch handles a launch whose push has an
+// unknown outcome.
 func (m *Manager) cancelJob(now, notBefore micros.Timestamp, job *jobState, finalState wire.JobState) {
 	job.finalState = finalState
 	job.finalSince = min(now, notBefore)
@@ -251,10 +253,10 @@
 	}
 }
 
-// OpenRecordRemoved forgets the deletion of a job's open record, once the watch has delivered it.
+// OpenRecordRemoved forgets the deletion of a job's open record once the watch has delivered that deletion.
 func (m *Manager) OpenRecordRemoved(id wire.JobID) { delete(m.jobs.removed, id) }
 
-// ForgetRemovedBefore forgets the deletions up to a revision, when the watch continues from there.
-func (m *Manager) ForgetRemovedBefore(revision uint64) {
+// ForgetDeletionsUpTo forgets the deletions up to and including a revision when the watch resumes from that revision.
+func (m *Manager) ForgetDeletionsUpTo(revision uint64) {
 	maps.DeleteFunc(m.jobs.removed, func(_ wire.JobID, removedAt uint64) bool { return removedAt <= revision })
 }
--- a/internal/manager/waiting_reservations.go
+++ b/internal/manager/machine_reservations.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// maxReservingJobs bounds how many jobs have machines reserved for them at once.
+	// maxReservingJobs is the maximum number of jobs that have machines reserved for them at the same time.
 	maxReservingJobs = 8
-	// reservableFraction is the part of the usable machines that may be reserved: one in so many.
-	reservableFraction = 4
+	// reservableDivisor limits the machines that may be reserved: one in this many usable machines.
+	reservableDivisor = 4
 )
 
-// waitingReservations is one round of reserving machines for jobs that have waited long.
-type waitingReservations struct {
+// machineReservationRound is one round of reserving machines for jobs that have waited long.
+type machineReservationRound struct {
 	m   *Manager
 	now micros.Timestamp
-	// reserved and usable count machines.
+	// reserved and usable are numbers of machines.
 	reserved, usable int
-	tasks            map[wire.JobID]int // that fit on the machines reserved for a job, by job
+	tasks            map[wire.JobID]int // number of a job's tasks that fit on the machines reserved for it, by job
 }
 
-// ReserveForWaitingJobs reserves machines for the jobs that have waited longest without one of their tasks being
-// placed: nothing else is placed there, so that small tasks that fit anywhere cannot take for ever what a large one
-// waits for. Class, priority and deadline do not matter. A reserved machine empties by itself; it is reserved until
-// it has as many of the job's tasks as it takes. See reservations.go for the other kind of reservation.
+// ReserveForWaitingJobs reserves machines for the jobs that have waited longest without any of their tasks being
+// placed. No other job's tasks are placed on a reserved machine: otherwise, small tasks that fit anywhere could starve
+// a large task indefinitely. The jobs' classes, priorities and deadlines are not considered. Tasks that run on a
+// reserved machine are not stopped. The machine stays reserved until it cannot hold another task of the job. See
+// reservations.go for the other kind of reservation.
 func (m *Manager) ReserveForWaitingJobs(now micros.Timestamp) {
-	round := waitingReservations{m: m, now: now, tasks: map[wire.JobID]int{}}
+	round := machineReservationRound{m: m, now: now, tasks: map[wire.JobID]int{}}
 	round.releaseObsolete()
 	jobs := m.waitingFor(now, m.cfg.Tuning.ReserveAfter)
 	slices.SortStableFunc(jobs, func(a, b *jobState) int { return cmp.Compare(a.waitingSince, b.waitingSince) })
@@ -41,15 +42,15 @@
 			round.reserveForJob(job)
 			continue
 		}
-		// Two that each have half of what they need would wait for ever for the other's.
+		// Two gangs that each hold half of the machines they need would wait for each other forever.
 		if gangs++; gangs == 1 {
 			round.reserveForGang(job)
 		}
 	}
 }
 
-// releaseObsolete ends the reservations that no longer serve their job, and counts the others.
-func (round *waitingReservations) releaseObsolete() {
+// releaseObsolete cancels the machine reservations that no longer serve their jobs and counts the others.
+func (round *machineReservationRound) releaseObsolete() {
 	m := round.m
 	for _, machine := range m.machines.byID {
 		usable := m.usable(round.now, machine)
@@ -69,27 +70,29 @@
 	}
 }
 
-func (round *waitingReservations) count(machine *machineState, job *jobState) {
+// count adds a reserved machine to the totals of the round.
+func (round *machineReservationRound) count(machine *machineState, job *jobState) {
 	round.reserved++
 	round.tasks[job.id()] += machine.maxTasksWhenEmpty(job)
 }
 
 // reserve reserves a machine for a job.
-func (round *waitingReservations) reserve(machine *machineState, job *jobState) {
+func (round *machineReservationRound) reserve(machine *machineState, job *jobState) {
 	machine.reservedForJob = job.id()
 	round.m.publisher.markMachine(machine)
-	round.m.event("machine reserved for a job that has waited long", "job", job.id(), "machine", machine.id)
+	round.m.event("machine reserved for a long-waiting job", "job", job.id(), "machine", machine.id)
 	round.count(machine, job)
 }
 
-// reserveForJob reserves machines for a job whose tasks are independent, within the share that all such jobs may have.
-func (round *waitingReservations) reserveForJob(job *jobState) {
-	limit := max(1, round.usable/reservableFraction)
+// reserveForJob reserves machines for a job whose tasks are independent. All such jobs together may have only a part of
+// the usable machines.
+func (round *machineReservationRound) reserveForJob(job *jobState) {
+	limit := max(1, round.usable/reservableDivisor)
 	wanted := min(job.waiting, round.m.quota.headroom(job.spec()))
 	if round.reserved >= limit || round.tasks[job.id()] >= wanted {
 		return
 	}
-	for _, machine := range round.m.machinesBySoonestRoom(round.now, job, "") {
+	for _, machine := range round.m.machinesByCapacityTime(round.now, job, "") {
 		round.reserve(machine, job)
 		if round.reserved >= limit || round.tasks[job.id()] >= wanted {
 			return
@@ -97,9 +100,10 @@
 	}
 }
 
-// reserveForGang reserves as many machines as the whole gang takes, in one zone if it must be, also beyond the share of
-// other jobs. Where no zone has enough it reserves nothing: the fleet has to grow first.
-func (round *waitingReservations) reserveForGang(job *jobState) {
+// reserveForGang reserves as many machines as a whole gang needs, in one zone if the gang requires that. It may exceed
+// the part of the machines that is available to other jobs. If no zone has enough machines, it reserves none, because
+// the fleet has to scale out first.
+func (round *machineReservationRound) reserveForGang(job *jobState) {
 	if round.tasks[job.id()] >= job.waiting || round.m.quota.headroom(job.spec()) < job.waiting {
 		return
 	}
@@ -107,7 +111,7 @@
 	if !ok {
 		return
 	}
-	for _, machine := range round.m.machinesBySoonestRoom(round.now, job, zone) {
+	for _, machine := range round.m.machinesByCapacityTime(round.now, job, zone) {
 		if round.tasks[job.id()] >= job.waiting {
 			return
 		}
@@ -115,9 +119,10 @@
 	}
 }
 
-// zoneForGang returns the zone in which machines are reserved for a gang: of those that can hold all of it the one
-// with the most free room, or the one where it has begun. Empty: any zone, for a gang that may be spread.
-func (round *waitingReservations) zoneForGang(job *jobState) (best string, found bool) {
+// zoneForGang returns the zone in which machines are reserved for a gang: of the zones that can hold the whole gang,
+// the one in which machines are already reserved for it, or else the one with the most free resources. For a gang that
+// may be spread over zones, the returned zone is empty, which stands for any zone.
+func (round *machineReservationRound) zoneForGang(job *jobState) (best string, found bool) {
 	m := round.m
 	capacity, free := map[string]int{}, map[string]int{} // in tasks, by zone
 	for _, machine := range m.machines.byID {
@@ -132,7 +137,7 @@
 		capacity[zone] += machine.maxTasksWhenEmpty(job)
 		free[zone] += m.freeResources(machine).MaxTasks(resources.ForTask(job.spec()), wire.MaxTasks)
 		if machine.reservedForJob != "" {
-			free[zone] += wire.MaxTasks // it stays where it has begun
+			free[zone] += wire.MaxTasks // prefer the zone in which machines are already reserved for the gang
 		}
 	}
 	for _, zone := range slices.Sorted(maps.Keys(capacity)) {
@@ -143,17 +148,18 @@
 	return best, found
 }
 
-// mayHostWhenFree reports whether a machine may take a job's tasks once it has room.
+// mayHostWhenFree reports whether a job's tasks may run on a machine once it has capacity.
 func (m *Manager) mayHostWhenFree(now micros.Timestamp, machine *machineState, job *jobState) bool {
 	return m.usable(now, machine) && m.eligibleFor(machine, job)
 }
 
-// machinesBySoonestRoom returns the machines that may be reserved for a job, first those on which a task of it should
-// find room first, by the expected ends of what runs there, if nothing else is placed. With a zone it returns only
-// those in it. That one of them is reserved does not change when there is room on another.
-func (m *Manager) machinesBySoonestRoom(now micros.Timestamp, job *jobState, zone string) []*machineState {
+// machinesByCapacityTime returns the machines that may be reserved for a job, ordered by the time at which a task of
+// the job is expected to fit. This time follows from the expected ends of the attempts on the machine, if nothing else
+// is placed there. If zone is not empty, only machines in that zone are returned. The order stays valid while machines
+// are reserved, because reserving one does not change when another has capacity.
+func (m *Manager) machinesByCapacityTime(now micros.Timestamp, job *jobState, zone string) []*machineState {
 	type candidate struct {
-		roomAt  micros.Timestamp
+		fitsAt  micros.Timestamp
 		machine *machineState
 	}
 	var candidates []candidate
@@ -162,12 +168,12 @@
 			!m.mayHostWhenFree(now, machine, job) {
 			continue
 		}
-		if roomAt, ok := m.roomExpectedAt(now, machine, job.spec()); ok {
-			candidates = append(candidates, candidate{roomAt: roomAt, machine: machine})
+		if fitsAt, ok := m.capacityExpectedAt(now, machine, job.spec()); ok {
+			candidates = append(candidates, candidate{fitsAt: fitsAt, machine: machine})
 		}
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.roomAt, b.roomAt), cmp.Compare(a.machine.id, b.machine.id))
+		return cmp.Or(cmp.Compare(a.fitsAt, b.fitsAt), cmp.Compare(a.machine.id, b.machine.id))
 	})
 	machines := make([]*machineState, len(candidates))
 	for i, candidate := range candidates {
@@ -176,12 +182,12 @@
 	return machines
 }
 
-// roomExpectedAt returns when a machine should have room for a task; ok is false if it never has.
-func (m *Manager) roomExpectedAt(
+// capacityExpectedAt returns the time at which a task is expected to fit on a machine. ok is false if it never fits.
+func (m *Manager) capacityExpectedAt(
 	now micros.Timestamp, machine *machineState, spec *wire.Job,
 ) (at micros.Timestamp, ok bool) {
-	room, need := m.freeResources(machine), resources.ForTask(spec)
-	if room.Fits(need) {
+	free, need := m.freeResources(machine), resources.ForTask(spec)
+	if free.Fits(need) {
 		return now, true
 	}
 	type end struct {
@@ -196,8 +202,8 @@
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.attempt.id, b.attempt.id))
 	})
 	for _, end := range ends {
-		room = room.AddTasks(resources.ForTask(end.attempt.spec()), 1)
-		if room.Fits(need) {
+		free = free.AddTasks(resources.ForTask(end.attempt.spec()), 1)
+		if free.Fits(need) {
 			return end.at, true
 		}
 	}
--- a/internal/manager/waiting_reservations_test.go
+++ b/internal/manager/machine_reservations_test.go
@@ -8,8 +8,8 @@
 	"saffronbend/wire"
 )
 
-// Nothing else is placed on a machine that is reserved for the job that has waited longest.
-func TestMachineIsReservedForTheLongestWaitingJob(t *testing.T) {
+// No other job is placed on a machine that is reserved for the job that has waited longest.
+func TestMachineIsReservedForLongestWaitingJob(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a")
 	h.submit("run-1", 1, func(j *wire.Job) { j.CPUs = 8 })
@@ -27,9 +27,9 @@
 	h.want(h.grant("run-2", "n-2-a", 1), 1)
 }
 
-// The machines are looked through once for a job, not once for each machine that is reserved.
-func TestReservingLooksAtEachMachineOnce(t *testing.T) {
-	const machines, most = 200, 4
+// A round of reservations looks at each machine once per job, not once for each machine that it reserves.
+func TestReservationScansMachinesOncePerJob(t *testing.T) {
+	const machines, maxAllocsPerMachine = 200, 4
 	h := newHarness(t, nil, nil)
 	h.m.quota["blue"].CPUsMax = 0
 	h.m.SetTypes([]wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 16, Zones: []string{"a", "b"}}})
@@ -51,8 +51,8 @@
 		}
 		h.m.ReserveForWaitingJobs(h.now)
 	})
-	h.want(len(h.reservedMachines("run-2")), machines/reservableFraction)
-	if allocs > machines*most {
-		t.Errorf("%v allocations for %d machines, at most %d each", allocs, machines, most)
+	h.want(len(h.reservedMachines("run-2")), machines/reservableDivisor)
+	if allocs > machines*maxAllocsPerMachine {
+		t.Errorf("%v allocations for %d machines, want at most %d per machine", allocs, machines, maxAllocsPerMachine)
 	}
 }
--- a/internal/manager/machines.go
+++ b/internal/manager/machines.go
@@ -39,7 +39,7 @@
 	idleSince        micros.Timestamp // time since which it has had no attempts
 
 	reservedForJob wire.JobID // the only job that may be placed here; empty: not reserved
-	preempted      preemptedRoom
+	preempted      preemptedCapacity
 	reservations   map[disruption.Task]*reservation // for successors of evicted attempts
 
 	publishedUsable bool // usable according to the last snapshot
@@ -147,7 +147,7 @@
 func (m *Manager) Tick(now micros.Timestamp) {
 	m.accountCosts(now)
 	m.expireReservations(now)
-	m.restoreInheritedReservations(now)
+	m.restoreReservations(now)
 	for _, machine := range m.machines.sorted() {
 		m.tickMachine(now, machine)
 	}
--- a/internal/manager/moves.go
+++ b/internal/manager/moves.go
@@ -10,10 +10,11 @@
 	"saffronbend/wire"
 )
 
-// Moves are evictions to a named destination. They take the path of the evictions that drains request, so that one
-// attempt is never stopped for two reasons.
+// A move is an eviction to a chosen destination. Moves use the same code path as evictions for drains, so that an
+// attempt is not stopped for a move and for a drain at the same time.
 
-// RebalanceSnapshot returns the work on all machines. remaining is how many more tasks of each team may be disrupted.
+// RebalanceSnapshot returns the load of all machines. remaining is the number of further tasks of each team that may be
+// disrupted.
 func (m *Manager) RebalanceSnapshot(now micros.Timestamp, remaining map[wire.TeamName]int) rebalance.Snapshot {
 	published := rebalance.Snapshot{Now: now, Teams: map[wire.TeamName]rebalance.Team{}, MachinesListed: m.machines.listed}
 	for name := range m.quota {
@@ -37,8 +38,8 @@
 	return published
 }
 
-// mayStillReport reports whether a machine can hold work, has not reported to this leader and may yet do so: an agent
-// that goes without an answer for a worker lease stops its tasks.
+// mayStillReport reports whether a machine may be running tasks although it has not reported to this leader yet. It is
+// false once the machine's worker lease must have expired: an agent that gets no answer for that long stops its tasks.
 func (m *Manager) mayStillReport(now micros.Timestamp, machine *machineState) bool {
 	if machine.agent.reporting && machine.agent.tokenAcknowledged || machine.deleting ||
 		machine.listing.state == wire.MachineFailed {
@@ -83,7 +84,7 @@
 		Team:           spec.Team,
 		Resources:      resources.ForTask(spec),
 		Gang:           attempt.job.gang != nil,
-		Stopping:       m.leaving(attempt),
+		Stopping:       m.stopping(attempt),
 		Running:        attempt.listed && attempt.reportedState == wire.TaskRunning,
 		Checkpoints:    spec.CheckpointIntervalS > 0,
 		CheckpointTime: micros.Seconds(spec.CheckpointSaveS),
@@ -93,15 +94,15 @@
 	}
 }
 
-// moveExecutor executes one round of moves. Which jobs wait for room does not change by moves, so they are looked up
-// once.
+// moveExecutor executes the moves of one rebalancing round. The jobs with waiting tasks are collected once per round,
+// because moves do not change them.
 type moveExecutor struct {
 	manager *Manager
 	now     micros.Timestamp
 	waiting []*jobState
 }
 
-// MoveExecutor returns the executor of a round of moves that is decided now.
+// MoveExecutor returns the executor for a round of moves that is decided at the given time.
 func (m *Manager) MoveExecutor(now micros.Timestamp) rebalance.MoveExecutor {
 	executor := moveExecutor{manager: m, now: now}
 	for _, job := range m.jobs.byID {
@@ -112,11 +113,12 @@
 	return executor
 }
 
-// MayHost reports whether a machine may take a task that is moved: it has room that no waiting work could use.
+// MayHost reports whether a task may be moved to a machine. It may not if a waiting task could use the machine's free
+// resources.
 func (executor moveExecutor) MayHost(task disruption.Task, machineID wire.MachineID) bool {
 	m := executor.manager
 	job, machine := m.jobs.byID[task.Job], m.machines.byID[machineID]
-	if job == nil || machine == nil || machine.reservedForJob != "" || !m.suitsMove(executor.now, machine, job) {
+	if job == nil || machine == nil || machine.reservedForJob != "" || !m.canReceiveMove(executor.now, machine, job) {
 		return false
 	}
 	free := m.freeResources(machine)
@@ -125,12 +127,13 @@
 	})
 }
 
-// Move has a task leave its machine for another.
+// Move begins to move a task to another machine (see Manager.Move).
 func (executor moveExecutor) Move(task disruption.Task, destination wire.MachineID) rebalance.MoveOutcome {
 	return executor.manager.Move(executor.now, task, destination)
 }
 
-// waitingWithoutReservation returns how many tasks of a job wait, within its team's limit, and have no room reserved.
+// waitingWithoutReservation returns the number of a job's waiting tasks that have no reservation, within its team's
+// limit.
 func (m *Manager) waitingWithoutReservation(job *jobState) int {
 	if job.final() || job.waiting == 0 {
 		return 0
@@ -145,14 +148,14 @@
 	return min(waiting, m.quota.headroom(job.spec()))
 }
 
-// suitsMove reports whether a task of a job can be moved to a machine.
-func (m *Manager) suitsMove(now micros.Timestamp, machine *machineState, job *jobState) bool {
+// canReceiveMove reports whether a task of a job can be moved to a machine.
+func (m *Manager) canReceiveMove(now micros.Timestamp, machine *machineState, job *jobState) bool {
 	return m.usable(now, machine) && !m.preemptedForOther(now, machine, job) && m.eligibleFor(machine, job) &&
 		m.freeResources(machine).Fits(resources.ForTask(job.spec()))
 }
 
-// Move has a task leave its machine for another: room there is reserved, and the attempt is stopped once the move is
-// durable. If that is not possible, nothing changes.
+// Move begins to move a task to another machine: it reserves capacity there, and the attempt is stopped once the move
+// is durable. If the move is not possible, nothing changes.
 func (m *Manager) Move(now micros.Timestamp, task disruption.Task, destination wire.MachineID) rebalance.MoveOutcome {
 	job := m.jobs.byID[task.Job]
 	if job == nil || job.active[task.Index] == nil {
@@ -162,20 +165,20 @@
 	switch {
 	case !m.evictable(attempt):
 		return rebalance.AlreadyStopping
-	case machine == nil || machine == attempt.machine || !m.suitsMove(now, machine, job):
+	case machine == nil || machine == attempt.machine || !m.canReceiveMove(now, machine, job):
 		return rebalance.NoCapacity
 	}
 	m.beginEviction(now, attempt, machine, disruption.Rebalance)
 	return rebalance.Moved
 }
 
-// destinationUsable reports whether the room that is reserved for an attempt's successor can still be used.
+// destinationUsable reports whether the capacity that is reserved for an attempt's successor can still be used.
 func (m *Manager) destinationUsable(now micros.Timestamp, attempt *taskAttempt) bool {
 	reserved := m.reservations.byTask[attempt.task()]
 	return reserved != nil && m.reservationUsable(now, reserved)
 }
 
-// abandonMove leaves a task where it is: its destination was lost before it was stopped.
+// abandonMove leaves a task on its machine because the destination was lost before the task was stopped.
 func (m *Manager) abandonMove(now micros.Timestamp, attempt *taskAttempt) {
 	m.event("move abandoned: destination lost", "task", attempt.taskName, "attempt", attempt.id,
 		"machine", attempt.machine.id)
--- a/internal/manager/moves_test.go
+++ b/internal/manager/moves_test.go
@@ -10,10 +10,10 @@
 	"saffronbend/wire"
 )
 
-// While a task moves it is load on one machine, at every step: on its destination from the decision on. Once a
-// successor that was placed and did not run yet counted on neither machine, and the destination was chosen a second
-// time.
-func TestMovedTaskIsLoadOnItsDestination(t *testing.T) {
+// A task that is being moved counts as load on exactly one machine at every step: from the decision on, on its
+// destination. This guards against a fault in which a successor that was placed but not running yet counted on neither
+// machine, so that the same destination was chosen a second time.
+func TestMovedTaskCountsAsLoadOfDestination(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
 	need := record("run-1", 1, withCheckpoints).Job.CPUs
@@ -41,7 +41,7 @@
 }
 
 // If the destination is lost before the move is durable, the task is not stopped.
-func TestMoveIsAbandonedWithItsDestination(t *testing.T) {
+func TestMoveIsAbandonedIfDestinationIsLost(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
 	h.want(h.m.Move(h.now, firstTask("run-1"), "n-2-a"), rebalance.Moved)
@@ -53,7 +53,8 @@
 	h.want(len(h.m.CommandPushes(h.now, true)), 0)
 }
 
-// A move takes no room that waiting work could use, and goes nowhere where the task may not run.
+// A move is refused if the task may not run on the destination, and MayHost excludes a machine whose capacity waiting
+// tasks could use.
 func TestMoveIsRefused(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
@@ -62,7 +63,7 @@
 	h.want(h.m.Move(h.now, firstTask("run-9"), "n-2-a"), rebalance.AttemptEnded)
 	h.want(h.m.MoveExecutor(h.now).MayHost(firstTask("run-1"), "n-2-a"), true)
 	h.submit("run-2", 1, withCheckpoints)
-	h.want(h.m.MoveExecutor(h.now).MayHost(firstTask("run-1"), "n-2-a"), false) // its room is for work that waits
+	h.want(h.m.MoveExecutor(h.now).MayHost(firstTask("run-1"), "n-2-a"), false) // run-2 is waiting for capacity
 	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-2-a": true}, nil)
 	h.want(h.m.Move(h.now, firstTask("run-1"), "n-2-a"), rebalance.NoCapacity)
 	h.m.SetCordons(h.now, nil, nil)
@@ -70,7 +71,7 @@
 	h.want(h.m.Move(h.now, firstTask("run-1"), "n-2-a"), rebalance.AlreadyStopping)
 }
 
-// A machine that has not reported to a new leader may hold tasks, until its lease must have expired.
+// A machine that has not reported to a new leader may be running tasks until its worker lease must have expired.
 func TestUnreportedMachinesAreCounted(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.m.MachinesListed(h.now, []wire.Machine{{ID: "n-1-a", Type: "small", Zone: "a", State: wire.MachineRunning}})
@@ -79,10 +80,10 @@
 	h.want(h.m.RebalanceSnapshot(h.now, nil).UnreportedMachines, 0)
 }
 
-// The record of a move names its destination. The next leader reserves the room there again once that machine has
-// reported; one that is gone is forgotten.
-func TestMoveSurvivesTheLeader(t *testing.T) {
-	const before = 5<<attemptBits | 3
+// The record of a move names the destination. The next leader reserves capacity there again once the destination has
+// reported, and drops the reservation if the destination does not report in time.
+func TestMoveSurvivesLeaderChange(t *testing.T) {
+	const earlierAttempt = 5<<attemptBits | 3
 	earlier := newDrainHarness(t, nil, nil, nil)
 	earlier.runTask()
 	earlier.want(earlier.m.Move(earlier.now, firstTask("run-1"), "n-2-a"), rebalance.Moved)
@@ -91,33 +92,33 @@
 
 	open := []wire.KeyValue{storedItem("open/run-1", 4, record("run-1", 1, withCheckpoints))}
 	progress := []wire.KeyValue{storedItem("tasks/run-1/0", 6, state.ProgressRecord{Active: []state.Placement{
-		{Task: 0, Machine: "n-1-a", Attempt: before, Incarnation: 1},
+		{Task: 0, Machine: "n-1-a", Attempt: earlierAttempt, Incarnation: 1},
 	}})}
 	disruptions := []wire.KeyValue{storedItem("disruption/run-1/0", 6, state.DisruptionRecord{Open: []state.OpenDisruption{
-		{Task: 0, Attempt: before, Cause: "rebalance", ReservedMachine: "n-2-a"},
+		{Task: 0, Attempt: earlierAttempt, Cause: "rebalance", ReservedMachine: "n-2-a"},
 	}})}
-	for name, there := range map[string]bool{"its machine reports": true, "its machine is gone": false} {
+	for name, reports := range map[string]bool{"the destination reports": true, "the destination is gone": false} {
 		t.Run(name, func(t *testing.T) {
 			h := newDrainHarness(t, open, progress, disruptions)
 			h.want(h.openDisruptions(), "run-1/0 rebalance")
-			h.heartbeat("n-1-a", 5, 1, taskStatus("run-1/0", before, "saving"))
-			h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", before, "saving"))
-			if there {
+			h.heartbeat("n-1-a", 5, 1, taskStatus("run-1/0", earlierAttempt, "saving"))
+			h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", earlierAttempt, "saving"))
+			if reports {
 				h.start("n-2-a")
 			}
 			h.m.Tick(h.now)
-			h.want(len(h.m.reservations.byTask) == 1, there)
-			h.want(h.m.machines.byID["n-2-a"] != nil, there)
+			h.want(len(h.m.reservations.byTask) == 1, reports)
+			h.want(h.m.machines.byID["n-2-a"] != nil, reports)
 			h.advance(h.m.cfg.ReservationTTL + micros.Second)
 			h.m.Tick(h.now)
-			h.want(len(h.m.reservations.inherited), 0)
+			h.want(len(h.m.reservations.pendingRestore), 0)
 		})
 	}
 }
 
-// What is on a machine that does not report is not known: its silence is no load, and it is no destination though it
-// may still get new tasks.
-func TestSilentMachinesAreNotKnown(t *testing.T) {
+// The load of a machine that does not report is unknown. The machine must neither count as having no load nor become a
+// destination, although it may still receive new tasks.
+func TestLoadOfSilentMachineIsUnknown(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.start("n-1-a", "n-2-a")
 	h.advance(h.m.heartbeatTimeout() + micros.Second)
--- a/internal/manager/preemption.go
+++ b/internal/manager/preemption.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// maxPreemptionsPerRound bounds how many preemptions a round makes for jobs whose tasks are independent.
+	// maxPreemptionsPerRound is the maximum number of preemptions in a round for jobs whose tasks are independent.
 	maxPreemptionsPerRound = 4
-	// maxTasksPerRound bounds for how many tasks of a job a round looks for room.
-	maxTasksPerRound = 64
+	// maxTasksPerJob is the maximum number of tasks of one job that a round plans.
+	maxTasksPerJob = 64
 	// checkpointMarginS is added to the time that a task needs to write its checkpoint, in seconds.
 	checkpointMarginS = 1
-	// gangPatience is how many times longer than for other tasks a job waits before a gang is preempted for it: a gang
-	// that is stopped fetches its images and waits for room anew as a whole.
-	gangPatience = 10
+	// gangPreemptionWaitFactor is how many times longer a job must have waited before a gang is preempted for it than
+	// before another task is: all tasks of a preempted gang have to fetch their image and wait for capacity again.
+	gangPreemptionWaitFactor = 10
 )
 
-// preemptedRoom is room on a machine that was freed by preemption for a gang, and until when nothing less urgent
-// takes it.
-type preemptedRoom struct {
+// preemptedCapacity is the capacity of a machine that preemption has freed for a gang. Jobs of lower priority cannot
+// use it before the time until.
+type preemptedCapacity struct {
 	forJob wire.JobID
 	until  micros.Timestamp
 }
 
-// preemptionTarget is a machine as a round of preemption sees it: its room, including that of what is being stopped,
-// and the attempts on it that may be preempted.
+// preemptionTarget is a machine in a round of preemption, with its free resources, which include those of attempts that
+// are being stopped, and with the attempts that may be preempted.
 type preemptionTarget struct {
 	machine *machineState
-	room    resources.Vector
+	free    resources.Vector
 	victims []*taskAttempt
 }
 
@@ -43,13 +43,13 @@
 	m       *Manager
 	now     micros.Timestamp
 	targets []*preemptionTarget
-	planned map[wire.TeamName]resources.Vector // what this round has found room for, by team
-	budget  int                                // preemptions left
+	planned map[wire.TeamName]resources.Vector // resources for the tasks planned in this round, by team
+	budget  int                                // remaining preemptions
 }
 
-// Preempt stops work of lower priority for jobs that have waited longer than the operators allow and find no room.
-// What is already being stopped counts as room. outOfTime reports whether the round has used up its processor time:
-// the next call continues with the next job.
+// Preempt preempts running work for jobs that have waited longer than the PreemptAfter option allows and do not fit
+// anywhere. Attempts that are already being stopped count as free resources. outOfTime reports whether the round has
+// used up its CPU time; the next call then continues with the job at which this one ended.
 func (m *Manager) Preempt(now micros.Timestamp, outOfTime func() bool) {
 	jobs := m.jobsToPreemptFor(now)
 	if len(jobs) == 0 {
@@ -78,8 +78,8 @@
 	}
 }
 
-// jobsToPreemptFor returns the jobs for which others may be preempted, the most urgent first, from the one on at
-// which the last round ended.
+// jobsToPreemptFor returns the jobs for which running work may be preempted, in order of descending priority. The order
+// is rotated to begin with the job at which the last round ran out of time.
 func (m *Manager) jobsToPreemptFor(now micros.Timestamp) []*jobState {
 	var jobs []*jobState
 	for _, job := range m.waitingFor(now, m.cfg.Tuning.PreemptAfter) {
@@ -95,9 +95,9 @@
 	return jobs
 }
 
-// waitingFor returns the jobs, by arrival, that could have tasks placed and have waited longer than this without one
-// of them being placed. A new leader first waits for its machines' heartbeats: before, a job that waited under the
-// last one would find no room though there is some.
+// waitingFor returns the jobs, in order of arrival, that have tasks that could be placed but of which none was placed
+// for longer than the given time. In a new term it returns none before the machines have had time to send heartbeats:
+// until then, jobs that were already waiting would find no capacity although there may be some.
 func (m *Manager) waitingFor(now micros.Timestamp, longer micros.Duration) []*jobState {
 	if now.Sub(m.termStart) <= min(longer, m.heartbeatTimeout()) {
 		return nil
@@ -108,17 +108,17 @@
 	})
 }
 
-// preemptionTargets returns the usable machines by identifier.
+// preemptionTargets returns the usable machines as targets, in order of their identifiers.
 func (m *Manager) preemptionTargets(now micros.Timestamp) []*preemptionTarget {
 	var targets []*preemptionTarget
 	for _, machine := range m.machines.byID {
 		if !m.usable(now, machine) {
 			continue
 		}
-		target := &preemptionTarget{machine: machine, room: m.freeResources(machine)}
+		target := &preemptionTarget{machine: machine, free: m.freeResources(machine)}
 		for _, attempt := range machine.attempts {
 			if attempt.stopPending() {
-				target.room = target.room.AddTasks(resources.ForTask(attempt.spec()), 1)
+				target.free = target.free.AddTasks(resources.ForTask(attempt.spec()), 1)
 			} else if m.preemptible(now, attempt) {
 				target.victims = append(target.victims, attempt)
 			}
@@ -130,8 +130,8 @@
 	return targets
 }
 
-// preemptible reports whether an attempt may be preempted: not if it has waited long for its room, and not if it would
-// lose all that it has done.
+// preemptible reports whether an attempt may be preempted. It may not if it was placed on a machine that was reserved
+// because its job had waited long, or if all of its progress would be lost.
 func (m *Manager) preemptible(now micros.Timestamp, attempt *taskAttempt) bool {
 	switch {
 	case attempt.usedReservation:
@@ -143,21 +143,21 @@
 	}
 }
 
-// mayPreemptGang reports whether a gang may be preempted: not while it is being stopped already, and not if it would
-// lose all that it has done.
+// mayPreemptGang reports whether a gang may be preempted. It may not if it is already being stopped or if all of its
+// progress would be lost.
 func (m *Manager) mayPreemptGang(now micros.Timestamp, job *jobState) bool {
 	switch job.gang.Phase() {
 	case gang.Granted, gang.Launched:
 		return true
 	case gang.Running:
-		return job.spec().CheckpointIntervalS > 0 && m.savesInTime(now, job)
+		return job.spec().CheckpointIntervalS > 0 && m.canCheckpointInTime(now, job)
 	case gang.Idle, gang.Checkpointing, gang.Aborting, gang.Complete:
 	}
 	return false
 }
 
-// mayPreempt reports whether a job may preempt another's task: one of lower priority, or one that another team runs
-// beyond its own guarantee where the job's team has not got its own.
+// mayPreempt reports whether a job may preempt a task of another job: if the other job has a lower priority, or if it
+// belongs to another team and exceeds that team's guarantee while the job's own team is still within its guarantee.
 func (round *preemptionRound) mayPreempt(job, other *jobState) bool {
 	if other.spec().Priority() < job.spec().Priority() {
 		return true
@@ -167,7 +167,7 @@
 		round.m.quota.beyondGuarantee(other.spec())
 }
 
-// targetsFor returns the machines that may take a job's tasks once they have room.
+// targetsFor returns the machines on which a job's tasks may run once there is capacity.
 func (round *preemptionRound) targetsFor(job *jobState) []*preemptionTarget {
 	var targets []*preemptionTarget
 	for _, target := range round.targets {
@@ -179,20 +179,21 @@
 	return targets
 }
 
-// plan records that a task of a job has room on a machine.
+// plan records that a task of a job is planned on a machine.
 func (round *preemptionRound) plan(job *jobState, target *preemptionTarget) {
 	need, team := resources.ForTask(job.spec()), job.spec().Team
-	target.room = target.room.AddTasks(need, -1)
+	target.free = target.free.AddTasks(need, -1)
 	round.planned[team] = round.planned[team].AddTasks(need, 1)
 }
 
-// preemptFor finds room for a job's waiting tasks, and preempts others where there is none, within the round's budget.
+// preemptFor plans a job's waiting tasks on machines with free resources and, if there are none, preempts other work,
+// within the round's budget.
 func (round *preemptionRound) preemptFor(job *jobState) {
 	need := resources.ForTask(job.spec())
 	targets := round.targetsFor(job)
-	next := 0 // targets before have no room left
-	for range min(job.waiting, round.m.quota.headroom(job.spec()), maxTasksPerRound) {
-		for next < len(targets) && !targets[next].room.Fits(need) {
+	next := 0 // targets before this index are full
+	for range min(job.waiting, round.m.quota.headroom(job.spec()), maxTasksPerJob) {
+		for next < len(targets) && !targets[next].free.Fits(need) {
 			next++
 		}
 		if next < len(targets) {
@@ -211,8 +212,8 @@
 	}
 }
 
-// cheapestVictim returns the attempt whose preemption frees room for a task of a job at the least cost, with its
-// machine; nil: there is none.
+// cheapestVictim returns the attempt with the lowest preemption cost whose preemption makes a task of a job fit on the
+// attempt's machine, and that machine. Both are nil if there is none.
 func (round *preemptionRound) cheapestVictim(
 	job *jobState, targets []*preemptionTarget,
 ) (victim *taskAttempt, best *preemptionTarget) {
@@ -223,10 +224,10 @@
 			if attempt.stop.requested || !round.mayPreempt(job, attempt.job) {
 				continue
 			}
-			if attempt.job.gang != nil && !round.worthPreemptingGang(job, attempt.job) {
+			if attempt.job.gang != nil && !round.shouldPreemptGang(job, attempt.job) {
 				continue
 			}
-			freed := target.room.AddTasks(resources.ForTask(attempt.spec()), target.tasksFreedWith(attempt))
+			freed := target.free.AddTasks(resources.ForTask(attempt.spec()), target.tasksFreedBy(attempt))
 			if cost := preemptionCost(attempt); cost < least && freed.Fits(need) {
 				victim, best, least = attempt, target, cost
 			}
@@ -235,16 +236,17 @@
 	return victim, best
 }
 
-// worthPreemptingGang reports whether a gang should be preempted for a job: it has waited long, and makes use of half
-// of what the gang would free.
-func (round *preemptionRound) worthPreemptingGang(job, victim *jobState) bool {
+// shouldPreemptGang reports whether a gang may be preempted for a job: the job has waited long enough and uses at least
+// half of the CPUs that the gang would free.
+func (round *preemptionRound) shouldPreemptGang(job, victim *jobState) bool {
 	used := 2 * float64(job.waiting) * job.spec().CPUs
 	freed := float64(len(victim.active)) * victim.spec().CPUs
-	return round.now.Sub(job.waitingSince) > gangPatience*round.m.cfg.Tuning.PreemptAfter && used >= freed
+	return round.now.Sub(job.waitingSince) > gangPreemptionWaitFactor*round.m.cfg.Tuning.PreemptAfter && used >= freed
 }
 
-// tasksFreedWith returns how many tasks leave the machine when an attempt on it does: with one of a gang, its peers.
-func (target *preemptionTarget) tasksFreedWith(victim *taskAttempt) float64 {
+// tasksFreedBy returns how many tasks leave a machine when an attempt on it is preempted: for an attempt of a gang,
+// all tasks of that gang on the machine.
+func (target *preemptionTarget) tasksFreedBy(victim *taskAttempt) float64 {
 	if victim.job.gang == nil {
 		return 1
 	}
@@ -257,9 +259,10 @@
 	return tasks
 }
 
-// preemptAttempt stops an attempt, or the whole gang that it belongs to, for a job, and counts the room that it frees.
+// preemptAttempt preempts an attempt, or the whole gang that it belongs to, for a job, and adds the freed resources to
+// the targets.
 func (round *preemptionRound) preemptAttempt(victim *taskAttempt, preemptor *jobState) {
-	// schedulingTime is how long the job's scheduler may need to see the room and request it.
+	// schedulingTime is how long the preemptor's scheduler may need to see the free resources and to request them.
 	const schedulingTime = 2 * micros.Second
 	m, now := round.m, round.now
 	spec := victim.spec()
@@ -274,37 +277,39 @@
 		m.stopAttempt(now, victim, graceS, disruption.Preemption)
 	}
 	for _, attempt := range preempted {
-		attempt.stop.requested = true // one that was never launched is gone already: it must not be counted again
+		// An attempt that was never launched is already gone. It must not be selected again in this round.
+		attempt.stop.requested = true
 		if preemptor.gang != nil {
 			until := now.Add(micros.Seconds(graceS) + schedulingTime)
-			attempt.machine.preempted = preemptedRoom{forJob: preemptor.id(), until: until}
+			attempt.machine.preempted = preemptedCapacity{forJob: preemptor.id(), until: until}
 		}
-		round.addRoom(attempt.machine, resources.ForTask(spec))
+		round.addFreedResources(attempt.machine, resources.ForTask(spec))
 	}
 }
 
-func (round *preemptionRound) addRoom(machine *machineState, freed resources.Vector) {
+// addFreedResources adds the resources of a preempted task to the target of its machine.
+func (round *preemptionRound) addFreedResources(machine *machineState, freed resources.Vector) {
 	i := slices.IndexFunc(round.targets, func(target *preemptionTarget) bool { return target.machine == machine })
 	if i >= 0 {
-		round.targets[i].room = round.targets[i].room.AddTasks(freed, 1)
+		round.targets[i].free = round.targets[i].free.AddTasks(freed, 1)
 	}
 }
 
-// preemptedForOther reports whether the room on a machine was freed for a more urgent gang than the job, which has
-// still to take it. A gang needs all of its room at once: a task that is back on one machine before the gang's
-// scheduler has seen the room spoils it on all.
+// preemptedForOther reports whether a machine's capacity was freed for a gang of higher priority than the job, and the
+// gang has not used it yet. A gang needs its capacity on all machines at once: if a preempted task were placed again on
+// one of them before the gang's scheduler has seen the capacity, the whole gang could not be placed.
 func (m *Manager) preemptedForOther(now micros.Timestamp, machine *machineState, job *jobState) bool {
-	room := &machine.preempted
-	if now >= room.until || room.forJob == job.id() {
+	capacity := &machine.preempted
+	if now >= capacity.until || capacity.forJob == job.id() {
 		return false
 	}
-	preemptor := m.jobs.byID[room.forJob]
+	preemptor := m.jobs.byID[capacity.forJob]
 	return preemptor != nil && !preemptor.final() && preemptor.waiting > 0 &&
 		preemptor.spec().Priority() > job.spec().Priority()
 }
 
-// checkpointGraceS returns the time in seconds that a task gets to write a checkpoint before it is stopped: none if it
-// writes none.
+// checkpointGraceS returns the time in seconds that a task gets to write a checkpoint before it is stopped: 0 if it
+// writes no checkpoints.
 func checkpointGraceS(spec *wire.Job) float64 {
 	if spec.CheckpointIntervalS <= 0 {
 		return 0
@@ -312,12 +317,13 @@
 	return spec.CheckpointSaveS + checkpointMarginS
 }
 
-// preemptionCost returns the time that an attempt loses when it is preempted; for one of a gang, what all of them
-// lose. A gang that cannot write its checkpoint in time is never preempted.
+// preemptionCost returns the time that is lost if an attempt is preempted; for an attempt of a gang, the time that all
+// tasks of the gang lose. A gang that cannot write its checkpoint in time is never preempted.
 func preemptionCost(attempt *taskAttempt) micros.Duration {
 	tasks, lost := micros.Duration(1), micros.Duration(0)
 	if attempt.job.gang != nil {
-		tasks, lost = micros.Duration(len(attempt.job.active)), micros.Second // all fetch and wait anew
+		// Every task of the gang has to fetch its image and wait for capacity again.
+		tasks, lost = micros.Duration(len(attempt.job.active)), micros.Second
 	}
 	if attempt.reportedState == wire.TaskRunning {
 		lost = micros.Seconds(attempt.spec().CheckpointSaveS)
--- a/internal/manager/preemption_test.go
+++ b/internal/manager/preemption_test.go
@@ -9,9 +9,9 @@
 	"saffronbend/wire"
 )
 
-// A team that has not got its guarantee preempts what another runs beyond its own, of the same priority; beyond the
-// guarantee it does not.
-func TestGuaranteePreempts(t *testing.T) {
+// A job whose team is within its guarantee preempts work of the same priority that another team runs beyond its own
+// guarantee. It does not preempt for tasks beyond the team's guarantee.
+func TestGuaranteeAllowsPreemption(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a")
 	h.submit("run-1", 2, func(j *wire.Job) { j.CheckpointIntervalS, j.CheckpointSaveS = 5, 1 })
@@ -32,7 +32,7 @@
 	h.want(strings.Contains(h.heartbeat("n-1-a", token, 1, red[1]), "stop"), false)
 }
 
-// What was placed on a machine that was reserved for its job is not preempted again.
+// An attempt that was placed on a machine reserved for its job is not preempted.
 func TestAttemptOnReservedMachineIsNotPreempted(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a")
@@ -52,9 +52,9 @@
 	h.want(len(h.m.jobs.byID["run-3"].active), 1)
 }
 
-// The room that tasks were preempted from for a more urgent gang is not granted to them again before the gang has had
-// the time to take it.
-func TestRoomFreedForGangIsNotTakenBack(t *testing.T) {
+// Capacity that was freed by preemption for a gang of higher priority is not granted to the preempted job before the
+// gang has had time to request it.
+func TestCapacityFreedForGangIsNotTakenBack(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a")
 	h.submit("run-1", 4, nil)
@@ -68,5 +68,5 @@
 	h.want(h.grantAll(lease.Request{Job: "run-2", Machine: "n-1-a", Count: 2}), 2)
 	h.advance(5 * micros.Second)
 	h.start("n-1-a")
-	h.want(h.grant("run-1", "n-1-a", 1), 0) // full
+	h.want(h.grant("run-1", "n-1-a", 1), 0) // the machine is full
 }
--- a/internal/manager/published.go
+++ b/internal/manager/published.go
@@ -10,7 +10,7 @@
 	"saffronbend/wire"
 )
 
-// publishedMachine returns a machine as the next snapshot shows it.
+// publishedMachine returns a machine as it appears in the next snapshot.
 func (m *Manager) publishedMachine(now micros.Timestamp, machine *machineState) *snapshot.Machine {
 	agent, listing := &machine.agent, &machine.listing
 	machine.publishedUsable = m.usable(now, machine)
@@ -45,8 +45,8 @@
 	return published
 }
 
-// expectedSoon reports whether a machine that may not be usable now should be so soon. One that has just started
-// reports twice before it is: the second heartbeat has our token.
+// expectedSoon reports whether a machine that may not be usable now is expected to become usable soon. A newly started
+// machine becomes usable with its second heartbeat, which is the first with this leader's fencing token.
 func (m *Manager) expectedSoon(now micros.Timestamp, machine *machineState) bool {
 	if machine.machineType == nil || machine.reclaimAt != 0 || machine.deleting || m.cordons[machine.id] ||
 		machine.health.quarantineReason != "" || machine.listing.state == wire.MachineFailed {
@@ -57,10 +57,10 @@
 		!agent.tokenAcknowledged && now.Sub(agent.lastHeartbeatAt) < m.cfg.WorkerLease
 }
 
-// publishedLeases returns the leases on a machine by job.
+// publishedLeases returns the leases on a machine, grouped by job.
 func (m *Manager) publishedLeases(now micros.Timestamp, machine *machineState) []snapshot.JobLeases {
 	var leases []snapshot.JobLeases
-	indices := map[wire.JobID]int{} // of jobs in leases
+	indices := map[wire.JobID]int{} // in leases, by job
 	for _, attempt := range attemptsByID(machine.attempts) {
 		spec := attempt.spec()
 		i, ok := indices[spec.ID]
@@ -80,7 +80,7 @@
 	return leases
 }
 
-// publishedJob returns a job as the next snapshot shows it.
+// publishedJob returns a job as it appears in the next snapshot.
 func (m *Manager) publishedJob(job *jobState) *snapshot.Job {
 	spec := job.spec()
 	published := &snapshot.Job{
@@ -122,7 +122,7 @@
 	return published
 }
 
-// running returns how many of the job's tasks run, as far as their agents have reported.
+// running returns the number of the job's tasks that are running, as reported by their agents.
 func (job *jobState) running() int {
 	running := 0
 	for _, attempt := range job.active {
--- a/internal/manager/publisher.go
+++ b/internal/manager/publisher.go
@@ -10,77 +10,78 @@
 	"saffronbend/wire"
 )
 
-// minRemovals and minCompletedRuns are how many removals and completed runs a follower may at least miss without
-// needing a whole snapshot. In larger fleets it is as many as there are machines: a whole snapshot is then that much
-// dearer, too.
+// minRemovals and minCompletedRuns are the minimum numbers of removals and completed runs that are kept for followers.
+// A follower that has missed more needs a whole snapshot. In larger fleets, as many are kept as there are machines,
+// because the cost of a whole snapshot grows with the fleet.
 const (
 	minRemovals      = 2000
 	minCompletedRuns = 1000
 )
 
-// snapshotPublisher holds the published snapshot, what has changed since, and what followers may still have missed.
+// snapshotPublisher holds the published snapshot, the changes since then, and the removals and completed runs that
+// followers may not have received yet.
 type snapshotPublisher struct {
 	version       uint64
 	stale         bool                // something has changed since the last snapshot
-	machines      []*snapshot.Machine // by identifier
-	jobs          []*snapshot.Job     // by arrival
+	machines      []*snapshot.Machine // in order of their identifiers
+	jobs          []*snapshot.Job     // in order of arrival
 	dirtyMachines map[wire.MachineID]bool
 	dirtyJobs     map[wire.JobID]bool
 	removals      []removal
 	completedRuns []snapshot.CompletedRun
-	// forgottenUntil is the version up to which removals are no longer known.
-	forgottenUntil uint64
+	// trimmedUntil is the newest version of the snapshot whose removals may have been dropped.
+	trimmedUntil uint64
 }
 
-// newSnapshotPublisher returns a publisher whose first snapshot is due at once.
+// newSnapshotPublisher returns a publisher that is stale, so that its first snapshot is published at once.
 func newSnapshotPublisher() snapshotPublisher {
 	return snapshotPublisher{dirtyMachines: map[wire.MachineID]bool{}, dirtyJobs: map[wire.JobID]bool{}, stale: true}
 }
 
-// removal is a machine or a job that is no longer published, with the first version without it.
+// removal is a machine or a job that is no longer published, with the version of the first snapshot without it.
 type removal struct {
 	id      string
 	version uint64
 }
 
-// markStale records that something else than a machine or a job has changed.
+// markStale records a change of something other than a machine or a job.
 func (publisher *snapshotPublisher) markStale() { publisher.stale = true }
 
-// markMachine records that a machine may have to be published anew.
+// markMachine marks a machine as changed, so that the next snapshot publishes it again.
 func (publisher *snapshotPublisher) markMachine(machine *machineState) {
 	publisher.dirtyMachines[machine.id] = true
 	publisher.stale = true
 }
 
-// markJob records that a job may have to be published anew.
+// markJob marks a job as changed, so that the next snapshot publishes it again.
 func (publisher *snapshotPublisher) markJob(job *jobState) {
 	publisher.dirtyJobs[job.id()] = true
 	publisher.stale = true
 }
 
-// markRemoved records that a job no longer exists.
-func (publisher *snapshotPublisher) markRemoved(job wire.JobID) {
+// markJobRemoved records that a job no longer exists.
+func (publisher *snapshotPublisher) markJobRemoved(job wire.JobID) {
 	publisher.dirtyJobs[job] = true
 	publisher.stale = true
 }
 
-// addRun adds a completed run to the next snapshot.
-func (publisher *snapshotPublisher) addRun(run snapshot.CompletedRun) {
+// addCompletedRun adds a completed run to the next snapshot.
+func (publisher *snapshotPublisher) addCompletedRun(run snapshot.CompletedRun) {
 	publisher.completedRuns = append(publisher.completedRuns, run)
 }
 
-// maxRemovals bounds the removals that are kept for followers.
+// maxRemovals returns the maximum number of removals that are kept for followers.
 func (publisher *snapshotPublisher) maxRemovals() int {
 	return max(minRemovals, len(publisher.machines))
 }
 
-// maxCompletedRuns bounds the completed runs that are kept for followers.
+// maxCompletedRuns returns the maximum number of completed runs that are kept for followers.
 func (publisher *snapshotPublisher) maxCompletedRuns() int {
 	return max(minCompletedRuns, len(publisher.machines))
 }
 
-// publishRuns returns the completed runs that were not published before.
-func (publisher *snapshotPublisher) publishRuns() []snapshot.CompletedRun {
+// publishCompletedRuns publishes and returns the completed runs that no earlier snapshot contains.
+func (publisher *snapshotPublisher) publishCompletedRuns() []snapshot.CompletedRun {
 	var runs []snapshot.CompletedRun
 	for i := range publisher.completedRuns {
 		run := &publisher.completedRuns[i]
@@ -92,12 +93,12 @@
 	return runs
 }
 
-// forget drops the oldest completed runs and removals beyond what is kept for followers.
-func (publisher *snapshotPublisher) forget() {
+// trimHistory drops the oldest completed runs and removals beyond the numbers that are kept for followers.
+func (publisher *snapshotPublisher) trimHistory() {
 	excessRuns := max(0, len(publisher.completedRuns)-publisher.maxCompletedRuns())
 	publisher.completedRuns = publisher.completedRuns[excessRuns:]
 	if excess := len(publisher.removals) - publisher.maxRemovals(); excess > 0 {
-		publisher.forgottenUntil = publisher.removals[excess-1].version
+		publisher.trimmedUntil = publisher.removals[excess-1].version
 		publisher.removals = slices.Clone(publisher.removals[excess:])
 	}
 }
@@ -105,12 +106,12 @@
 // SnapshotStale reports whether anything has changed since the last snapshot.
 func (m *Manager) SnapshotStale() bool { return m.publisher.stale }
 
-// NextSnapshotVersion returns the version of the next snapshot, the first that contains what has been granted until
-// now.
+// NextSnapshotVersion returns the version of the next snapshot, which is the first one to contain all leases granted so
+// far.
 func (m *Manager) NextSnapshotVersion() uint64 { return m.publisher.version + 1 }
 
-// Snapshot publishes and returns a new snapshot of all machines and jobs. It looks only at those that have changed; the
-// others are shared with earlier snapshots.
+// Snapshot publishes and returns a new snapshot of all machines and jobs. It rebuilds only those that have changed and
+// shares the others with earlier snapshots.
 func (m *Manager) Snapshot(now micros.Timestamp) *snapshot.Snapshot {
 	publisher := &m.publisher
 	publisher.version++
@@ -126,19 +127,19 @@
 		QuotaHeadroom:   m.quota.headrooms(),
 		Machines:        publisher.machines,
 		Jobs:            publisher.jobs,
-		CompletedRuns:   publisher.publishRuns(),
+		CompletedRuns:   publisher.publishCompletedRuns(),
 		Replacements:    m.publishedReplacements(),
 		VacatedPools:    m.vacatedPools,
 	}
-	publisher.forget()
+	publisher.trimHistory()
 	return published
 }
 
-// SnapshotUpdate returns what a follower needs that has a version of the snapshot; 0, or a version that is too old: the
-// whole snapshot.
+// SnapshotUpdate returns the changes since a version of the snapshot, for a follower that has this version. If since is
+// 0 or too old, it returns the whole snapshot.
 func (m *Manager) SnapshotUpdate(now micros.Timestamp, since uint64) *snapshot.Update {
 	publisher := &m.publisher
-	if since < publisher.forgottenUntil {
+	if since < publisher.trimmedUntil {
 		since = 0
 	}
 	update := &snapshot.Update{
@@ -169,8 +170,8 @@
 	return update
 }
 
-// removedSince returns the machines and jobs that are no longer published since a version; since 0 none: a whole
-// snapshot does not contain them.
+// removedSince returns the machines and jobs that are no longer published since a version. For version 0 it returns
+// none, because a whole snapshot does not contain removed machines and jobs.
 func (publisher *snapshotPublisher) removedSince(version uint64) []string {
 	if version == 0 {
 		return nil
@@ -184,7 +185,7 @@
 	return removed
 }
 
-// publishMachines replaces the machines that have changed. The list that earlier snapshots share stays as it is.
+// publishMachines replaces the changed machines in a copy of the list, because earlier snapshots share the old list.
 func (m *Manager) publishMachines(now micros.Timestamp) {
 	publisher := &m.publisher
 	if len(publisher.dirtyMachines) == 0 {
@@ -215,7 +216,7 @@
 	clear(publisher.dirtyMachines)
 }
 
-// publishJobs replaces the jobs that have changed. The list that earlier snapshots share stays as it is.
+// publishJobs replaces the changed jobs in a copy of the list, because earlier snapshots share the old list.
 func (m *Manager) publishJobs() {
 	publisher := &m.publisher
 	if len(publisher.dirtyJobs) == 0 {
--- a/internal/manager/publisher_test.go
+++ b/internal/manager/publisher_test.go
@@ -7,15 +7,15 @@
 	"saffronbend/wire"
 )
 
-// A follower's replica equals the leader's snapshot, whichever snapshots it has missed.
+// After each update, a follower's replica equals the leader's snapshot, even if the follower has missed snapshots.
 func TestReplicaEqualsTheSnapshot(t *testing.T) {
 	h := newHarness(t, nil, nil)
-	var mi snapshot.Replica
+	var replica snapshot.Replica
 	since := uint64(0)
 	catchUp := func() *snapshot.Snapshot {
 		snapshot := h.m.Snapshot(h.now)
 		update := h.m.SnapshotUpdate(h.now, since)
-		got := mi.Apply(update)
+		got := replica.Apply(update)
 		since = update.Version
 		h.want(len(got.Machines), len(snapshot.Machines))
 		for i := range snapshot.Machines {
@@ -29,7 +29,7 @@
 	h.submit("run-1", 3, nil)
 	catchUp()
 	h.grant("run-1", "n-1-a", 2)
-	h.m.Snapshot(h.now) // missed
+	h.m.Snapshot(h.now) // the follower misses this snapshot
 	h.start("n-3-a")
 	got := catchUp()
 	h.want(len(got.Machines[0].Leases[0].Leases), 2)
@@ -37,5 +37,5 @@
 	h.submit("run-2", 1, nil)
 	catchUp()
 	h.want(len(h.m.SnapshotUpdate(h.now, since).Machines), 0) // nothing has changed
-	h.want(mi.Apply(&snapshot.Update{FencingToken: token, BaseVersion: since + 1, Version: since + 2}) == nil, true)
+	h.want(replica.Apply(&snapshot.Update{FencingToken: token, BaseVersion: since + 1, Version: since + 2}) == nil, true)
 }
--- a/internal/manager/quota.go
+++ b/internal/manager/quota.go
@@ -7,8 +7,8 @@
 	"saffronbend/wire"
 )
 
-// quotaUsage tracks what each team uses of its guarantee and its limit, by team. It counts every attempt that may
-// exist, also one that is being stopped: what is not provably gone still uses the team's quota.
+// quotaUsage tracks the resources that each team uses of its guarantee and its limit. Every attempt that may exist
+// counts, including attempts that are being stopped, until it is provably gone.
 type quotaUsage map[wire.TeamName]*teamUsage
 
 type teamUsage struct {
@@ -24,7 +24,7 @@
 	return quota
 }
 
-// charge adds one attempt of a job.
+// charge adds the resources of one attempt of a job to its team's usage.
 func (quota quotaUsage) charge(spec *wire.Job) {
 	if team := quota[spec.Team]; team != nil {
 		team.usedCPUs += spec.CPUs
@@ -32,7 +32,7 @@
 	}
 }
 
-// refund removes one attempt of a job.
+// refund subtracts the resources of one attempt of a job from its team's usage.
 func (quota quotaUsage) refund(spec *wire.Job) {
 	if team := quota[spec.Team]; team != nil {
 		team.usedCPUs -= spec.CPUs
@@ -62,8 +62,8 @@
 	return team != nil && team.CPUsMax+team.GPUsMax != 0
 }
 
-// withinGuarantee reports whether the team's guarantee covers another task of the job, in addition to what this round
-// of preemption has planned for the team.
+// withinGuarantee reports whether the team's guarantee covers another task of the job, in addition to the team's usage
+// and to the resources that the current round of preemption has planned for the team.
 func (quota quotaUsage) withinGuarantee(spec *wire.Job, planned resources.Vector) bool {
 	team := quota[spec.Team]
 	return team != nil && team.CPUs+team.GPUs > 0 &&
@@ -71,14 +71,15 @@
 		team.usedGPUs+planned.GPUs+spec.GPUs <= team.GPUs
 }
 
-// beyondGuarantee reports whether the team still uses all of its guarantee without one task of the job.
+// beyondGuarantee reports whether the team would still use its whole guarantee without one task of the job, considering
+// only the resources that the task uses.
 func (quota quotaUsage) beyondGuarantee(spec *wire.Job) bool {
 	team := quota[spec.Team]
 	return team != nil && (team.usedCPUs-spec.CPUs >= team.CPUs && spec.CPUs > 0 ||
 		team.usedGPUs-spec.GPUs >= team.GPUs && spec.GPUs > 0)
 }
 
-// headrooms returns what the limits leave the teams that have one.
+// headrooms returns the unused part of the limit of each team that has one.
 func (quota quotaUsage) headrooms() map[wire.TeamName]snapshot.QuotaHeadroom {
 	var headrooms map[wire.TeamName]snapshot.QuotaHeadroom
 	for name, team := range quota {
--- a/internal/manager/reclaim.go
+++ b/internal/manager/reclaim.go
@@ -51,7 +51,7 @@
 	switch peers := job.gang; {
 	case peers == nil:
 		m.stopAttempt(now, attempt, checkpointGraceS(job.spec()), disruption.Reclaimed)
-	case m.savesInTime(now, job):
+	case m.canCheckpointInTime(now, job):
 		m.applyGangAction(now, job, peers.Preempt(), disruption.Reclaimed)
 	case m.estimates.expectedEnd(now, attempt) > attempt.machine.reclaimAt:
 		m.applyGangAction(now, job, peers.Abort(), disruption.Reclaimed)
--- a/internal/manager/recovery.go
+++ b/internal/manager/recovery.go
@@ -96,7 +96,7 @@
 			return err
 		}
 		job.shards[shardIndex] = &progressShard{version: item.Version}
-		if err := job.restoreDone(shardIndex, record.Done); err != nil {
+		if err := job.restoreDoneTasks(shardIndex, record.Done); err != nil {
 			return &state.RecordError{Key: item.Key, Err: err}
 		}
 		m.recoverAttempts(now, job, record.Active)
--- a/internal/manager/reservations.go
+++ b/internal/manager/reservations.go
@@ -11,19 +11,22 @@
 	"saffronbend/wire"
 )
 
-// Room is reserved in two ways, which differ in what is reserved, for whom and until when, and are not merged for that:
+// There are two kinds of reservations. They are not merged because they differ in what is reserved, for whom and for
+// how long:
 //
-//   - A reservation is the exact room of one task, on a machine that has it free at that moment, for the successor of
-//     an evicted attempt. It is subtracted from the machine's free resources, is durable with the disruption,
-//     survives a change of leader and expires.
-//   - machineState.reservedForJob (waiting_reservations.go) is a whole machine, that is still full of other work, for
-//     a job that has waited long. Nothing is subtracted: the machine takes no other work while it empties by itself.
-//     It is neither durable nor bounded in time, and ends when the machine has its fill of the job.
+//   - A reservation holds the resources of one task for the successor of an evicted attempt, on a machine on which they
+//     are free when the reservation is made. They are subtracted from the machine's free resources. The reservation is
+//     durable with the disruption, survives a change of leader and expires.
+//   - machineState.reservedForJob (machine_reservations.go) reserves a whole machine, on which other work is still
+//     running, for a job that has waited long. Nothing is subtracted from the free resources: as the other work ends,
+//     the machine accepts only tasks of this job. This reservation is neither durable nor limited in time, and ends
+//     when the machine cannot hold another task of the job.
 //
-// Both take effect in refusePlacement or in claim, where a job's request for the machine is decided.
+// Machine reservations are enforced by checkPlacement, the others by claimableReservation and freeResources, when a
+// job's request for the machine is decided.
 
-// reservation is room on a machine for the successor of an attempt that is evicted. It is made before the eviction.
-// It ends when the successor is placed, when that cannot happen any more, or when it has taken too long.
+// reservation reserves resources on a machine for the successor of an evicted attempt. It is made before the eviction
+// and ends when the successor is placed, when the successor can no longer be placed there, or when it expires.
 type reservation struct {
 	task      disruption.Task
 	machine   *machineState
@@ -34,20 +37,20 @@
 // reservationTable holds the reservations for successors of evicted attempts.
 type reservationTable struct {
 	byTask map[disruption.Task]*reservation
-	// inherited are the machines on which an earlier leader had reserved room and this one has not yet.
-	inherited map[disruption.Task]wire.MachineID
-	publisher *snapshotPublisher // learns which machines change
+	// pendingRestore holds the machines of an earlier leader's reservations that this leader has not restored yet.
+	pendingRestore map[disruption.Task]wire.MachineID
+	publisher      *snapshotPublisher // for marking the machines whose reservations change
 }
 
 func newReservationTable(publisher *snapshotPublisher) reservationTable {
 	return reservationTable{
-		byTask:    map[disruption.Task]*reservation{},
-		inherited: map[disruption.Task]wire.MachineID{},
-		publisher: publisher,
+		byTask:         map[disruption.Task]*reservation{},
+		pendingRestore: map[disruption.Task]wire.MachineID{},
+		publisher:      publisher,
 	}
 }
 
-// reserve reserves room on a machine for a task, in place of the room that is reserved for it elsewhere.
+// reserve adds a reservation in place of the task's previous reservation, if there is one.
 func (table *reservationTable) reserve(reserved *reservation) {
 	table.release(reserved.task)
 	table.byTask[reserved.task] = reserved
@@ -58,7 +61,7 @@
 	table.publisher.markMachine(reserved.machine)
 }
 
-// release ends the reservation for a task, if there is one.
+// release removes the reservation for a task, if there is one.
 func (table *reservationTable) release(task disruption.Task) {
 	reserved := table.byTask[task]
 	if reserved == nil {
@@ -69,13 +72,13 @@
 	table.publisher.markMachine(reserved.machine)
 }
 
-// fulfil ends the reservation for a task that has been placed, here or elsewhere.
+// fulfil removes the reservation for a task that has been placed, on the reserved machine or on another one.
 func (table *reservationTable) fulfil(task disruption.Task) {
 	table.release(task)
-	delete(table.inherited, task)
+	delete(table.pendingRestore, task)
 }
 
-// reserveForSuccessor reserves room on a machine for a task of a job.
+// reserveForSuccessor reserves resources on a machine for the successor of a task's attempt.
 func (m *Manager) reserveForSuccessor(
 	now micros.Timestamp, task disruption.Task, machine *machineState, need resources.Vector,
 ) {
@@ -84,12 +87,12 @@
 	})
 }
 
-// reservationUsable reports whether reserved room can still be used: its machine exists and gets new tasks.
+// reservationUsable reports whether a reservation can still be used: its machine exists and accepts new tasks.
 func (m *Manager) reservationUsable(now micros.Timestamp, reserved *reservation) bool {
 	return m.machines.byID[reserved.machine.id] == reserved.machine && m.usable(now, reserved.machine)
 }
 
-// expireReservations ends the reservations that will not be claimed.
+// expireReservations removes the reservations that have expired or can no longer be claimed.
 func (m *Manager) expireReservations(now micros.Timestamp) {
 	for task, reserved := range m.reservations.byTask {
 		_, disrupted := m.ledger.Get(task)
@@ -99,32 +102,32 @@
 	}
 }
 
-// restoreInheritedReservations reserves the room that an earlier leader had reserved, as soon as its machine has
-// reported and if the room is still free and wanted.
-func (m *Manager) restoreInheritedReservations(now micros.Timestamp) {
-	for task, id := range m.reservations.inherited {
+// restoreReservations restores an earlier leader's reservations once their machines have reported, if the resources are
+// free and the tasks still disrupted. Reservations that cannot be restored within the reservation TTL are dropped.
+func (m *Manager) restoreReservations(now micros.Timestamp) {
+	for task, id := range m.reservations.pendingRestore {
 		job, machine := m.jobs.byID[task.Job], m.machines.byID[id]
 		_, disrupted := m.ledger.Get(task)
 		if !disrupted || job == nil || now.Sub(m.termStart) > m.cfg.ReservationTTL {
-			delete(m.reservations.inherited, task)
+			delete(m.reservations.pendingRestore, task)
 			continue
 		}
 		need := resources.ForTask(job.spec())
 		if machine != nil && m.usable(now, machine) && m.freeResources(machine).Fits(need) {
 			m.reserveForSuccessor(now, task, machine, need)
-			delete(m.reservations.inherited, task)
+			delete(m.reservations.pendingRestore, task)
 		}
 	}
 }
 
-// claimable reports whether a reservation's task may be placed: its previous attempt is gone.
+// claimable reports whether a reservation's task may be placed: its previous attempt is gone, so the task is waiting.
 func (m *Manager) claimable(reserved *reservation) bool {
 	job := m.jobs.byID[reserved.task.Job]
 	return job != nil && !job.final() && job.taskPhases[reserved.task.Index] == taskWaiting
 }
 
-// claim returns the reservation on a machine that a job's next task may use there, or nil.
-func (m *Manager) claim(job *jobState, machine *machineState) *reservation {
+// claimableReservation returns the claimable reservation on a machine for the job's task with the lowest index, or nil.
+func (m *Manager) claimableReservation(job *jobState, machine *machineState) *reservation {
 	var first *reservation
 	for task, reserved := range machine.reservations {
 		if task.Job == job.id() && m.claimable(reserved) && (first == nil || task.Index < first.task.Index) {
@@ -134,7 +137,7 @@
 	return first
 }
 
-// publishedReservations returns the reserved room on a machine that may be claimed, by job.
+// publishedReservations returns the resources of the claimable reservations on a machine, by job.
 func (m *Manager) publishedReservations(machine *machineState) []snapshot.Reservation {
 	claimable := map[wire.JobID]resources.Vector{}
 	for task, reserved := range machine.reservations {
--- a/internal/manager/reservations_test.go
+++ b/internal/manager/reservations_test.go
@@ -8,8 +8,9 @@
 	"saffronbend/wire"
 )
 
-// Reserved room belongs to nobody else. It is free again when the destination is gone, or nobody wants it any more.
-func TestReservedRoom(t *testing.T) {
+// Reserved resources are not granted to other jobs. They are free again when the reservation has expired or can
+// no longer be used.
+func TestReservedResourcesAreNotGranted(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
 	h.submit("run-2", 4, nil)
--- a/internal/manager/write_outcomes.go
+++ b/internal/manager/write_outcomes.go
@@ -80,7 +80,7 @@
 	}
 	for _, id := range write.deletedJobs {
 		m.jobs.remove(id, revision)
-		m.publisher.markRemoved(id)
+		m.publisher.markJobRemoved(id)
 	}
 }
 
--- a/internal/manager/writes.go
+++ b/internal/manager/writes.go
@@ -253,7 +253,7 @@
 		builder.add(disruptions)
 		builder.write.disruptions = append(builder.write.disruptions, key)
 	}
-	builder.write.evictions = append(builder.write.evictions, m.evictionsRecordedIn(job, key.index)...)
+	builder.write.evictions = append(builder.write.evictions, m.pendingEvictionsInShard(job, key.index)...)
 	return true
 }
 
