--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -1,16 +1,16 @@
 package wire
 
-// MachinePageSize is the largest number of machines that the cloud lists in one response.
+// MachinePageSize is the maximum number of machines that the cloud lists in one response.
 const MachinePageSize = 500
 
-// MachineState is a machine's state as the cloud lists it.
+// MachineState is the state of a machine in the cloud's list.
 type MachineState string
 
 // The states of a machine.
 const (
 	MachineStarting MachineState = "starting"
 	MachineRunning  MachineState = "running"
-	MachineFailed   MachineState = "failed" // stopped by itself; listed until it is deleted
+	MachineFailed   MachineState = "failed" // stopped without a deletion request; listed until it is deleted
 )
 
 // MachineType is a type of machine that the cloud offers.
@@ -19,21 +19,21 @@
 	CPUs      float64  `json:"cores"`
 	GPUs      float64  `json:"cards"`
 	MemoryGB  float64  `json:"memory_gb"`
-	CacheGB   float64  `json:"local_gb"`      // for images
-	FetchGBPS float64  `json:"pull_gb_per_s"` // nominal rate of image fetches
+	CacheGB   float64  `json:"local_gb"`      // size of the image cache
+	FetchGBPS float64  `json:"pull_gb_per_s"` // nominal image fetch rate, in GB/s
 	Price     float64  `json:"price"`         // per hour
-	SpotPrice float64  `json:"spot_price"`    // per hour, at present
+	SpotPrice float64  `json:"spot_price"`    // current price per hour
 	BootS     float64  `json:"ready_s"`       // nominal boot time
 	Zones     []string `json:"yards"`
 }
 
-// MachineTypes is the cloud's list of machine types.
+// MachineTypes is the response with the cloud's list of machine types.
 type MachineTypes struct {
 	Types []MachineType `json:"builds"`
 }
 
-// ScaleOutRequest rents machines. It is idempotent: the cloud answers a repeated RequestID as the first time, so that
-// one must never be used for another request.
+// ScaleOutRequest is a request to rent machines. It is idempotent: the cloud answers a repeated RequestID with the same
+// response as the first time. A RequestID must therefore never be reused for a different request.
 type ScaleOutRequest struct {
 	RequestID string `json:"hire"`
 	Type      string `json:"build"`
@@ -42,12 +42,12 @@
 	Count     int    `json:"number"`
 }
 
-// MachineIDs is the response to a ScaleOutRequest, and the request that deletes machines.
+// MachineIDs is the response to a ScaleOutRequest and also the body of a request to delete machines.
 type MachineIDs struct {
 	IDs []MachineID `json:"boxes"`
 }
 
-// Machine is a machine as the cloud lists it.
+// Machine is an entry of the cloud's list of machines.
 type Machine struct {
 	ID    MachineID    `json:"id"`
 	Addr  string       `json:"address"`
@@ -55,10 +55,10 @@
 	Zone  string       `json:"yard"`
 	Spot  bool         `json:"loaners"`
 	State MachineState `json:"status"`
-	AgeS  float64      `json:"held_s"` // since the rental request
+	AgeS  float64      `json:"held_s"` // time since the rental request
 }
 
-// MachinePage is a page of the cloud's list of machines, in the order of their IDs.
+// MachinePage is one page of the cloud's list of machines, sorted by ID.
 type MachinePage struct {
 	Machines []Machine `json:"boxes"`
 	More     bool      `json:"truncated"`
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,10 +1,10 @@
-// Package wire holds the messages that saffronbend exchanges with its users, its workers, the cloud and the
-// consensus-backed key-value store, as the protocol defines them. It owns the encoding of these messages and the
-// validation of submissions; it makes no requests and keeps no state. Every package that talks to a partner uses it,
-// and so may programs that are clients of the service.
+// Package wire defines the messages that saffronbend exchanges with its users, its workers, the cloud provider and the
+// consensus-backed key-value store, as specified by the protocol. The package is responsible for the encoding of these
+// messages and for the validation of job submissions; it sends no requests and keeps no state. Every package that
+// communicates with one of these four partners imports it. Client programs of the service may import it too.
 //
-// The protocol has a vocabulary of its own. It appears in this package alone, in struct tags and string constants;
-// everywhere else the terms on the right are used.
+// The protocol uses names of its own. They occur only in this package, in struct tags and string constants. All other
+// code uses the Go names in the right-hand column of this table.
 //
 //	partner   on the wire            in Go
 //	users     lane                   Job.Class
@@ -45,14 +45,14 @@
 //	          grants, life_ms        StoreLease, StoreLeaseRequest.TTLMillis
 //	          log                    WatchResponse.Events
 //
-// Names that end in S are durations in seconds, names that end in GB are gigabytes. CPUs
-// and GPUs may be fractions.
+// Fields whose Go names end in S are durations in seconds; fields whose Go names end in GB are sizes in gigabytes. CPU
+// and GPU counts may be fractional.
 package wire
 
-// MaxBodyBytes is the largest body of a request, in bytes.
+// MaxBodyBytes is the maximum size of a user's request body, in bytes.
 const MaxBodyBytes = 64 << 10
 
-// ErrorResponse is the body of a response that refuses a request.
+// ErrorResponse is the body of a response that rejects a request.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
--- a/wire/heartbeat_test.go
+++ b/wire/heartbeat_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// heartbeatBody returns a heartbeat that lists so many running tasks.
+// heartbeatBody returns an encoded heartbeat with the given number of running tasks.
 func heartbeatBody(tasks int) []byte {
 	var list []string
 	for i := range tasks {
@@ -19,8 +19,8 @@
 		`"shift":1,"tick":88,"baton":41,"recall_s":null,"pieces":[` + strings.Join(list, ",") + `]}`)
 }
 
-// Heartbeats must be decoded, and refused, as encoding/json does.
-func TestDecodeHeartbeatAsStandard(t *testing.T) {
+// DecodeHeartbeat must return the same results as encoding/json and reject the same inputs.
+func TestDecodeHeartbeatMatchesEncodingJSON(t *testing.T) {
 	bodies := []string{string(heartbeatBody(0)), string(heartbeatBody(3)),
 		`{"box":"n-1","recall_s":12.5,"pieces":null}`,
 		`{"box":"n-1","tick":18446744073709551615,"unknown":{"a":[1,2,{"b":null}]}}`,
@@ -37,7 +37,7 @@
 		wantErr := json.Unmarshal([]byte(body), &want)
 		got, err := DecodeHeartbeat([]byte(body))
 		if (err == nil) != (wantErr == nil && want.Machine != "") {
-			t.Errorf("%s: error %v, the standard library's %v", body, err, wantErr)
+			t.Errorf("%s: got error %v, encoding/json returns %v", body, err, wantErr)
 		}
 		if err == nil && !reflect.DeepEqual(*got, want) {
 			t.Errorf("%s: got %+v, want %+v", body, *got, want)
@@ -45,17 +45,17 @@
 	}
 }
 
-// A heartbeat that names no machine can't be attributed.
+// A heartbeat without a machine ID can't be attributed to a machine and must be rejected.
 func TestDecodeHeartbeatWithoutMachine(t *testing.T) {
 	for _, body := range []string{`{}`, `null`, `{"box":""}`} {
 		if _, err := DecodeHeartbeat([]byte(body)); err == nil {
-			t.Errorf("%s: no error", body)
+			t.Errorf("%s: got no error", body)
 		}
 	}
 }
 
-// What is decoded must not point into the request's buffer, which is used again.
-func TestDecodeHeartbeatCopies(t *testing.T) {
+// A decoded heartbeat must not refer to the request buffer, because the buffer is reused.
+func TestDecodeHeartbeatCopiesInput(t *testing.T) {
 	body := heartbeatBody(1)
 	heartbeat, err := DecodeHeartbeat(body)
 	if err != nil {
@@ -63,12 +63,12 @@
 	}
 	clear(body)
 	if heartbeat.Machine != "n-000231" || heartbeat.Tasks[0].Task != "run-000412/0" {
-		t.Errorf("got %q, %q after the buffer was cleared", heartbeat.Machine, heartbeat.Tasks[0].Task)
+		t.Errorf("got machine %q and task %q after the buffer was cleared", heartbeat.Machine, heartbeat.Tasks[0].Task)
 	}
 }
 
-// The leader decodes hundreds of heartbeats a second. Two strings for each task are kept; the rest does not grow with
-// their number.
+// The leader decodes hundreds of heartbeats per second, so decoding must allocate little: two strings per task, plus a
+// number of allocations that does not depend on the number of tasks.
 func TestDecodeHeartbeatAllocations(t *testing.T) {
 	const tasks, limit = 32, 2*32 + 12
 	body := heartbeatBody(tasks)
@@ -78,7 +78,7 @@
 		}
 	})
 	if got > limit {
-		t.Errorf("%v allocations for a heartbeat of %d tasks, at most %d", got, tasks, limit)
+		t.Errorf("got %v allocations for a heartbeat with %d tasks, want at most %d", got, tasks, limit)
 	}
 }
 
--- a/wire/identifiers.go
+++ b/wire/identifiers.go
@@ -1,38 +1,39 @@
 package wire
 
-// The identifiers that the scheduler's parts pass to one another are types of their own, so that one is not taken for
-// another. They are converted where they enter or leave as plain numbers and strings: HTTP parameters, settings, the
-// command line, the operators' messages, and the keys and versions of the key-value store.
+// Each kind of identifier has its own Go type, so that the compiler rejects the use of one kind in place of another.
+// Identifiers are converted from and to plain numbers and strings only at the boundaries of the program: HTTP
+// parameters, settings, the command line, the operators' messages, and the keys and versions of the key-value store.
 
-// FencingToken identifies a leader's term. It is the version that the leader's key got in the key-value store as the
-// leader claimed it, so it grows with each term: of two leaders, the one with the higher token is newer, and who has
-// seen a token refuses commands and writes under lower ones. 0: no leader is known.
+// FencingToken identifies a leader's term. It is the version that the key-value store assigned to the leader key when
+// the leader acquired it, so it increases with each term: of two leaders, the one with the higher token is newer. A
+// process that has seen a token rejects commands and writes that carry a lower one. 0 means that no leader is known.
 type FencingToken uint64
 
-// AttemptID identifies an attempt to run a task; the tasks of a gang share one. The leader issues it with the grant.
-// Its high bits are the fencing token of the term in which that was, so that identifiers are unique across leaders and
-// grow with the grants. 0: none.
+// AttemptID identifies an attempt to run a task; all tasks of a gang share one. The leader issues it when it grants the
+// lease. Its high bits are the fencing token of the leader's term at that moment, so that identifiers are unique across
+// leaders and increase in the order of the grants. 0 means none.
 type AttemptID uint64
 
-// AgentIncarnation counts the times that a worker's agent has begun anew, without tasks, as it does when the worker's
-// lease has expired. The agent issues it. It starts at 1 and grows: of two of one machine, the higher is newer. 0: none
-// is known.
+// AgentIncarnation numbers the incarnations of a worker's agent. An agent begins a new incarnation, without tasks, when
+// the worker's lease has expired. The agent issues the number, which starts at 1 and increases: of two incarnations on
+// the same machine, the higher one is newer. 0 means that none is known.
 type AgentIncarnation uint64
 
-// HeartbeatSeq counts the messages of an agent's incarnation, heartbeats and answers to pushed commands, in the order
-// in which the agent has sent them. Those of different incarnations don't compare. 0: none.
+// HeartbeatSeq is the sequence number of a message within one incarnation of an agent. Heartbeats and responses to
+// pushed commands share the sequence, in the order in which the agent sent them. Sequence numbers of different
+// incarnations can't be compared. 0 means none.
 type HeartbeatSeq uint64
 
-// MachineID identifies a machine, such as n-000231. The cloud issues it with the rental, and no other machine
-// gets it: late heartbeats of a deleted one count for nothing. The order of the
-// identifiers is that in which the machines were created. Empty: none.
+// MachineID identifies a machine, such as n-000231. The cloud issues it when the machine is rented and never reuses it,
+// so late heartbeats of a deleted machine are never attributed to another machine. IDs sort in the order in which the
+// machines were created. An empty ID means none.
 type MachineID string
 
-// JobID identifies a job, such as run-000412. The user who submits the job chooses it, and one that was used is never
-// another job's: a repeated submission is recognized by it. Where jobs are sorted it is by the identifier's bytes,
-// which says nothing of their age. Empty: none.
+// JobID identifies a job, such as run-000412. The user who submits the job chooses the ID. An ID is never reused for
+// another job, so that a repeated submission can be recognized. Where jobs are sorted by ID, the order is that of the
+// bytes, which is unrelated to the age of the jobs. An empty ID means none.
 type JobID string
 
-// TeamName identifies the team that a job belongs to and whose quota applies to it. The deployment's settings name the
-// teams; a job of another team is refused. Names have no order. Empty: none.
+// TeamName identifies the team that owns a job and whose quota applies to it. The teams are listed in the deployment's
+// settings; jobs of other teams are rejected. Names have no meaningful order. An empty name means none.
 type TeamName string
--- a/wire/job_validation.go
+++ b/wire/job_validation.go
@@ -13,49 +13,49 @@
 	maxAmount       = 1e9
 )
 
-// Problems of fields, as users read them.
+// The problems of a field that FieldError reports to users.
 const (
-	problemMissing    = "is missing"
-	problemInvalid    = "is invalid"
-	problemOutOfRange = "is out of range"
-	problemTooLong    = "is too long"
-	problemIDForm     = "is not of the form run-000412"
+	problemMissing     = "is missing"
+	problemInvalid     = "is invalid"
+	problemOutOfRange  = "is out of range"
+	problemTooLong     = "is too long"
+	problemMalformedID = "is not of the form run-000412"
 )
 
-// A submission that isn't wrong in a single field.
+// The errors for a submission whose problem can't be attributed to a single field. Users see these texts.
 var (
 	errNotAnObject = errors.New("the body is not a JSON object")
 	errUnreadable  = errors.New("the body can't be read")
 )
 
-// FieldError says what is wrong with a field of a submission. Its text is part of the response to the user.
+// FieldError reports an invalid field of a submission. Its text is part of the response to the user.
 type FieldError struct {
-	Field   string // as on the wire
+	Field   string // the name on the wire
 	Problem string
 }
 
-// Error returns the text that users read.
+// Error returns the text shown to the user.
 func (e *FieldError) Error() string { return fmt.Sprintf("field %q %s", e.Field, e.Problem) }
 
-// requiredFields must be present and not null in a submission.
+// requiredFields lists the fields that must be present in a submission and must not be null.
 var requiredFields = []string{
 	"id", "lane", "owner", "shape", "urgency", "pieces", "cores", "cards", "memory_gb",
 	"bundle", "size_gb", "together", "scatter", "loaners", "guess_s", "snapshot_s", "stash_s",
 }
 
-// jobChecks are the checks of a decoded submission. The first one that fails is reported, so their order is visible to
-// users.
+// jobChecks are the checks applied to a decoded submission. Only the first failed check is reported, so their order is
+// visible to users.
 var jobChecks = []struct {
 	field   string
 	problem string
-	holds   func(*Job) bool
+	valid   func(*Job) bool
 }{
-	{"id", problemIDForm, func(j *Job) bool { return ValidJobID(j.ID) }},
+	{"id", problemMalformedID, func(j *Job) bool { return ValidJobID(j.ID) }},
 	{"lane", problemInvalid, func(j *Job) bool { return validName(j.Class) }},
 	{"owner", problemInvalid, func(j *Job) bool { return validName(string(j.Team)) }},
 	{"bundle", problemInvalid, func(j *Job) bool { return validName(j.Image) }},
 	{"shape", problemInvalid, func(j *Job) bool { return validKind(j.Kind) }},
-	{"urgency", problemInvalid, func(j *Job) bool { _, known := priorities[j.PriorityName]; return known }},
+	{"urgency", problemInvalid, func(j *Job) bool { _, known := prioritiesByName[j.PriorityName]; return known }},
 	{"pieces", problemOutOfRange, func(j *Job) bool { return j.Tasks >= 1 && j.Tasks <= MaxTasks }},
 	{"yard", problemInvalid, func(j *Job) bool { return j.Zone == nil || validName(*j.Zone) }},
 	{"builds", problemTooLong, func(j *Job) bool { return len(j.MachineTypes) <= maxMachineTypes }},
@@ -70,8 +70,8 @@
 	{"due_s", problemOutOfRange, func(j *Job) bool { return j.DeadlineS == nil || validAmount(*j.DeadlineS) }},
 }
 
-// ParseJob decodes and checks a submission. Unknown fields are ignored. The error's text is meant for the user; it is a
-// *FieldError if a single field is to blame. Whether the job can run on this deployment isn't checked here.
+// ParseJob decodes and validates a job submission. It ignores unknown fields. The error text is meant for the user; the
+// error is a *FieldError if a single field is invalid. ParseJob does not check whether this deployment can run the job.
 func ParseJob(body []byte) (*Job, error) {
 	if err := requireFields(body); err != nil {
 		return nil, err
@@ -85,15 +85,15 @@
 		return nil, errUnreadable
 	}
 	for _, check := range jobChecks {
-		if !check.holds(job) {
+		if !check.valid(job) {
 			return nil, &FieldError{check.field, check.problem}
 		}
 	}
 	return job, nil
 }
 
-// requireFields distinguishes a field that is missing or null, which decoding into a Job would not do, from one that
-// is zero.
+// requireFields returns an error if a required field is missing or null. Decoding into a Job can't detect this, since
+// it leaves the zero value in both cases.
 func requireFields(body []byte) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
@@ -123,5 +123,5 @@
 	return kind == KindArray || kind == KindGang || kind == KindService
 }
 
-// validAmount is false for NaN, too.
+// validAmount reports whether an amount is between 0 and maxAmount. It returns false for NaN.
 func validAmount(amount float64) bool { return amount >= 0 && amount <= maxAmount }
--- a/wire/job_validation_test.go
+++ b/wire/job_validation_test.go
@@ -11,11 +11,11 @@
  "pieces":16,"cores":8.0,"cards":1.0,"memory_gb":64.0,"bundle":"img-07","size_gb":6.2,"builds":["g8"],"yard":null,
  "together":true,"scatter":false,"loaners":true,"guess_s":240.0,"snapshot_s":30.0,"stash_s":4.0,"due_s":900.0}`
 
-// replaceOnce returns the valid submission with a part of it replaced.
+// replaceOnce returns validSubmission with its only occurrence of old replaced.
 func replaceOnce(t *testing.T, old, replacement string) []byte {
 	t.Helper()
 	if strings.Count(validSubmission, old) != 1 {
-		t.Fatalf("%s does not stand once in the valid submission", old)
+		t.Fatalf("%s does not occur exactly once in validSubmission", old)
 	}
 	return []byte(strings.Replace(validSubmission, old, replacement, 1))
 }
@@ -27,19 +27,19 @@
 	}
 }
 
-// The texts are part of the responses to users.
-func TestParseJobNamesTheInvalidField(t *testing.T) {
+// The error texts are part of the responses to users, so they are compared exactly.
+func TestParseJobReportsInvalidField(t *testing.T) {
 	longName := `"` + strings.Repeat("x", 201) + `"`
 	cases := []struct{ name, old, replacement, field, problem string }{
 		{"missing", `"bundle":"img-07",`, ``, "bundle", "is missing"},
-		{"null where none may be", `"cores":8.0`, `"cores":null`, "cores", "is missing"},
-		{"first of two missing", `"lane":"train","owner":"vision",`, ``, "lane", "is missing"},
+		{"null in a required field", `"cores":8.0`, `"cores":null`, "cores", "is missing"},
+		{"first of two missing fields", `"lane":"train","owner":"vision",`, ``, "lane", "is missing"},
 		{"wrong type", `"pieces":16`, `"pieces":"16"`, "pieces", "is invalid"},
-		{"fraction of a task", `"pieces":16`, `"pieces":1.5`, "pieces", "is invalid"},
-		{"no task", `"pieces":16`, `"pieces":0`, "pieces", "is out of range"},
+		{"fractional number of tasks", `"pieces":16`, `"pieces":1.5`, "pieces", "is invalid"},
+		{"no tasks", `"pieces":16`, `"pieces":0`, "pieces", "is out of range"},
 		{"too many tasks", `"pieces":16`, `"pieces":100001`, "pieces", "is out of range"},
-		{"ID of another form", `run-000412`, `job-412`, "id", "is not of the form run-000412"},
-		{"ID with a path", `run-000412`, `run-1/2`, "id", "is not of the form run-000412"},
+		{"ID with another prefix", `run-000412`, `job-412`, "id", "is not of the form run-000412"},
+		{"ID with a slash", `run-000412`, `run-1/2`, "id", "is not of the form run-000412"},
 		{"empty class", `"train"`, `""`, "lane", "is invalid"},
 		{"long team", `"vision"`, longName, "owner", "is invalid"},
 		{"empty image", `"img-07"`, `""`, "bundle", "is invalid"},
@@ -49,7 +49,7 @@
 		{"long zone", `"yard":null`, `"yard":` + longName, "yard", "is invalid"},
 		{"empty machine type", `["g8"]`, `["g8",""]`, "builds", "is invalid"},
 		{"long machine type", `["g8"]`, `[` + longName + `]`, "builds", "is invalid"},
-		{"many machine types", `["g8"]`, `[` + strings.Repeat(`"g8",`, 100) + `""]`, "builds", "is too long"},
+		{"too many machine types", `["g8"]`, `[` + strings.Repeat(`"g8",`, 100) + `""]`, "builds", "is too long"},
 		{"negative CPUs", `"cores":8.0`, `"cores":-1`, "cores", "is out of range"},
 		{"negative GPUs", `"cards":1.0`, `"cards":-0.5`, "cards", "is out of range"},
 		{"negative memory", `"memory_gb":64.0`, `"memory_gb":-1`, "memory_gb", "is out of range"},
@@ -64,21 +64,21 @@
 			_, err := ParseJob(replaceOnce(t, c.old, c.replacement))
 			var fieldError *FieldError
 			if !errors.As(err, &fieldError) || fieldError.Field != c.field {
-				t.Fatalf("got %v, want an error of field %s", err, c.field)
+				t.Fatalf("got error %v, want a FieldError for field %s", err, c.field)
 			}
 			if want := fmt.Sprintf("field %q %s", c.field, c.problem); err.Error() != want {
-				t.Errorf("got %q, want %q", err, want)
+				t.Errorf("got error %q, want %q", err, want)
 			}
 		})
 	}
 }
 
-func TestParseJobRefusesWhatIsNoObject(t *testing.T) {
+func TestParseJobRejectsNonObjects(t *testing.T) {
 	bodies := []string{`null`, `[]`, `7`, ``, `"x"`, validSubmission + "}",
 		strings.Replace(validSubmission, `{"id"`, `{id`, 1)}
 	for _, body := range bodies {
 		if _, err := ParseJob([]byte(body)); err == nil || err.Error() != "the body is not a JSON object" {
-			t.Errorf("%q: got %v", body, err)
+			t.Errorf("%q: got error %v", body, err)
 		}
 	}
 }
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -6,49 +6,51 @@
 	"strings"
 )
 
-// Paths of the interface for users. A job's own path is PathJobs, a slash and its ID; that of a cancellation adds a
-// slash and ActionCancel.
+// Paths of the user API. The path of a job consists of PathJobs, a slash and the job's ID. The path of a cancellation
+// request appends a slash and ActionCancel to the path of the job.
 const (
 	PathJobs     = "/v1/jobs"
 	PathHealth   = "/healthz"
 	ActionCancel = "withdraw"
 )
 
-// MaxTasks is the largest number of tasks in a job.
+// MaxTasks is the maximum number of tasks in a job.
 const MaxTasks = 100_000
 
-// JobState is a job's state as users see it. JobDone and JobCancelled are final.
+// JobState is the state of a job as shown to users. JobDone and JobCancelled are final.
 type JobState string
 
 // The states of a job.
 const (
-	JobPending   JobState = "pending" // no task runs
+	JobPending   JobState = "pending" // no task is running
 	JobRunning   JobState = "running"
 	JobDone      JobState = "done"
 	JobCancelled JobState = "aborted"
 )
 
-// JobKind says how the tasks of a job depend on each other.
+// JobKind defines how the tasks of a job depend on each other.
 type JobKind string
 
-// The kinds of jobs. The protocol names services without a description; docs/questions.md says how they are understood.
+// The kinds of jobs. The protocol mentions services without specifying them; docs/questions.md states the
+// interpretation used here.
 const (
-	KindArray   JobKind = "batch"   // a job array: each task runs to completion by itself
-	KindGang    JobKind = "group"   // gang scheduling: all tasks run together or none does
+	KindArray   JobKind = "batch"   // a job array: each task runs to completion independently
+	KindGang    JobKind = "group"   // gang scheduling: either all tasks run together or none does
 	KindService JobKind = "service" // tasks run until the job is cancelled
 )
 
-// Priority orders jobs; one of a higher priority may preempt tasks of a lower one.
+// Priority is the scheduling priority of a job. A job may preempt tasks of jobs with a lower priority.
 type Priority int
 
-// priorities maps Job.PriorityName.
-var priorities = map[string]Priority{"idle": 0, "normal": 1, "high": 2, "critical": 3}
+// prioritiesByName maps the values of Job.PriorityName to priorities.
+var prioritiesByName = map[string]Priority{"idle": 0, "normal": 1, "high": 2, "critical": 3}
 
-// Job is a submission: the body of a request to PathJobs. Amounts are per task.
+// Job is a job submission, the body of a request to PathJobs. Resource amounts and durations are per task, except for
+// DeadlineS.
 type Job struct {
 	ID           JobID    `json:"id"`
-	Class        string   `json:"lane"`  // its service-level objective is in the settings
-	Team         TeamName `json:"owner"` // whose quota applies
+	Class        string   `json:"lane"`  // the settings define the service-level objective of each class
+	Team         TeamName `json:"owner"` // the team whose quota applies
 	Kind         JobKind  `json:"shape"`
 	PriorityName string   `json:"urgency"`
 	Tasks        int      `json:"pieces"`
@@ -57,33 +59,34 @@
 	MemoryGB     float64  `json:"memory_gb"`
 	Image        string   `json:"bundle"`
 	ImageGB      float64  `json:"size_gb"`
-	MachineTypes []string `json:"builds"` // nil: any
-	Zone         *string  `json:"yard"`   // nil: any
-	// SameZone demands one zone for all tasks; SpreadZones allows at most half of them, rounded up, in one zone.
+	MachineTypes []string `json:"builds"` // nil allows any type
+	Zone         *string  `json:"yard"`   // nil allows any zone
+	// SameZone requires all tasks to run in one zone. SpreadZones allows at most half of the tasks, rounded up, in any
+	// one zone.
 	SameZone    bool `json:"together"`
 	SpreadZones bool `json:"scatter"`
 	AllowSpot   bool `json:"loaners"`
-	// EstimateS is the owner's estimate of a task's run time, without the fetch of its image.
+	// EstimateS is the user's estimate of a task's run time, excluding the fetch of its image.
 	EstimateS float64 `json:"guess_s"`
-	// CheckpointIntervalS is the progress after which a running task saves a checkpoint by itself. 0: it never does, and
-	// its work is lost when it is stopped.
+	// CheckpointIntervalS is the amount of progress after which a running task saves a checkpoint on its own. 0 means
+	// that the task never saves a checkpoint and loses its work when it is stopped.
 	CheckpointIntervalS float64 `json:"snapshot_s"`
-	// CheckpointSaveS is how long a task takes to save a checkpoint when it is stopped.
+	// CheckpointSaveS is the time that a task needs to save a checkpoint when it is stopped.
 	CheckpointSaveS float64 `json:"stash_s"`
-	// DeadlineS is counted from the submission. nil: none.
+	// DeadlineS is the job's deadline, relative to its submission. nil means that the job has no deadline.
 	DeadlineS *float64 `json:"due_s"`
 }
 
-// Priority returns the job's priority; that of an unknown name is the lowest.
-func (j *Job) Priority() Priority { return priorities[j.PriorityName] }
+// Priority returns the job's priority. An unknown PriorityName yields the lowest priority.
+func (j *Job) Priority() Priority { return prioritiesByName[j.PriorityName] }
 
-// Allows reports whether the job's tasks may run on a machine of this type and zone, spot or not, and one of them fits
-// on it when it is empty.
+// Allows reports whether the job's tasks may run on a machine of the given type, zone and spot property, and whether
+// one task fits on such a machine when it is empty.
 func (j *Job) Allows(machineType *MachineType, zone string, spot bool) bool {
 	return (j.AllowSpot || !spot) && (j.Zone == nil || *j.Zone == zone) && j.Fits(machineType)
 }
 
-// Fits reports whether the type is allowed and one task fits on an empty machine of it.
+// Fits reports whether the job allows the machine type and whether one task fits on an empty machine of that type.
 func (j *Job) Fits(machineType *MachineType) bool {
 	if j.MachineTypes != nil && !slices.Contains(j.MachineTypes, machineType.Name) {
 		return false
@@ -91,16 +94,16 @@
 	return j.CPUs <= machineType.CPUs && j.GPUs <= machineType.GPUs && j.MemoryGB <= machineType.MemoryGB
 }
 
-// JobStatus is the response to a submission, a poll or a cancellation.
+// JobStatus is the response to a job submission, a status request or a cancellation.
 type JobStatus struct {
 	ID    JobID    `json:"id"`
 	State JobState `json:"status"`
-	// Counts of tasks, for display; nil for a job in a final state.
+	// DoneTasks and RunningTasks are informational; they are nil for a job in a final state.
 	DoneTasks    *int `json:"done,omitempty"`
 	RunningTasks *int `json:"running,omitempty"`
 }
 
-// ValidJobID reports whether an ID has the form run-000412.
+// ValidJobID reports whether the ID consists of "run-" and 1 to 18 decimal digits, such as run-000412.
 func ValidJobID(id JobID) bool {
 	const maxDigits = 18
 	digits, ok := strings.CutPrefix(string(id), "run-")
@@ -115,10 +118,10 @@
 	return true
 }
 
-// TaskName returns the name of a job's task, such as run-000412/3. Indexes begin at 0.
+// TaskName returns the name of a task, such as run-000412/3. Task indexes start at 0.
 func TaskName(jobID JobID, index int) string { return string(jobID) + "/" + strconv.Itoa(index) }
 
-// ParseTaskName is the inverse of TaskName. ok is false for what no task can be called.
+// ParseTaskName is the inverse of TaskName. ok is false if the string is not a valid task name.
 func ParseTaskName(name string) (jobID JobID, index int, ok bool) {
 	job, digits, found := strings.Cut(name, "/")
 	jobID = JobID(job)
--- a/wire/store.go
+++ b/wire/store.go
@@ -2,28 +2,28 @@
 
 import "encoding/json"
 
-// KeyValue is a key of the key-value store.
+// KeyValue is an entry of the key-value store.
 type KeyValue struct {
 	Key     string          `json:"k"`
 	Value   json.RawMessage `json:"value"`
-	Version uint64          `json:"stamp"`            // the revision of its last change
-	Lease   uint64          `json:"permit,omitempty"` // with which the key is removed; 0: none
+	Version uint64          `json:"stamp"`            // the revision of the entry's last change
+	Lease   uint64          `json:"permit,omitempty"` // the lease whose expiry removes the entry; 0 means none
 }
 
-// KeyValuePage is a page of keys with a prefix, in their order.
+// KeyValuePage is one page of the entries whose keys have a given prefix, sorted by key.
 type KeyValuePage struct {
 	Entries  []KeyValue `json:"entries"`
 	More     bool       `json:"truncated"`
 	Revision uint64     `json:"ledger"`
 }
 
-// Condition demands that a key has a version. 0: that it does not exist.
+// Condition requires that a key has the given version. Version 0 requires that the key does not exist.
 type Condition struct {
 	Key     string `json:"k"`
 	Version uint64 `json:"stamp"`
 }
 
-// Change puts or deletes a key, whichever of the two is named.
+// Change is one operation of a transaction. It puts or deletes a key: exactly one of Put and Delete is set to the key.
 type Change struct {
 	Put    string          `json:"set,omitempty"`
 	Value  json.RawMessage `json:"value,omitempty"`
@@ -31,29 +31,32 @@
 	Delete string          `json:"delete,omitempty"`
 }
 
-// Transaction is a compare-and-swap: if all conditions hold, all changes are made at one revision, else none is.
+// Transaction is a compare-and-swap operation. If all conditions hold, all changes are applied atomically at one
+// revision; otherwise none is applied.
 type Transaction struct {
 	If   []Condition `json:"when"`
 	Then []Change    `json:"then,omitempty"`
 }
 
-// TransactionResult answers a transaction; FailedKeys are those of the conditions that did not hold.
+// TransactionResult is the response to a transaction. FailedKeys lists the keys whose conditions did not hold.
 type TransactionResult struct {
 	Revision   uint64   `json:"ledger"`
 	FailedKeys []string `json:"failed,omitempty"`
 }
 
-// StoreLeaseRequest asks for a lease of the key-value store.
+// StoreLeaseRequest requests a lease from the key-value store.
 type StoreLeaseRequest struct {
 	TTLMillis int64 `json:"life_ms"`
 }
 
-// StoreLease is a lease of the key-value store. Keys attached to it are removed when it expires.
+// StoreLease is a lease granted by the key-value store. The store removes the keys attached to a lease when the lease
+// expires.
 type StoreLease struct {
 	ID uint64 `json:"permit"`
 }
 
-// WatchEvent is a change that a watch reports: a put or a deletion, whichever of the two is named.
+// WatchEvent is a change reported by a watch. It is a put or a deletion: exactly one of Put and Delete is set to the
+// key.
 type WatchEvent struct {
 	Put     string          `json:"set,omitempty"`
 	Value   json.RawMessage `json:"value,omitempty"`
@@ -61,7 +64,8 @@
 	Version uint64          `json:"stamp"`
 }
 
-// WatchResponse answers a watch with all changes after the revision that it was opened at.
+// WatchResponse is the response to a watch request. It contains all changes after the revision from which the watch
+// started.
 type WatchResponse struct {
 	Revision uint64       `json:"ledger"`
 	Events   []WatchEvent `json:"log"`
