--- a/internal/fleet/bins.go
+++ b/internal/fleet/bins.go
@@ -105,7 +105,7 @@
 // binForMachine returns the bin of an existing machine; nil if no capacity can be expected of the machine.
 func (f *Fleet) binForMachine(machine *snapshot.Machine, now micros.Timestamp) *bin {
 	machineType := f.machineType(machine.Type)
-	if machineType == nil || machine.QuarantineReason != "" || !machine.Usable && !machine.ExpectedSoon {
+	if machineType == nil || machine.QuarantineReason != "" || !machine.Usable && !machine.UsableSoon {
 		return nil
 	}
 	b := &bin{
--- a/internal/fleet/unmet.go
+++ b/internal/fleet/unmet.go
@@ -83,7 +83,7 @@
 			})
 		}
 	}
-	for _, job := range published.Replacements {
+	for _, job := range published.PendingReplacements {
 		demands = append(demands, &demand{
 			Job:          job,
 			tasks:        job.Waiting,
--- a/internal/manager/drains_test.go
+++ b/internal/manager/drains_test.go
@@ -23,7 +23,7 @@
 	h.start("n-2-a")
 	h.m.ReserveForWaitingJobs(h.now)
 	for _, published := range h.m.Snapshot(h.now).Machines {
-		if published.Usable || published.ExpectedSoon || published.ReservedForJob != "" {
+		if published.Usable || published.UsableSoon || published.ReservedForJob != "" {
 			t.Errorf("cordoned machine is published as available: %+v", published)
 		}
 	}
--- a/internal/manager/gangs_test.go
+++ b/internal/manager/gangs_test.go
@@ -171,7 +171,7 @@
 	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-1-a": true}, nil)
 	h.want(h.m.Evict(h.now, firstTask("run-1")), drain.NoCapacity)
 	h.m.SetReplacements([]disruption.Task{firstTask("run-1")})
-	h.want(h.m.Snapshot(h.now).Replacements[0].Waiting, 2)
+	h.want(h.m.Snapshot(h.now).PendingReplacements[0].Waiting, 2)
 	h.start("n-3-a")
 	h.want(h.m.Evict(h.now, firstTask("run-1")), drain.Evicted)
 	h.want(h.openDisruptions(), "run-1/0 drain, run-1/1 drain")
--- a/internal/manager/published.go
+++ b/internal/manager/published.go
@@ -35,8 +35,8 @@
 		LastHeartbeat:    agent.lastHeartbeatAt,
 		UnreachableSince: agent.unreachableSince,
 		NeedsDeletion:    !agent.tokenAcknowledged && len(machine.attempts) > 0,
-		ExpectedSoon:     m.expectedSoon(now, machine),
-		ChangedIn:        m.publisher.version,
+		UsableSoon:       m.expectedSoon(now, machine),
+		ChangedInVersion: m.publisher.version,
 	}
 	published.Images, published.Fetching = machine.images.names()
 	if machine.empty() && len(machine.reservations) == 0 {
@@ -105,7 +105,7 @@
 		AcceptedAt:   job.acceptedAt,
 		Deadline:     job.deadline,
 		WaitingSince: job.waitingSince,
-		Arrival:      job.arrival,
+		ArrivalSeq:   job.arrival,
 	}
 	if spec.SpreadZones {
 		published.MaxPerZone = maxTasksPerZone(spec)
--- a/internal/manager/publisher.go
+++ b/internal/manager/publisher.go
@@ -85,8 +85,8 @@
 	var runs []snapshot.CompletedRun
 	for i := range publisher.completedRuns {
 		run := &publisher.completedRuns[i]
-		if run.PublishedIn == 0 {
-			run.PublishedIn = publisher.version
+		if run.PublishedInVersion == 0 {
+			run.PublishedInVersion = publisher.version
 			runs = append(runs, *run)
 		}
 	}
@@ -119,17 +119,17 @@
 	m.publishMachines(now)
 	m.publishJobs()
 	published := &snapshot.Snapshot{
-		FencingToken:    m.cfg.FencingToken,
-		Version:         publisher.version,
-		Now:             now,
-		StoreAvailable:  m.storeAvailable,
-		TeamAssignments: m.teamAssignments,
-		QuotaHeadroom:   m.quota.headrooms(),
-		Machines:        publisher.machines,
-		Jobs:            publisher.jobs,
-		CompletedRuns:   publisher.publishCompletedRuns(),
-		Replacements:    m.publishedReplacements(),
-		VacatedPools:    m.vacatedPools,
+		FencingToken:        m.cfg.FencingToken,
+		Version:             publisher.version,
+		Now:                 now,
+		StoreAvailable:      m.storeAvailable,
+		TeamAssignments:     m.teamAssignments,
+		QuotaHeadroom:       m.quota.headrooms(),
+		Machines:            publisher.machines,
+		Jobs:                publisher.jobs,
+		CompletedRuns:       publisher.publishCompletedRuns(),
+		PendingReplacements: m.publishedReplacements(),
+		VacatedPools:        m.vacatedPools,
 	}
 	publisher.trimHistory()
 	return published
@@ -152,18 +152,18 @@
 		QuotaHeadroom:   m.quota.headrooms(),
 	}
 	for _, machine := range publisher.machines {
-		if machine.ChangedIn > since {
+		if machine.ChangedInVersion > since {
 			update.Machines = append(update.Machines, machine)
 		}
 	}
 	for _, job := range publisher.jobs {
-		if job.ChangedIn > since {
+		if job.ChangedInVersion > since {
 			update.Jobs = append(update.Jobs, job)
 		}
 	}
 	update.Removed = publisher.removedSince(since)
 	for _, run := range publisher.completedRuns {
-		if run.PublishedIn > since {
+		if run.PublishedInVersion > since {
 			update.CompletedRuns = append(update.CompletedRuns, run)
 		}
 	}
@@ -204,8 +204,8 @@
 		case machine == nil:
 		case found:
 			published := m.publishedMachine(now, machine)
-			if published.SameForSchedulers(list[i]) {
-				published.ChangedIn = list[i].ChangedIn
+			if published.EqualForSchedulers(list[i]) {
+				published.ChangedInVersion = list[i].ChangedInVersion
 			}
 			list[i] = published
 		default:
@@ -235,11 +235,11 @@
 	for id := range publisher.dirtyJobs {
 		if job := m.jobs.byID[id]; job != nil && !job.final() {
 			published := m.publishedJob(job)
-			published.ChangedIn = publisher.version
+			published.ChangedInVersion = publisher.version
 			list = append(list, published)
 		}
 	}
-	slices.SortFunc(list, func(a, b *snapshot.Job) int { return cmp.Compare(a.Arrival, b.Arrival) })
+	slices.SortFunc(list, func(a, b *snapshot.Job) int { return cmp.Compare(a.ArrivalSeq, b.ArrivalSeq) })
 	publisher.jobs = list
 	clear(publisher.dirtyJobs)
 }
--- a/internal/manager/publisher_test.go
+++ b/internal/manager/publisher_test.go
@@ -20,7 +20,7 @@
 		h.want(len(got.Machines), len(snapshot.Machines))
 		for i := range snapshot.Machines {
 			h.want(got.Machines[i].ID, snapshot.Machines[i].ID)
-			h.want(got.Machines[i].SameForSchedulers(snapshot.Machines[i]), true)
+			h.want(got.Machines[i].EqualForSchedulers(snapshot.Machines[i]), true)
 		}
 		h.want(len(got.Jobs), len(snapshot.Jobs))
 		return got
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,9 +1,9 @@
-// Package snapshot holds what the leader publishes of its state: the machines with their leases and the jobs, as
-// framework schedulers and the fleet see them, and the updates from which a follower keeps a replica of it.
+// Package snapshot defines the state that the leader publishes, which consists mainly of the machines with their leases
+// and the jobs. It also defines the updates with which a follower maintains a replica of this state.
 //
-// Package manager builds snapshots and updates; schedulers, the fleet and package peer read them. The package decides
-// nothing, and it never changes a snapshot: what one points to stays as it is, so that snapshots share what has not
-// changed and may be read by any goroutine. Its JSON keys are those of the streams between controllers.
+// Package manager builds snapshots and updates; framework schedulers and the packages fleet and peer read them. This
+// package makes no scheduling decisions. Snapshots and the objects they point to are immutable, so that snapshots can
+// share unchanged objects and any goroutine can read them. The JSON keys are part of the protocol between controllers.
 package snapshot
 
 import (
@@ -13,37 +13,37 @@
 	"saffronbend/wire"
 )
 
-// Snapshot is the leader's state at one moment: every machine, busy ones with their leases, and the jobs. Times in it
-// are on the leader's clock, of which Now is the reading.
+// Snapshot is the leader's state at one point in time: all machines with their leases, and the jobs. All timestamps in
+// a snapshot are readings of the leader's clock; Now is the reading at the time of the snapshot.
 type Snapshot struct {
-	FencingToken wire.FencingToken // of the leader's term
-	Version      uint64            // counts the snapshots of a term
+	FencingToken wire.FencingToken // fencing token of the leader's term
+	Version      uint64            // increases with each snapshot of a term
 	Now          micros.Timestamp
-	// StoreAvailable says whether the key-value store serves the leader.
+	// StoreAvailable reports whether the key-value store serves the leader's requests.
 	StoreAvailable bool
-	// TeamAssignments names the controller that places the jobs of a team, by team.
+	// TeamAssignments maps each team to the controller that places the team's jobs.
 	TeamAssignments map[wire.TeamName]string
-	// QuotaHeadroom holds the teams that have a limit.
+	// QuotaHeadroom has an entry for each team that has a limit.
 	QuotaHeadroom map[wire.TeamName]QuotaHeadroom
-	Machines      []*Machine // by identifier
-	Jobs          []*Job     // by arrival
-	// CompletedRuns are those that were not in the snapshot before.
+	Machines      []*Machine // sorted by ID
+	Jobs          []*Job     // sorted by arrival
+	// CompletedRuns lists the runs that were not in the previous snapshot.
 	CompletedRuns []CompletedRun
-	// Replacements are, for the fleet, the jobs with tasks that can't be evicted before there is room for them elsewhere:
-	// Waiting counts these tasks.
-	Replacements []*Job
-	// VacatedPools are, for the fleet, the pools in which it rents no machine that it can rent elsewhere.
+	// PendingReplacements lists the jobs with tasks that can't be evicted until there are free resources for them
+	// elsewhere. In these entries, Waiting is the number of such tasks. The list is only for package fleet.
+	PendingReplacements []*Job
+	// VacatedPools lists the pools in which package fleet rents machines only if it can't rent them elsewhere.
 	VacatedPools []drain.VacatedPool
 }
 
-// QuotaHeadroom is what a team's limit leaves it; nil: any amount.
+// QuotaHeadroom is the unused part of a team's limit. nil means that there is no limit.
 type QuotaHeadroom struct {
 	CPUs *float64 `json:"cpus,omitempty"`
 	GPUs *float64 `json:"gpus,omitempty"`
 }
 
-// PlaceableTasks returns how many tasks of a job may be placed now: those that wait, within the team's limit, unless
-// the job backs off.
+// PlaceableTasks returns the number of tasks of a job that may be placed now: the waiting tasks that fit into the
+// team's limit, or 0 while the job backs off.
 func (s *Snapshot) PlaceableTasks(job *Job) int {
 	if s.Now < job.NotBefore {
 		return 0
--- a/internal/snapshot/update.go
+++ b/internal/snapshot/update.go
@@ -5,8 +5,8 @@
 	"saffronbend/wire"
 )
 
-// Update contains what has changed from the snapshot of version BaseVersion to that of Version. With BaseVersion 0 it
-// is a whole snapshot.
+// Update contains the changes between the snapshots with the versions BaseVersion and Version. If BaseVersion is 0, the
+// update is a full snapshot.
 type Update struct {
 	FencingToken    wire.FencingToken               `json:"token"`
 	BaseVersion     uint64                          `json:"base,omitempty"`
@@ -17,15 +17,15 @@
 	QuotaHeadroom   map[wire.TeamName]QuotaHeadroom `json:"rooms,omitempty"`
 	Machines        []*Machine                      `json:"machines,omitempty"`
 	Jobs            []*Job                          `json:"jobs,omitempty"`
-	Removed         []string                        `json:"gone,omitempty"` // machines and jobs, by identifier
+	Removed         []string                        `json:"gone,omitempty"` // IDs of machines and jobs
 	CompletedRuns   []CompletedRun                  `json:"finished,omitempty"`
 }
 
-// Replica is a follower's copy of the leader's newest snapshot. Its zero value has none.
+// Replica is a follower's copy of the leader's latest snapshot. The zero value is an empty replica without a snapshot.
 type Replica struct{ snapshot *Snapshot }
 
-// Apply applies the next update and returns the snapshot that results. It returns nil, and keeps what it has, if an
-// update was missed or the term has changed: the leader must be asked for a whole snapshot.
+// Apply applies the next update and returns the resulting snapshot. If an update was missed or the term has changed,
+// Apply returns nil and leaves the replica unchanged; the follower must then request a full snapshot from the leader.
 func (r *Replica) Apply(update *Update) *Snapshot {
 	next := &Snapshot{
 		FencingToken:    update.FencingToken,
@@ -49,8 +49,8 @@
 	return next
 }
 
-// merge returns a list with the changed entries in the places of the old ones, and new ones at the end, without those
-// that were removed. The old list stays as it is.
+// merge returns the list that results from an update: changed entries replace old ones with the same ID, removed
+// entries are left out, and new entries are appended. It does not modify the old list.
 func merge[T any](old, changed []T, removed []string, id func(T) string) []T {
 	if len(changed) == 0 && len(removed) == 0 {
 		return old
--- a/internal/snapshot/update_test.go
+++ b/internal/snapshot/update_test.go
@@ -8,7 +8,7 @@
 	"saffronbend/wire"
 )
 
-// idsOf returns the identifiers of a snapshot's machines and jobs.
+// idsOf returns the IDs of a snapshot's machines and jobs, or "none" for nil.
 func idsOf(t *testing.T, s *Snapshot) string {
 	t.Helper()
 	if s == nil {
@@ -33,41 +33,41 @@
 }
 
 func TestReplicaAppliesUpdates(t *testing.T) {
-	whole := Update{FencingToken: 7, Version: 3, Machines: machines("n-1", "n-2"), Jobs: []*Job{{ID: "run-1"}}}
+	full := Update{FencingToken: 7, Version: 3, Machines: machines("n-1", "n-2"), Jobs: []*Job{{ID: "run-1"}}}
 	for _, c := range []struct {
 		name   string
 		update Update
 		want   string
 	}{
-		{"nothing has changed", Update{FencingToken: 7, BaseVersion: 3, Version: 4}, "n-1 n-2 run-1"},
-		{"a machine is new", Update{FencingToken: 7, BaseVersion: 3, Version: 4, Machines: machines("n-0")},
+		{"no changes", Update{FencingToken: 7, BaseVersion: 3, Version: 4}, "n-1 n-2 run-1"},
+		{"new machine", Update{FencingToken: 7, BaseVersion: 3, Version: 4, Machines: machines("n-0")},
 			"n-1 n-2 n-0 run-1"},
-		{"a machine and a job are removed",
+		{"removed machine and job",
 			Update{FencingToken: 7, BaseVersion: 3, Version: 4, Removed: []string{"n-1", "run-1"}}, "n-2"},
-		{"a machine that was removed is back",
+		{"removed machine is added again",
 			Update{FencingToken: 7, BaseVersion: 3, Version: 4, Removed: []string{"n-1"}, Machines: machines("n-1")},
 			"n-1 n-2 run-1"},
-		{"an update was missed", Update{FencingToken: 7, BaseVersion: 4, Version: 5}, "none"},
-		{"the term has changed", Update{FencingToken: 8, BaseVersion: 3, Version: 4}, "none"},
-		{"a whole snapshot of another term", Update{FencingToken: 8, Version: 1, Machines: machines("n-9")}, "n-9"},
+		{"missed update", Update{FencingToken: 7, BaseVersion: 4, Version: 5}, "none"},
+		{"incremental update of another term", Update{FencingToken: 8, BaseVersion: 3, Version: 4}, "none"},
+		{"full snapshot of another term", Update{FencingToken: 8, Version: 1, Machines: machines("n-9")}, "n-9"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var replica Replica
-			first := replica.Apply(&whole)
+			first := replica.Apply(&full)
 			if got := idsOf(t, replica.Apply(&c.update)); got != c.want {
 				t.Errorf("got %s, want %s", got, c.want)
 			}
 			if got := idsOf(t, first); got != "n-1 n-2 run-1" {
-				t.Errorf("the earlier snapshot has become %s", got)
+				t.Errorf("the update modified the earlier snapshot to %s", got)
 			}
 		})
 	}
 }
 
-func TestReplicaNeedsAWholeSnapshotFirst(t *testing.T) {
+func TestReplicaRequiresFullSnapshotFirst(t *testing.T) {
 	var replica Replica
 	if got := replica.Apply(&Update{FencingToken: 7, BaseVersion: 1, Version: 2}); got != nil {
-		t.Errorf("got version %d", got.Version)
+		t.Errorf("got a snapshot with version %d, want nil", got.Version)
 	}
 }
 
@@ -80,14 +80,15 @@
 		want     int
 	}{
 		{"no limit", nil, Job{Team: "red", Waiting: 5}, 5},
-		{"a limit of processors", map[wire.TeamName]QuotaHeadroom{"red": {CPUs: number(8)}}, Job{Team: "red", Waiting: 5}, 2},
-		{"a limit of accelerators", map[wire.TeamName]QuotaHeadroom{"red": {GPUs: number(1)}},
+		{"CPU limit", map[wire.TeamName]QuotaHeadroom{"red": {CPUs: number(8)}}, Job{Team: "red", Waiting: 5}, 2},
+		{"GPU limit", map[wire.TeamName]QuotaHeadroom{"red": {GPUs: number(1)}},
 			Job{Team: "red", Waiting: 5}, 1},
-		{"the limit is exceeded", map[wire.TeamName]QuotaHeadroom{"red": {CPUs: number(-4)}},
+		{"exceeded limit", map[wire.TeamName]QuotaHeadroom{"red": {CPUs: number(-4)}},
 			Job{Team: "red", Waiting: 5}, 0},
-		{"another team's limit", map[wire.TeamName]QuotaHeadroom{"blue": {CPUs: number(0)}}, Job{Team: "red", Waiting: 5}, 5},
-		{"the job backs off", nil, Job{Team: "red", Waiting: 5, NotBefore: 11}, 0},
-		{"the job has backed off", nil, Job{Team: "red", Waiting: 5, NotBefore: 10}, 5},
+		{"limit of another team", map[wire.TeamName]QuotaHeadroom{"blue": {CPUs: number(0)}},
+			Job{Team: "red", Waiting: 5}, 5},
+		{"job is backing off", nil, Job{Team: "red", Waiting: 5, NotBefore: 11}, 0},
+		{"back-off has ended", nil, Job{Team: "red", Waiting: 5, NotBefore: 10}, 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.job.CPUs, c.job.GPUs = 4, 1
@@ -99,7 +100,7 @@
 	}
 }
 
-func TestSameForSchedulers(t *testing.T) {
+func TestEqualForSchedulers(t *testing.T) {
 	base := func() *Machine {
 		return &Machine{ID: "n-1", Usable: true, Images: []string{"img"},
 			Leases: []JobLeases{{Job: "run-1", Leases: []Lease{{Attempt: 1, Expiry: 100}}}}}
@@ -107,22 +108,23 @@
 	for _, c := range []struct {
 		name   string
 		change func(*Machine)
-		same   bool
+		want   bool
 	}{
-		{"nothing", func(*Machine) {}, true},
-		{"what only the fleet sees", func(m *Machine) { m.LastHeartbeat, m.Reporting, m.ChangedIn = 9, true, 4 }, true},
-		{"the expected end of a run", func(m *Machine) { m.Leases[0].Leases[0].ExpectedEnd = 50 }, true},
+		{"no change", func(*Machine) {}, true},
+		{"fields only for package fleet",
+			func(m *Machine) { m.LastHeartbeat, m.Reporting, m.ChangedInVersion = 9, true, 4 }, true},
+		{"expected end of a run", func(m *Machine) { m.Leases[0].Leases[0].ExpectedEnd = 50 }, true},
 		{"usable", func(m *Machine) { m.Usable = false }, false},
 		{"free resources", func(m *Machine) { m.CPUs = 1 }, false},
-		{"an image", func(m *Machine) { m.Images = nil }, false},
-		{"a reservation", func(m *Machine) { m.Reserved = []Reservation{{Job: "run-2"}} }, false},
-		{"a lease's waiter", func(m *Machine) { m.Leases[0].Leases[0].Waiter = "run-2" }, false},
+		{"images", func(m *Machine) { m.Images = nil }, false},
+		{"reservations", func(m *Machine) { m.Reserved = []Reservation{{Job: "run-2"}} }, false},
+		{"waiter of a lease", func(m *Machine) { m.Leases[0].Leases[0].Waiter = "run-2" }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			changed := base()
 			c.change(changed)
-			if got := changed.SameForSchedulers(base()); got != c.same {
-				t.Errorf("got %v, want %v", got, c.same)
+			if got := changed.EqualForSchedulers(base()); got != c.want {
+				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
 	}
