--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,5 +1,6 @@
-// Package call makes HTTP requests that carry JSON. The clients of the key-value store, the cloud, the workers and the
-// other controllers are built on it; they own limits, timeouts, retries and the meaning of a status.
+// Package call sends HTTP requests with JSON bodies. The clients of the key-value store, the cloud, the workers and the
+// other controllers are built on it. Those clients are responsible for rate limits, timeouts, retries and the
+// interpretation of status codes.
 package call
 
 import (
@@ -13,11 +14,11 @@
 	"time"
 )
 
-// Dialer opens connections, like net.Dialer.DialContext.
+// Dialer opens network connections. Its contract is that of net.Dialer.DialContext.
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// NewClient returns a client with at most so many connections to each host, busy and idle ones together. Idle ones are
-// closed after a minute.
+// NewClient returns an HTTP client with at most connectionsPerHost connections to each host, busy and idle ones
+// together. Idle connections are closed after one minute.
 func NewClient(dial Dialer, connectionsPerHost int) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dial,
@@ -28,23 +29,24 @@
 	}}
 }
 
-// UnencryptedHTTP2 returns the protocols of the connections between controllers: HTTP/2 without TLS, and nothing else.
+// UnencryptedHTTP2 returns the protocol set for connections between controllers. It contains only HTTP/2 without TLS.
 func UnencryptedHTTP2() *http.Protocols {
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	return protocols
 }
 
-// JSON sends a request, with the encoding of body unless that is nil, and returns the response's status and whole body,
-// whatever the status. After an error it is unknown whether the request was carried out.
-func JSON(
+// DoJSON sends a request with the JSON encoding of body, or without a body if body is nil. It returns the status and
+// the complete body of the response, regardless of the status. After an error it is unknown whether the request was
+// carried out.
+func DoJSON(
 	ctx context.Context, client *http.Client, method, url string, body any,
 ) (status int, response []byte, err error) {
 	var content io.Reader
 	if body != nil {
 		encoded, err := json.Marshal(body)
 		if err != nil {
-			return 0, nil, fmt.Errorf("encode: %w", err)
+			return 0, nil, fmt.Errorf("encode request: %w", err)
 		}
 		content = bytes.NewReader(encoded)
 	}
@@ -56,10 +58,10 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = resp.Body.Close() }() // it was read to its end, or the read's error is returned
+	defer func() { _ = resp.Body.Close() }() // the body was read completely, or the read error is returned
 	response, err = io.ReadAll(resp.Body)
 	if err != nil {
-		return 0, nil, fmt.Errorf("read: %w", err)
+		return 0, nil, fmt.Errorf("read response: %w", err)
 	}
 	return resp.StatusCode, response, nil
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,6 +1,6 @@
-// Package cloud is the client of the cloud that rents machines by the second. The leader uses it to list machines and
-// their types and to scale out and in, within its part of the cloud's rate limit. It decides nothing and never retries;
-// package fleet decides which machines are rented and returned.
+// Package cloud contains the client for the API of the cloud, from which machines are rented by the second. The leader
+// uses it to list machines and machine types and to scale out and in, within its share of the cloud's rate limit. The
+// client makes no decisions and never retries; package fleet decides which machines to rent and to return.
 package cloud
 
 import (
@@ -19,27 +19,29 @@
 	"saffronbend/wire"
 )
 
-// Errors after which it is certain that the request was not carried out. After any other error of a request that scales
-// out or in the outcome is unknown: it may have been carried out, or may yet be.
+// Errors after which it is certain that the request was not carried out. After any other error of a scale-out or
+// scale-in request the outcome is unknown: the request may have been carried out, or may still be carried out later.
 var (
-	// ErrNoCapacity means that none of the machines asked for can be had now. Its text is the protocol's.
+	// ErrNoCapacity means that none of the requested machines is available at the moment. Its text is the one that the
+	// cloud sends.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrUnavailable means an outage, or that the rate limit was exceeded.
-	ErrUnavailable = errors.New("the cloud does not serve now")
+	// ErrUnavailable means that the cloud has an outage or that a rate limit, the cloud's or the client's own, was
+	// exceeded.
+	ErrUnavailable = errors.New("cloud unavailable")
 )
 
 // requestTimeout includes the wait for the rate limit.
 const requestTimeout = 5 * time.Second
 
-// Client makes requests of the cloud within this controller's part of its rate limit. Its methods may be called
-// concurrently.
+// Client sends requests to the cloud within this controller's share of the cloud's rate limit. It is safe for
+// concurrent use.
 type Client struct {
 	baseURL string
 	http    *http.Client
 	limiter *rate.Limiter
 }
 
-// New returns a client of the cloud at an address with a port. It starts no goroutine of its own.
+// New returns a client for the cloud at addr, which includes a port. The client starts no goroutines.
 func New(dial call.Dialer, addr string, requestsPerSecond float64) *Client {
 	const connections = 4
 	return &Client{
@@ -49,23 +51,23 @@
 	}
 }
 
-// SetRate changes how many requests a second this controller may make.
+// SetRate sets the number of requests per second that this controller may make.
 func (c *Client) SetRate(requestsPerSecond float64) {
 	c.limiter.SetLimit(rate.Limit(requestsPerSecond))
 	c.limiter.SetBurst(burst(requestsPerSecond))
 }
 
-// burst returns how many requests may be made at once: a second's worth.
+// burst returns the burst size for a request rate: one second's worth of requests.
 func burst(requestsPerSecond float64) int { return max(1, int(requestsPerSecond)) }
 
-// do waits for the rate limit, carries a request out and decodes the response unless that is nil.
+// do waits for the rate limit, sends a request and decodes the body of the response into response unless that is nil.
 func (c *Client) do(ctx context.Context, method, path string, body, response any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	if err := c.limiter.Wait(ctx); err != nil {
-		return ErrUnavailable // for the caller it is as if the cloud had refused: nothing was sent
+		return ErrUnavailable // nothing was sent, so the effect is the same as a rejection by the cloud
 	}
-	status, encoded, err := call.JSON(ctx, c.http, method, c.baseURL+path, body)
+	status, encoded, err := call.DoJSON(ctx, c.http, method, c.baseURL+path, body)
 	if err != nil {
 		return fmt.Errorf("cloud: %w", err)
 	}
@@ -81,7 +83,8 @@
 	return nil
 }
 
-// statusError returns what a response's status means. The body distinguishes a lack of capacity from an outage.
+// statusError returns the error for the status of a response, nil for 200. With status 503, the body distinguishes a
+// lack of capacity from an outage.
 func statusError(status int, body []byte) error {
 	switch status {
 	case http.StatusOK:
@@ -98,7 +101,7 @@
 	return fmt.Errorf("cloud: status %d", status)
 }
 
-// MachineTypes lists the machine types, with their present prices.
+// MachineTypes lists the machine types with their current prices.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var list wire.MachineTypes
 	if err := c.do(ctx, http.MethodGet, "/machine_types", nil, &list); err != nil {
@@ -107,8 +110,9 @@
 	return list.Types, nil
 }
 
-// ScaleOut rents machines and returns their IDs, which may be fewer than asked for. After an error other than
-// ErrNoCapacity and ErrUnavailable the machines may exist all the same; repeating the same request is safe.
+// ScaleOut rents machines and returns their IDs. There may be fewer machines than requested. After an error other than
+// ErrNoCapacity and ErrUnavailable the machines may nevertheless have been rented; it is safe to repeat the request
+// with the same RequestID.
 func (c *Client) ScaleOut(ctx context.Context, request wire.ScaleOutRequest) (ids []wire.MachineID, err error) {
 	var machines wire.MachineIDs
 	if err := c.do(ctx, http.MethodPost, "/machines", request, &machines); err != nil {
@@ -117,14 +121,14 @@
 	return machines.IDs, nil
 }
 
-// ScaleIn returns machines to the cloud, 100 at most; unknown ones are ignored. nil means that they are gone and all
-// tasks on them with them.
+// ScaleIn returns machines to the cloud, at most 100 per call. The cloud ignores unknown machines. If the error is nil,
+// the machines and all tasks on them are gone.
 func (c *Client) ScaleIn(ctx context.Context, ids []wire.MachineID) error {
 	return c.do(ctx, http.MethodPost, "/machines/delete", wire.MachineIDs{IDs: ids}, nil)
 }
 
-// ListMachines lists all machines, in the order of their creation. The list lags, and may be older than the one before:
-// that a machine is missing proves nothing.
+// ListMachines lists all machines in the order of their creation. The list is eventually consistent and may even be
+// older than a previously returned one, so a machine that is missing from it may still exist.
 func (c *Client) ListMachines(ctx context.Context) ([]wire.Machine, error) {
 	var machines []wire.Machine
 	after := ""
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -13,7 +13,7 @@
 	"saffronbend/wire"
 )
 
-// newClient returns a client of a server that lasts as long as the test, with a rate that doesn't limit it.
+// newClient returns a client, practically without a rate limit, of a test server that runs until the end of the test.
 func newClient(t *testing.T, handler http.HandlerFunc) *Client {
 	t.Helper()
 	const unlimited = 1e6
@@ -26,65 +26,66 @@
 	return client
 }
 
-// respond returns a handler that answers every request alike.
+// respond returns a handler that sends the same response to every request.
 func respond(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
-		_, _ = io.WriteString(w, body) // an error shows in the client
+		_, _ = io.WriteString(w, body) // the client reports any error
 	}
 }
 
-// expectRequest returns a handler that checks the request and answers it with status 200.
+// expectRequest returns a handler that checks the request and responds with status 200 and the given body.
 func expectRequest(t *testing.T, method, uri, body, response string) http.HandlerFunc {
 	t.Helper()
 	return func(w http.ResponseWriter, r *http.Request) {
 		got, err := io.ReadAll(r.Body)
 		if err != nil || r.Method != method || r.RequestURI != uri || string(got) != body {
-			t.Errorf("requested %s %s %s, %v", r.Method, r.RequestURI, got, err)
+			t.Errorf("unexpected request %s %s with body %s, read error %v", r.Method, r.RequestURI, got, err)
 		}
 		respond(http.StatusOK, response)(w, r)
 	}
 }
 
 func TestErrors(t *testing.T) {
-	lost := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+	dropConnection := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	cases := []struct {
 		name    string
 		handler http.HandlerFunc
-		want    error // nil: one after which the outcome is unknown
+		want    error // nil: an error after which the outcome is unknown
 	}{
 		{"no capacity", respond(http.StatusServiceUnavailable, `{"error":"no capacity"}`), ErrNoCapacity},
 		{"outage", respond(http.StatusServiceUnavailable, `{"error":"trouble"}`), ErrUnavailable},
 		{"outage without a reason", respond(http.StatusServiceUnavailable, `x`), ErrUnavailable},
 		{"too many requests", respond(http.StatusTooManyRequests, `{}`), ErrUnavailable},
 		{"unexpected status", respond(http.StatusBadRequest, `{}`), nil},
-		{"lost response", lost, nil},
+		{"lost response", dropConnection, nil},
 		{"response that can't be decoded", respond(http.StatusOK, `{"boxes":`), nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			ids, err := newClient(t, c.handler).ScaleOut(t.Context(), wire.ScaleOutRequest{})
 			if err == nil || ids != nil {
-				t.Fatalf("got %v, %v", ids, err)
+				t.Fatalf("got IDs %v, error %v; want an error and no IDs", ids, err)
 			}
 			if c.want != nil && !errors.Is(err, c.want) {
-				t.Errorf("got %v, want %v", err, c.want)
+				t.Errorf("got error %v, want %v", err, c.want)
 			}
 			if c.want == nil && (errors.Is(err, ErrNoCapacity) || errors.Is(err, ErrUnavailable)) {
-				t.Errorf("got %v, which says that nothing was rented", err)
+				t.Errorf("got error %v, which means that nothing was rented, although the outcome is unknown", err)
 			}
 		})
 	}
 }
 
-// A request that the client's own limit holds back until its end was not sent.
-func TestOwnLimitMakesUnavailable(t *testing.T) {
-	client := newClient(t, func(http.ResponseWriter, *http.Request) { t.Error("sent") })
+// A request that is still waiting for the client's own rate limit when its context ends has not been sent, so the error
+// must be ErrUnavailable.
+func TestClientRateLimitReturnsErrUnavailable(t *testing.T) {
+	client := newClient(t, func(http.ResponseWriter, *http.Request) { t.Error("the request was sent") })
 	client.SetRate(0)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := client.ScaleIn(ctx, []wire.MachineID{"n-1"}); !errors.Is(err, ErrUnavailable) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want %v", err, ErrUnavailable)
 	}
 }
 
@@ -93,7 +94,7 @@
 		`{"builds":[{"name":"g8","cores":96,"price":12.0,"yards":["a","b"]}]}`))
 	types, err := client.MachineTypes(t.Context())
 	if err != nil || len(types) != 1 || types[0].Name != "g8" || types[0].CPUs != 96 || types[0].Price != 12 {
-		t.Errorf("got %+v, %v", types, err)
+		t.Errorf("got types %+v, error %v", types, err)
 	}
 }
 
@@ -103,7 +104,7 @@
 	request := wire.ScaleOutRequest{RequestID: "r-17", Type: "g8", Zone: "a", Spot: true, Count: 12}
 	ids, err := client.ScaleOut(t.Context(), request)
 	if err != nil || !slices.Equal(ids, []wire.MachineID{"n-1", "n-2"}) {
-		t.Errorf("got %v, %v", ids, err)
+		t.Errorf("got IDs %v, error %v", ids, err)
 	}
 }
 
@@ -123,7 +124,7 @@
 	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
 		query := r.URL.Query()
 		if r.URL.Path != "/machines" || query.Get("page") != "500" {
-			t.Errorf("requested %s", r.URL)
+			t.Errorf("unexpected request %s", r.URL)
 		}
 		respond(http.StatusOK, pages[query.Get("from")])(w, r)
 	})
@@ -137,11 +138,11 @@
 	}
 	want := []wire.MachineState{wire.MachineRunning, wire.MachineFailed, wire.MachineStarting}
 	if !slices.Equal(states, want) {
-		t.Errorf("got %v, want %v", states, want)
+		t.Errorf("got states %v, want %v", states, want)
 	}
 }
 
-func TestListMachinesFailsWithAnyPage(t *testing.T) {
+func TestListMachinesFailsIfLaterPageFails(t *testing.T) {
 	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("from") != "" {
 			respond(http.StatusServiceUnavailable, `{}`)(w, r)
@@ -150,6 +151,6 @@
 		respond(http.StatusOK, `{"boxes":[{"id":"n-1"}],"truncated":true}`)(w, r)
 	})
 	if machines, err := client.ListMachines(t.Context()); !errors.Is(err, ErrUnavailable) {
-		t.Errorf("got %v, %v", machines, err)
+		t.Errorf("got machines %v, error %v; want %v", machines, err, ErrUnavailable)
 	}
 }
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -122,7 +122,7 @@
 func (c *Client) post(ctx context.Context, path string, message, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	status, body, err := call.JSON(ctx, c.http, http.MethodPost, "http://"+c.addr+path, message)
+	status, body, err := call.DoJSON(ctx, c.http, http.MethodPost, "http://"+c.addr+path, message)
 	if err != nil {
 		return fmt.Errorf("peer: %w", err)
 	}
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -86,7 +86,7 @@
 	if err := c.requestRate.Wait(ctx); err != nil {
 		return 0, ErrUnavailable // for the caller it is as if the store had refused: nothing was sent
 	}
-	status, body, err := call.JSON(ctx, req.connections, req.method, c.baseURL+req.path, req.body)
+	status, body, err := call.DoJSON(ctx, req.connections, req.method, c.baseURL+req.path, req.body)
 	if err != nil {
 		return 0, fmt.Errorf("state: %w", err)
 	}
--- a/internal/worker/server.go
+++ b/internal/worker/server.go
@@ -1,8 +1,9 @@
-// Package worker is the interface to the workers, which run tasks on the machines: it serves their heartbeats and
-// pushes commands to them. It owns the statuses, the limits and the connections of both directions.
+// Package worker implements the communication with the workers, which run tasks on the machines: it serves their
+// heartbeats and pushes commands to them. It is responsible for the HTTP status codes, the limits and the connections
+// in both directions.
 //
-// It decides nothing: a HeartbeatHandler responds to heartbeats, and the leader's term says which commands to push. It
-// keeps no state of machines or tasks and retries nothing.
+// The package makes no decisions: a HeartbeatHandler responds to heartbeats, and package leader chooses the commands to
+// push. The package keeps no state of machines or tasks and never retries.
 package worker
 
 import (
@@ -17,17 +18,17 @@
 	"saffronbend/wire"
 )
 
-// maxHeartbeatBytes bounds the body of a heartbeat.
+// maxHeartbeatBytes is the maximum size of the body of a heartbeat.
 const maxHeartbeatBytes = 1 << 20
 
-// HeartbeatHandler serves heartbeats. Its method is called from many goroutines at once.
+// HeartbeatHandler serves heartbeats. Its method is called concurrently.
 type HeartbeatHandler interface {
-	// Heartbeat returns the response to a heartbeat, or nil if this controller must not respond to it. Then leader is the
-	// controller to which the worker should turn; "" if nobody is known to lead.
+	// Heartbeat returns the response to a heartbeat, or nil if this controller must not respond to it. If response is nil,
+	// leader names the controller to which the worker is redirected; it is empty if no leader is known.
 	Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) (response *wire.HeartbeatResponse, leader string)
 }
 
-// Register adds the workers' interface to a router. Heartbeats have low priority: see ingress.Admission.
+// Register adds the heartbeat endpoint to a router. Heartbeats have low priority; see ingress.Admission.
 func Register(router *httprouter.Router, handler HeartbeatHandler) {
 	router.POST(wire.PathHeartbeat, func(w http.ResponseWriter, req *http.Request, _ httprouter.Params) {
 		ingress.LowPriority(req.Context())
@@ -59,6 +60,7 @@
 func respond(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// An error means that the worker has gone. It sends its next heartbeat all the same.
+	// An error means that the worker has closed the connection. It can be ignored, because the worker sends another
+	// heartbeat anyway.
 	_ = json.NewEncoder(w).Encode(body)
 }
