--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -232,7 +232,7 @@
 			want: expected{http.StatusBadRequest, descriptionTooLong},
 		},
 		{
-			name: "the store refuses the description", beforeWrite: fmt.Errorf("%w: status 413", state.ErrRefused),
+			name: "the store refuses the description", beforeWrite: fmt.Errorf("%w: status 413", state.ErrRejected),
 			want: expected{http.StatusBadRequest, descriptionTooLong},
 		},
 		{
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -83,7 +83,7 @@
 		a.respondWithState(w, http.StatusCreated, job.ID, wire.JobPending)
 	case errors.Is(err, state.ErrUnavailable):
 		refuseForNow(w, "the state service does not serve now")
-	case errors.Is(err, state.ErrRefused):
+	case errors.Is(err, state.ErrRejected):
 		// The store's limit has been lowered to less than the settings say.
 		a.log.Error("the key-value store refuses a job description",
 			"key", state.OpenJobKey(job.ID), "bytes", len(records.openJob), "error", err)
--- a/internal/fenced/fenced_test.go
+++ b/internal/fenced/fenced_test.go
@@ -100,7 +100,7 @@
 		"conflict":                         {[]error{conflict}, operator.ErrUnavailable, 1, 1},
 		"unknown, then retry is committed": {[]error{errUnknown, errUnknown}, operator.ErrUnavailable, 3, 1},
 		"unknown, then conflict":           {[]error{errUnknown, conflict}, operator.ErrUnavailable, 2, 1},
-		"unknown, then refused":            {[]error{errUnknown, state.ErrRefused}, operator.ErrUnavailable, 2, 1},
+		"unknown, then refused":            {[]error{errUnknown, state.ErrRejected}, operator.ErrUnavailable, 2, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/fenced/serial_writer.go
+++ b/internal/fenced/serial_writer.go
@@ -100,7 +100,7 @@
 func (w *SerialWriter) retry(ctx context.Context, txn wire.Transaction) error {
 	_, err := w.writer.Commit(ctx, txn)
 	var conflict *state.ConflictError
-	if errors.As(err, &conflict) || errors.Is(err, state.ErrRefused) {
+	if errors.As(err, &conflict) || errors.Is(err, state.ErrRejected) {
 		return nil
 	}
 	return err
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -44,7 +44,7 @@
 			if t.resolveConflict(ctx, batch) {
 				return
 			}
-		case errors.Is(err, state.ErrRefused):
+		case errors.Is(err, state.ErrRejected):
 			t.handleRefusedWrite(ctx, batch, largestValue, err)
 			return
 		}
@@ -142,7 +142,7 @@
 		return change.Value == nil
 	case change.IdempotencyMark != "":
 		var progress state.ProgressRecord
-		return json.Unmarshal(item.Value, &progress) == nil && progress.IdempotencyMark == change.IdempotencyMark
+		return json.Unmarshal(item.Value, &progress) == nil && progress.IdempotencyToken == change.IdempotencyMark
 	case change.Value == any(state.JobStatusRecord{State: wire.JobDone}):
 		var status state.JobStatusRecord
 		return json.Unmarshal(item.Value, &status) == nil && status.State == wire.JobDone
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -37,7 +37,7 @@
 
 func TestWasCommitted(t *testing.T) {
 	stored := func(value string) *wire.KeyValue { return &wire.KeyValue{Value: json.RawMessage(value), Version: 9} }
-	progress := manager.RecordChange{Value: state.ProgressRecord{IdempotencyMark: "1.7"}, IdempotencyMark: "1.7"}
+	progress := manager.RecordChange{Value: state.ProgressRecord{IdempotencyToken: "1.7"}, IdempotencyMark: "1.7"}
 	deletion := manager.RecordChange{}
 	completion := manager.RecordChange{Value: state.JobStatusRecord{State: wire.JobDone}}
 	cases := map[string]struct {
--- a/internal/manager/disruptions.go
+++ b/internal/manager/disruptions.go
@@ -153,7 +153,7 @@
 	record.inFlight = encoded
 	change = RecordChange{Key: state.DisruptionKey(job.id(), shardIndex), Version: record.version}
 	if len(open) > 0 {
-		change.Value = state.DisruptionRecord{Open: open, IdempotencyMark: mark}
+		change.Value = state.DisruptionRecord{Open: open, IdempotencyToken: mark}
 		change.IdempotencyMark = mark
 	}
 	return change, true
--- a/internal/manager/writes.go
+++ b/internal/manager/writes.go
@@ -265,7 +265,7 @@
 	write := builder.write
 	write.shards = append(write.shards, key)
 	first, end := job.taskRange(key.index)
-	record := state.ProgressRecord{IdempotencyMark: builder.idempotencyMark}
+	record := state.ProgressRecord{IdempotencyToken: builder.idempotencyMark}
 	record.Done = state.EncodeDoneBitmap(end-first, func(i int) bool { return job.taskPhases[first+i] >= taskDone })
 	for task := first; task < end; task++ {
 		if job.taskPhases[task] == taskDone {
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -1,15 +1,16 @@
-// Package state stores the service's durable state: it owns the client of the consensus-backed key-value store, the
-// names of the keys and the encoding of the records.
+// Package state gives access to the service's durable state. It contains the client of the consensus-backed key-value
+// store and defines the keys and the encoding of the records.
 //
-// The leader writes all records but the acceptance and cancellation of jobs, which any controller writes, and the
-// records of members that renew worker leases. Every controller reads and watches them. The package keeps each
-// controller within its part of the store's rate limits; it never retries, decides nothing about jobs, and caches
-// nothing.
+// The leader writes all records, with two exceptions: any controller writes the acceptance and the cancellation of a
+// job, and members that renew worker leases write their own records. Every controller reads and watches the records.
+// The client keeps each controller within its share of the store's rate limits. The package never retries, caches
+// nothing and makes no decisions about jobs.
 //
-// The stored spelling of keys and records is that of the first version in production and stays as it is, so that
-// versions can work on each other's data during a rolling upgrade; package upgrade tests this. Go names follow the
-// glossary: "open/" holds OpenJobRecord, "tasks/" ProgressRecord, "care/" the renewers, "over" the final state, "chunk"
-// the shard size, "run" and "s" an incarnation, "w" the idempotency mark.
+// The stored names of keys and fields are those of the first production version. They must not change, so that
+// different versions can work on each other's data during a rolling upgrade; package upgrade tests this. Some stored
+// names differ from the Go names: "open/" holds OpenJobRecord, "tasks/" holds ProgressRecord, "care/" holds the keys of
+// lease renewers, "over" is the final state, "chunk" is the shard size, "run" and "s" are incarnations, and "w" is the
+// idempotency token.
 package state
 
 import (
@@ -26,67 +27,71 @@
 	"saffronbend/wire"
 )
 
-// How long requests may take, the wait for the rate limit included. The store usually answers within 10 ms.
+// Request timeouts, including the wait for the rate limit. The store usually responds within 10 ms.
 const (
 	readTimeout = 1500 * time.Millisecond
 	listTimeout = 3 * time.Second
 )
 
-// listPageSize is the largest that the store allows.
+// listPageSize is the largest page size that the store allows.
 const listPageSize = "1000"
 
-// Client makes requests of the key-value store within this controller's part of the store's limits. Its methods may be
-// called concurrently. Their errors are those of this package or say that the outcome is unknown; see the variables.
+// Client sends requests to the key-value store within this controller's share of the store's rate limits. It is safe
+// for concurrent use. After an error that is not one of this package's exported errors, the outcome of a transaction or
+// a lease request is unknown.
 type Client struct {
-	baseURL  string
-	requests *http.Client
-	// watches have connections of their own: they stay open, and must not keep requests waiting.
-	watches     *http.Client
-	requestRate *rate.Limiter
-	// urgentRate limits changes that somebody waits for: acceptances, cancellations, the leader's key. They don't queue
-	// behind progress, which deferrableRate limits.
-	urgentRate     *rate.Limiter
-	deferrableRate *adaptiveLimiter
+	baseURL       string
+	requestClient *http.Client
+	// watchClient has its own connections, because watches keep theirs open and must not block other requests.
+	watchClient    *http.Client
+	requestLimiter *rate.Limiter
+	// urgentLimiter limits the changes that a caller is waiting for: acceptances, cancellations and the leader key. These
+	// changes must not queue behind progress records, which are limited by deferrableLimiter.
+	urgentLimiter     *rate.Limiter
+	deferrableLimiter *adaptiveLimiter
 }
 
-// New returns a client of the store at an address with a port. It may make so many requests and so many urgent
-// changes a second, and no deferrable changes before SetWriteRate. It starts no goroutine of its own.
+// New returns a client for the store at addr, which includes a port. The client is limited to the given numbers of
+// requests and urgent changes per second. It makes no deferrable changes until SetDeferrableRate is called. The client
+// starts no goroutines.
 func New(dial call.Dialer, addr string, requestsPerSecond, urgentChangesPerSecond float64) *Client {
 	const requestConnections, watchConnections = 16, 4
 	return &Client{
-		baseURL:     "http://" + addr,
-		requests:    call.NewClient(dial, requestConnections),
-		watches:     call.NewClient(dial, watchConnections),
-		requestRate: rate.NewLimiter(rate.Limit(requestsPerSecond), max(1, int(requestsPerSecond))),
-		urgentRate: rate.NewLimiter(rate.Limit(urgentChangesPerSecond),
+		baseURL:        "http://" + addr,
+		requestClient:  call.NewClient(dial, requestConnections),
+		watchClient:    call.NewClient(dial, watchConnections),
+		requestLimiter: rate.NewLimiter(rate.Limit(requestsPerSecond), max(1, int(requestsPerSecond))),
+		urgentLimiter: rate.NewLimiter(rate.Limit(urgentChangesPerSecond),
 			changeBurst(urgentChangesPerSecond)),
-		deferrableRate: newAdaptiveLimiter(),
+		deferrableLimiter: newAdaptiveLimiter(),
 	}
 }
 
-// SetWriteRate sets how many deferrable changes a second this controller may make.
-func (c *Client) SetWriteRate(changesPerSecond float64) { c.deferrableRate.configure(changesPerSecond) }
+// SetDeferrableRate sets the number of deferrable changes per second that this controller may make.
+func (c *Client) SetDeferrableRate(changesPerSecond float64) {
+	c.deferrableLimiter.configure(changesPerSecond)
+}
 
-// request is one exchange with the store.
+// request describes one HTTP request to the store.
 type request struct {
-	connections *http.Client // c.requests or c.watches
-	method      string
-	path        string // and query
-	timeout     time.Duration
-	body        any // nil: none
-	// response is decoded from a response with status 200 or 409. nil: the body is ignored.
+	httpClient *http.Client // requestClient or watchClient of the Client
+	method     string
+	path       string // path and query of the URL
+	timeout    time.Duration
+	body       any // nil sends no body
+	// response receives the decoded body of a response with status 200 or 409. If it is nil, the body is ignored.
 	response any
 }
 
-// do waits for the rate limit, carries a request out and returns the response's status. The errors are ErrUnavailable,
-// errRateLimited, and others after which the outcome is unknown.
+// do waits for the rate limit, sends the request and returns the status of the response. It returns ErrUnavailable or
+// errRateLimited if the request was not carried out. After any other error the outcome is unknown.
 func (c *Client) do(ctx context.Context, req request) (status int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, req.timeout)
 	defer cancel()
-	if err := c.requestRate.Wait(ctx); err != nil {
-		return 0, ErrUnavailable // for the caller it is as if the store had refused: nothing was sent
+	if err := c.requestLimiter.Wait(ctx); err != nil {
+		return 0, ErrUnavailable // nothing was sent, so the effect is the same as a rejection by the store
 	}
-	status, body, err := call.DoJSON(ctx, req.connections, req.method, c.baseURL+req.path, req.body)
+	status, body, err := call.DoJSON(ctx, req.httpClient, req.method, c.baseURL+req.path, req.body)
 	if err != nil {
 		return 0, fmt.Errorf("state: %w", err)
 	}
@@ -106,11 +111,11 @@
 	return status, nil
 }
 
-// Get reads a key. nil without an error means that the key does not exist.
+// Get reads a key. It returns nil and no error if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (*wire.KeyValue, error) {
 	entry := new(wire.KeyValue)
 	status, err := c.do(ctx, request{
-		connections: c.requests, method: http.MethodGet, path: "/kv/" + key, timeout: readTimeout, response: entry,
+		httpClient: c.requestClient, method: http.MethodGet, path: "/kv/" + key, timeout: readTimeout, response: entry,
 	})
 	switch {
 	case err != nil:
@@ -118,13 +123,14 @@
 	case status == http.StatusNotFound:
 		return nil, nil
 	case status != http.StatusOK:
-		return nil, refused(status)
+		return nil, rejectedError(status)
 	}
 	return entry, nil
 }
 
-// List reads all keys with a prefix, in their order. The pages are read one after the other, not at one revision; the
-// revision returned is that of the first page, so that a watch from there misses no change.
+// List reads all entries whose keys have the given prefix, sorted by key. It reads the pages one after the other and
+// therefore possibly at different revisions. It returns the revision of the first page, so that a watch from this
+// revision misses no change.
 func (c *Client) List(ctx context.Context, prefix string) (entries []wire.KeyValue, revision uint64, err error) {
 	page, err := c.listPage(ctx, prefix, "")
 	if err != nil {
@@ -141,7 +147,7 @@
 	return entries, revision, nil
 }
 
-// listPage reads a page of keys that begins behind a key, or with the first if that is empty.
+// listPage reads the page of entries that follows the key after, or the first page if after is empty.
 func (c *Client) listPage(ctx context.Context, prefix, after string) (wire.KeyValuePage, error) {
 	query := url.Values{"prefix": {prefix}, "page": {listPageSize}}
 	if after != "" {
@@ -149,14 +155,14 @@
 	}
 	var page wire.KeyValuePage
 	status, err := c.do(ctx, request{
-		connections: c.requests, method: http.MethodGet, path: "/kv?" + query.Encode(), timeout: listTimeout,
+		httpClient: c.requestClient, method: http.MethodGet, path: "/kv?" + query.Encode(), timeout: listTimeout,
 		response: &page,
 	})
 	if err != nil {
 		return page, err
 	}
 	if status != http.StatusOK {
-		return page, refused(status)
+		return page, rejectedError(status)
 	}
 	return page, nil
 }
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -15,30 +15,30 @@
 	"saffronbend/wire"
 )
 
-// newClient returns a client of a server that lasts as long as the test, with rates that don't limit it.
+// newClient returns a client, practically without rate limits, of a test server that runs until the end of the test.
 func newClient(t *testing.T, handler http.HandlerFunc) *Client {
 	t.Helper()
 	const unlimited = 1e6
 	server := httptest.NewServer(handler)
 	client := New(new(net.Dialer).DialContext, server.Listener.Addr().String(), unlimited, unlimited)
-	client.SetWriteRate(unlimited)
+	client.SetDeferrableRate(unlimited)
 	t.Cleanup(func() {
-		client.requests.CloseIdleConnections()
-		client.watches.CloseIdleConnections()
+		client.requestClient.CloseIdleConnections()
+		client.watchClient.CloseIdleConnections()
 		server.Close()
 	})
 	return client
 }
 
-// respond returns a handler that answers every request alike.
+// respond returns a handler that sends the same response to every request.
 func respond(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
-		_, _ = io.WriteString(w, body) // an error shows in the client
+		_, _ = io.WriteString(w, body) // the client reports any error
 	}
 }
 
-// operations are all requests of the client, for what they have in common.
+// operations lists one call of each request method of the client, for tests of their common behavior.
 var operations = []struct {
 	name string
 	run  func(ctx context.Context, c *Client) error
@@ -73,55 +73,56 @@
 }
 
 func TestErrorsCommonToAllRequests(t *testing.T) {
-	lost := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+	dropConnection := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	cases := []struct {
 		name    string
 		handler http.HandlerFunc
-		want    error // nil: one after which the outcome is unknown
+		want    error // nil: an error after which the outcome is unknown
 	}{
 		{"outage", respond(http.StatusServiceUnavailable, `{}`), ErrUnavailable},
 		{"too many requests", respond(http.StatusTooManyRequests, `{}`), ErrUnavailable},
-		{"too many requests asks for a slower pace", respond(http.StatusTooManyRequests, `{}`), errRateLimited},
-		{"malformed request", respond(http.StatusBadRequest, `{}`), ErrRefused},
-		{"unexpected status", respond(http.StatusTeapot, `{}`), ErrRefused},
-		{"lost response", lost, nil},
+		{"too many requests is reported as a rate limit", respond(http.StatusTooManyRequests, `{}`), errRateLimited},
+		{"malformed request", respond(http.StatusBadRequest, `{}`), ErrRejected},
+		{"unexpected status", respond(http.StatusTeapot, `{}`), ErrRejected},
+		{"lost response", dropConnection, nil},
 	}
-	known := []error{ErrUnavailable, ErrLeaseExpired, ErrCompacted, ErrRefused}
+	known := []error{ErrUnavailable, ErrLeaseExpired, ErrCompacted, ErrRejected}
 	for _, c := range cases {
 		client := newClient(t, c.handler)
 		for _, operation := range operations {
 			t.Run(c.name+"/"+operation.name, func(t *testing.T) {
 				err := operation.run(t.Context(), client)
 				if err == nil {
-					t.Fatal("no error")
+					t.Fatal("got no error")
 				}
 				if c.want != nil && !errors.Is(err, c.want) {
-					t.Errorf("got %v, want %v", err, c.want)
+					t.Errorf("got error %v, want %v", err, c.want)
 				}
-				says := func(target error) bool { return errors.Is(err, target) }
-				if c.want == nil && slices.ContainsFunc(known, says) {
-					t.Errorf("got %v, which says that nothing was changed", err)
+				matches := func(target error) bool { return errors.Is(err, target) }
+				if c.want == nil && slices.ContainsFunc(known, matches) {
+					t.Errorf("got error %v, which means that nothing was changed, although the outcome is unknown", err)
 				}
 			})
 		}
 	}
 }
 
-// An outage does not ask for a slower pace, too many changes do.
+// Only a rate limit of the store, and not an outage, must lower the rate of deferrable changes.
 func TestUnavailableIsNotRateLimited(t *testing.T) {
 	if errors.Is(ErrUnavailable, errRateLimited) || !errors.Is(errRateLimited, ErrUnavailable) {
-		t.Error("errRateLimited is not a kind of ErrUnavailable")
+		t.Error("errRateLimited does not wrap ErrUnavailable, or ErrUnavailable matches errRateLimited")
 	}
 }
 
-// A request that the client's own limits hold back until its end was not sent.
-func TestOwnLimitsMakeUnavailable(t *testing.T) {
+// A request that is still waiting for the client's own rate limit when its context ends has not been sent, so the error
+// must be ErrUnavailable.
+func TestClientRateLimitReturnsErrUnavailable(t *testing.T) {
 	client := New(new(net.Dialer).DialContext, "127.0.0.1:1", 0, 0)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for _, operation := range operations {
 		if err := operation.run(ctx, client); !errors.Is(err, ErrUnavailable) {
-			t.Errorf("%s: got %v", operation.name, err)
+			t.Errorf("%s: got error %v, want %v", operation.name, err, ErrUnavailable)
 		}
 	}
 }
@@ -142,18 +143,19 @@
 		t.Errorf("got %+v", entry)
 	}
 	if entry, err = client.Get(t.Context(), "open/run-2"); entry != nil || err != nil {
-		t.Errorf("a key that does not exist: got %+v, %v", entry, err)
+		t.Errorf("missing key: got entry %+v, error %v", entry, err)
 	}
 }
 
-func TestGetOfAResponseThatCannotBeDecoded(t *testing.T) {
+func TestGetInvalidResponse(t *testing.T) {
 	client := newClient(t, respond(http.StatusOK, `{"k":`))
 	if entry, err := client.Get(t.Context(), "a"); err == nil {
-		t.Errorf("got %+v and no error", entry)
+		t.Errorf("got entry %+v and no error", entry)
 	}
 }
 
-// The revision of the first page is returned: a watch from a later one would miss changes of the keys already read.
+// List must return the revision of the first page: a watch from a later revision would miss changes to keys that had
+// already been read.
 func TestListReadsAllPages(t *testing.T) {
 	pages := map[string]string{
 		"":    `{"entries":[{"k":"c/1","stamp":1},{"k":"c/2","stamp":2}],"truncated":true,"ledger":10}`,
@@ -163,7 +165,7 @@
 	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
 		query := r.URL.Query()
 		if r.URL.Path != "/kv" || query.Get("prefix") != "c/" || query.Get("page") != "1000" {
-			t.Errorf("requested %s", r.URL)
+			t.Errorf("unexpected request %s", r.URL)
 		}
 		respond(http.StatusOK, pages[query.Get("from")])(w, r)
 	})
@@ -176,11 +178,11 @@
 		keys = append(keys, entry.Key)
 	}
 	if !slices.Equal(keys, []string{"c/1", "c/2", "c/3"}) || revision != 10 {
-		t.Errorf("got %v at revision %d", keys, revision)
+		t.Errorf("got keys %v at revision %d", keys, revision)
 	}
 }
 
-func TestListFailsWithAnyPage(t *testing.T) {
+func TestListFailsIfLaterPageFails(t *testing.T) {
 	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("from") != "" {
 			respond(http.StatusServiceUnavailable, `{}`)(w, r)
@@ -189,7 +191,7 @@
 		respond(http.StatusOK, `{"entries":[{"k":"c/1"}],"truncated":true,"ledger":10}`)(w, r)
 	})
 	if entries, _, err := client.List(t.Context(), "c/"); !errors.Is(err, ErrUnavailable) {
-		t.Errorf("got %v, %v", entries, err)
+		t.Errorf("got entries %v, error %v; want %v", entries, err, ErrUnavailable)
 	}
 }
 
@@ -198,7 +200,7 @@
 	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil || r.Method != http.MethodPost || r.URL.Path != "/txn" || string(body) != want {
-			t.Errorf("requested %s %s %s, %v", r.Method, r.URL, body, err)
+			t.Errorf("unexpected request %s %s with body %s, read error %v", r.Method, r.URL, body, err)
 		}
 		respond(http.StatusOK, `{"ledger":432}`)(w, r)
 	})
@@ -207,7 +209,7 @@
 		Then: []wire.Change{{Put: "a", Value: json.RawMessage(`1`), Lease: 7}, {Delete: "b"}},
 	})
 	if err != nil || revision != 432 {
-		t.Errorf("got %d, %v", revision, err)
+		t.Errorf("got revision %d, error %v", revision, err)
 	}
 }
 
@@ -216,11 +218,11 @@
 	_, err := client.CompareAndSwap(t.Context(), wire.Transaction{})
 	var conflict *ConflictError
 	if !errors.As(err, &conflict) || !slices.Equal(conflict.FailedKeys, []string{"a", "b"}) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want a ConflictError for keys a and b", err)
 	}
 }
 
-// The store answers an expired lease like a malformed request.
+// The store responds to an expired lease with the same status as to a malformed request.
 func TestCompareAndSwapBadRequest(t *testing.T) {
 	client := newClient(t, respond(http.StatusBadRequest, `{"error":"no such lease"}`))
 	cases := []struct {
@@ -229,23 +231,23 @@
 		want    error
 	}{
 		{"a change is attached to a lease", []wire.Change{{Delete: "a"}, {Put: "b", Lease: 7}}, ErrLeaseExpired},
-		{"none is", []wire.Change{{Delete: "a"}, {Put: "b"}}, ErrRefused},
+		{"no change is attached to a lease", []wire.Change{{Delete: "a"}, {Put: "b"}}, ErrRejected},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := client.CompareAndSwap(t.Context(), wire.Transaction{Then: c.changes}); !errors.Is(err, c.want) {
-				t.Errorf("got %v, want %v", err, c.want)
+				t.Errorf("got error %v, want %v", err, c.want)
 			}
 		})
 	}
 }
 
-// A transaction with more changes than a second's worth waits for its share, and is not refused.
-func TestCompareAndSwapOfMoreThanABurst(t *testing.T) {
-	server := newClient(t, respond(http.StatusOK, `{"ledger":1}`))
-	server.SetWriteRate(1000)
+// A transaction with more changes than the limiter's burst must wait for the rate limit rather than fail.
+func TestCompareAndSwapLargerThanBurst(t *testing.T) {
+	client := newClient(t, respond(http.StatusOK, `{"ledger":1}`))
+	client.SetDeferrableRate(1000)
 	changes := make([]wire.Change, 1200)
-	if _, err := server.CompareAndSwapDeferrable(t.Context(), wire.Transaction{Then: changes}); err != nil {
+	if _, err := client.CompareAndSwapDeferrable(t.Context(), wire.Transaction{Then: changes}); err != nil {
 		t.Error(err)
 	}
 }
@@ -254,12 +256,12 @@
 	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil || r.URL.Path != "/grants" || string(body) != `{"life_ms":5000}` {
-			t.Errorf("requested %s %s, %v", r.URL, body, err)
+			t.Errorf("unexpected request %s with body %s, read error %v", r.URL, body, err)
 		}
 		respond(http.StatusOK, `{"permit":7}`)(w, r)
 	})
 	if id, err := client.GrantLease(t.Context(), 5*time.Second); err != nil || id != 7 {
-		t.Errorf("got %d, %v", id, err)
+		t.Errorf("got ID %d, error %v", id, err)
 	}
 }
 
@@ -275,7 +277,7 @@
 		t.Error(err)
 	}
 	if err := client.RenewLease(t.Context(), 8); !errors.Is(err, ErrLeaseExpired) {
-		t.Errorf("an expired lease: got %v", err)
+		t.Errorf("expired lease: got error %v, want %v", err, ErrLeaseExpired)
 	}
 }
 
@@ -283,7 +285,7 @@
 	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
 		query := r.URL.Query()
 		if r.URL.Path != "/watch" || query.Get("prefix") != "c/" || query.Get("block_ms") != "1500" {
-			t.Errorf("requested %s", r.URL)
+			t.Errorf("unexpected request %s", r.URL)
 		}
 		if query.Get("from") == "1" {
 			respond(http.StatusGone, `{}`)(w, r)
@@ -300,12 +302,12 @@
 		t.Errorf("got %+v", response)
 	}
 	if _, err = client.Watch(t.Context(), "c/", 1, 1500*time.Millisecond); !errors.Is(err, ErrCompacted) {
-		t.Errorf("a revision that is too old: got %v", err)
+		t.Errorf("compacted revision: got error %v, want %v", err, ErrCompacted)
 	}
 }
 
-// Open watches leave connections for other requests.
-func TestWatchesDoNotHoldUpRequests(t *testing.T) {
+// Other requests must not have to wait for the connections that open watches occupy.
+func TestWatchesDoNotBlockRequests(t *testing.T) {
 	const watches, watchConnections = 20, 4
 	opened := make(chan struct{}, watches)
 	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
@@ -333,7 +335,7 @@
 	cancel()
 	for range watches {
 		if err := <-ended; err == nil {
-			t.Error("a watch ended without an error")
+			t.Error("a cancelled watch returned no error")
 		}
 	}
 }
--- a/internal/state/keys.go
+++ b/internal/state/keys.go
@@ -7,31 +7,32 @@
 	"saffronbend/wire"
 )
 
-// Keys that exist once.
+// Keys of singleton records.
 const (
 	// LeaderKey holds the LeaderRecord and is attached to the leader's lease. Its version is the fencing token.
 	LeaderKey = "leader"
-	// MachineTypesKey holds the cloud's machine types, a list of wire.MachineType, for when the cloud can't be asked.
+	// MachineTypesKey holds the cloud's machine types, a list of wire.MachineType, for use while the cloud is unavailable.
 	MachineTypesKey = "types"
 	// RebalancingKey holds the RebalancingRecord.
 	RebalancingKey = "spread"
 )
 
-// Prefixes of the keys of which there are many.
+// Prefixes of keys with more than one record.
 const (
 	jobStatusPrefix = "job/"
-	// OpenJobPrefix is followed by the job's ID: an OpenJobRecord.
+	// OpenJobPrefix is followed by the job's ID. The key holds an OpenJobRecord.
 	OpenJobPrefix = "open/"
-	// ProgressPrefix is followed by the job's ID and the shard: a ProgressRecord.
+	// ProgressPrefix is followed by the job's ID and the shard's index. The key holds a ProgressRecord.
 	ProgressPrefix = "tasks/"
-	// DisruptionPrefix is followed by the job's ID and the shard: a DisruptionRecord.
+	// DisruptionPrefix is followed by the job's ID and the shard's index. The key holds a DisruptionRecord.
 	DisruptionPrefix = "disruption/"
-	// DrainPrefix is followed by the drain's name: a DrainRecord.
+	// DrainPrefix is followed by the drain's name. The key holds a DrainRecord.
 	DrainPrefix = "drain/"
-	// DrainMachinesPrefix is followed by the list's ID and the page: a list of machine IDs. The pages are written before
-	// the drain itself; without that they mean nothing.
+	// DrainMachinesPrefix is followed by the list's ID and the page number. The key holds a list of machine IDs. The pages
+	// are written before the DrainRecord that refers to them and have no meaning without it.
 	DrainMachinesPrefix = "drain-machines/"
-	// RenewerPrefix is that of ActiveRenewerKey and LastRenewerKey, each with a LeaderRecord of the member.
+	// RenewerPrefix is the common prefix of ActiveRenewerKey and LastRenewerKey. Each of these keys holds a LeaderRecord
+	// of the member that renews worker leases.
 	RenewerPrefix       = "care/"
 	activeRenewerPrefix = RenewerPrefix + "now/"
 	lastRenewerPrefix   = RenewerPrefix + "last/"
@@ -46,7 +47,7 @@
 // ProgressKey returns the key of the ProgressRecord of a shard of a job's tasks.
 func ProgressKey(jobID wire.JobID, shard int) string { return ProgressPrefix + shardName(jobID, shard) }
 
-// ParseProgressKey is the inverse of ProgressKey. ok is false for any other key.
+// ParseProgressKey is the inverse of ProgressKey. ok is false if the key is not a progress key.
 func ParseProgressKey(key string) (jobID wire.JobID, shard int, ok bool) {
 	return parseShardKey(ProgressPrefix, key)
 }
@@ -56,12 +57,13 @@
 	return DisruptionPrefix + shardName(jobID, shard)
 }
 
-// ParseDisruptionKey is the inverse of DisruptionKey. ok is false for any other key.
+// ParseDisruptionKey is the inverse of DisruptionKey. ok is false if the key is not a disruption key.
 func ParseDisruptionKey(key string) (jobID wire.JobID, shard int, ok bool) {
 	return parseShardKey(DisruptionPrefix, key)
 }
 
-// shardName names a shard of a job's tasks as a task is named: there are no more shards than tasks.
+// shardName returns the name of a shard of a job's tasks. It has the form of a task name; that form covers every shard
+// index, because a job never has more shards than tasks.
 func shardName(jobID wire.JobID, shard int) string { return wire.TaskName(jobID, shard) }
 
 func parseShardKey(prefix, key string) (jobID wire.JobID, shard int, ok bool) {
@@ -75,13 +77,13 @@
 // DrainKey returns the key of a drain's DrainRecord.
 func DrainKey(name string) string { return DrainPrefix + name }
 
-// DrainMachinesKey returns the key of a page of a drain's list of machines. Lists have IDs of their own, which are
-// never used again: a write that is carried out late changes no other drain.
+// DrainMachinesKey returns the key of a page of a drain's list of machines. Each list has its own ID, which is never
+// reused, so that a delayed write can't modify the list of another drain.
 func DrainMachinesKey(listID string, page int) string {
 	return DrainMachinesPrefix + listID + "/" + strconv.Itoa(page)
 }
 
-// ParseDrainMachinesKey is the inverse of DrainMachinesKey. ok is false for any other key.
+// ParseDrainMachinesKey is the inverse of DrainMachinesKey. ok is false if the key is not a page of a machine list.
 func ParseDrainMachinesKey(key string) (listID string, page int, ok bool) {
 	name, found := strings.CutPrefix(key, DrainMachinesPrefix)
 	slash := strings.LastIndexByte(name, '/')
@@ -92,13 +94,13 @@
 	return name[:slash], page, err == nil
 }
 
-// ActiveRenewerKey returns the key that exists, attached to a lease, while a member renews worker leases in the
-// leader's stead.
+// ActiveRenewerKey returns the key that marks a member as currently renewing worker leases on behalf of the leader. The
+// key is attached to a lease, so that it exists only while the member does so.
 func ActiveRenewerKey(member string) string { return activeRenewerPrefix + member }
 
-// LastRenewerKey returns the key that stays afterwards: its version says when the member last began to renew worker
-// leases.
+// LastRenewerKey returns the key whose version tells when the member last began to renew worker leases. The key is not
+// attached to a lease and remains after the member has stopped.
 func LastRenewerKey(member string) string { return lastRenewerPrefix + member }
 
-// IsActiveRenewerKey reports whether a key is some member's ActiveRenewerKey.
+// IsActiveRenewerKey reports whether the key is the ActiveRenewerKey of any member.
 func IsActiveRenewerKey(key string) bool { return strings.HasPrefix(key, activeRenewerPrefix) }
--- a/internal/state/keys_test.go
+++ b/internal/state/keys_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The keys are stored, so their spelling must stay.
+// The keys are part of the stored data, so they must not change.
 func TestKeys(t *testing.T) {
 	cases := []struct{ name, got, want string }{
 		{"leader", LeaderKey, "leader"},
@@ -24,8 +24,8 @@
 	}
 }
 
-// asText returns a parser whose result can be compared with those of the others.
-func asText[T ~string](parse func(string) (T, int, bool)) func(string) (string, int, bool) {
+// withStringName adapts a key parser to return the name as a string, so that all parsers can share one table.
+func withStringName[T ~string](parse func(string) (T, int, bool)) func(string) (string, int, bool) {
 	return func(key string) (string, int, bool) {
 		name, number, ok := parse(key)
 		return string(name), number, ok
@@ -34,7 +34,7 @@
 
 func TestParseKeys(t *testing.T) {
 	parsers := map[string]func(string) (string, int, bool){
-		"progress": asText(ParseProgressKey), "disruption": asText(ParseDisruptionKey),
+		"progress": withStringName(ParseProgressKey), "disruption": withStringName(ParseDisruptionKey),
 		"drain's machines": ParseDrainMachinesKey,
 	}
 	cases := []struct {
@@ -68,6 +68,6 @@
 
 func TestIsActiveRenewerKey(t *testing.T) {
 	if !IsActiveRenewerKey(ActiveRenewerKey("c1")) || IsActiveRenewerKey(LastRenewerKey("c1")) {
-		t.Error("the keys of renewers are mistaken for each other")
+		t.Error("IsActiveRenewerKey does not distinguish ActiveRenewerKey from LastRenewerKey")
 	}
 }
--- a/internal/state/lease.go
+++ b/internal/state/lease.go
@@ -11,27 +11,28 @@
 
 const leaseTimeout = time.Second
 
-// GrantLease obtains a lease of the store with a time to live of 100 ms to 10 minutes, and returns its ID.
+// GrantLease requests a lease from the store and returns its ID. The store accepts a time to live between 100 ms and
+// 10 minutes.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (id uint64, err error) {
 	var lease wire.StoreLease
 	status, err := c.do(ctx, request{
-		connections: c.requests, method: http.MethodPost, path: "/grants", timeout: leaseTimeout,
+		httpClient: c.requestClient, method: http.MethodPost, path: "/grants", timeout: leaseTimeout,
 		body: wire.StoreLeaseRequest{TTLMillis: ttl.Milliseconds()}, response: &lease,
 	})
 	if err != nil {
 		return 0, err
 	}
 	if status != http.StatusOK {
-		return 0, refused(status)
+		return 0, rejectedError(status)
 	}
 	return lease.ID, nil
 }
 
-// RenewLease restores a lease's full time to live. ErrLeaseExpired means that it has expired, and that its keys
-// are removed.
+// RenewLease resets a lease to its full time to live. ErrLeaseExpired means that the lease has expired and that the
+// store has removed the keys attached to it.
 func (c *Client) RenewLease(ctx context.Context, id uint64) error {
 	status, err := c.do(ctx, request{
-		connections: c.requests, method: http.MethodPost, path: "/grants/" + strconv.FormatUint(id, 10) + "/renew",
+		httpClient: c.requestClient, method: http.MethodPost, path: "/grants/" + strconv.FormatUint(id, 10) + "/renew",
 		timeout: leaseTimeout,
 	})
 	switch {
@@ -40,7 +41,7 @@
 	case status == http.StatusNotFound:
 		return ErrLeaseExpired
 	case status != http.StatusOK:
-		return refused(status)
+		return rejectedError(status)
 	}
 	return nil
 }
--- a/internal/state/progress.go
+++ b/internal/state/progress.go
@@ -8,51 +8,52 @@
 	"saffronbend/wire"
 )
 
-// ProgressRecord is the progress of a shard of a job's tasks. There is none for a shard of which no task was started.
+// ProgressRecord is the progress of a shard of a job's tasks. The record doesn't exist while no task of the shard has
+// been started.
 type ProgressRecord struct {
 	Done   string      `json:"d,omitempty"` // see EncodeDoneBitmap
 	Active []Placement `json:"a,omitempty"`
-	// IdempotencyMark is unique to the write: if a write's outcome is unknown, reading the record shows whether it was
-	// carried out.
-	IdempotencyMark string `json:"w"`
+	// IdempotencyToken is unique to the write. If the outcome of a write is unknown, the token in the stored record shows
+	// whether the write was applied.
+	IdempotencyToken string `json:"w"`
 }
 
 // Placement is an attempt of a task that may exist on a machine.
 type Placement struct {
-	Task        int                   `json:"t"` // its index within the job
+	Task        int                   `json:"t"` // the task's index within the job
 	Machine     wire.MachineID        `json:"m"`
 	Attempt     wire.AttemptID        `json:"n"`
-	Incarnation wire.AgentIncarnation `json:"s"` // of the machine's agent
+	Incarnation wire.AgentIncarnation `json:"s"` // incarnation of the machine's agent
 }
 
-// EncodedSize returns how many bytes the placement takes in its record.
+// EncodedSize returns the number of bytes that the placement occupies in its record.
 func (p Placement) EncodedSize() (int, error) {
 	encoded, err := json.Marshal(p)
 	return len(encoded) + len(","), err
 }
 
-// ProgressRecordOverhead returns how many bytes a progress record of so many tasks takes, at most, beside its
-// placements.
+// ProgressRecordOverhead returns the maximum size in bytes of a progress record with the given number of tasks, without
+// its placements.
 func ProgressRecordOverhead(tasks int) int {
 	const (
-		frame = len(`{"d":"","a":[],"w":""}`)
-		mark  = 2*13 + len(".") // two 64-bit numbers in base 36
+		emptyRecordBytes = len(`{"d":"","a":[],"w":""}`)
+		tokenBytes       = 2*13 + len(".") // two 64-bit numbers in base 36
 	)
-	return frame + mark + hex.EncodedLen(bitmapBytes(tasks))
+	return emptyRecordBytes + tokenBytes + hex.EncodedLen(bitmapBytes(tasks))
 }
 
-// MinValueKB is the lowest limit of the size of a value, in KiB, that the service can work with.
+// MinValueKB is the lowest value size limit of the store, in KiB, with which the service can work.
 const MinValueKB = 1
 
-// ProgressShardSize returns how many of a job's tasks share a progress record, so that their placements surely fit into
-// a value of valueKB KiB.
+// ProgressShardSize returns the number of tasks per progress record of a job, chosen so that the placements of these
+// tasks always fit into a value of valueKB KiB.
 //
-// The placements of a gang exist all at once or not at all: it could never start if the limit fell below what they
-// need. So its records fit the lowest limit that there may be.
+// The tasks of a gang are placed all together or not at all, so a gang could never start if the limit were lowered
+// below the size that its placements need. The shards of a gang therefore fit even the lowest possible limit.
 func ProgressShardSize(kind wire.JobKind, valueKB float64) int {
 	const (
 		bytesPerKB    = 1024
-		bytesPerTask  = 80 // at most: a placement and a bit of the bitmap
+		bytesPerTask  = 80 // upper bound for a placement and one bit of the bitmap
 		bytesReserved = 200
 		minTasks      = 4
 		maxTasks      = 256
@@ -68,8 +69,8 @@
 
 func bitmapBytes(tasks int) int { return (tasks + bitsPerByte - 1) / bitsPerByte }
 
-// EncodeDoneBitmap returns the bitmap of the done ones of so many tasks, in hexadecimal, the first task in the lowest
-// bit of the first byte. It is empty if none is done.
+// EncodeDoneBitmap returns a hexadecimal bitmap of the tasks that are done. The first task is the lowest bit of the
+// first byte. The result is empty if no task is done.
 func EncodeDoneBitmap(tasks int, done func(task int) bool) string {
 	bits := make([]byte, bitmapBytes(tasks))
 	anyDone := false
@@ -85,8 +86,8 @@
 	return hex.EncodeToString(bits)
 }
 
-// DecodeDoneBitmap calls visit for each done task of a bitmap, in order. A damaged bitmap may have tasks beyond its
-// shard's size, or be no bitmap, which is an error.
+// DecodeDoneBitmap calls visit for each done task of a bitmap, in ascending order. It returns an error if the bitmap is
+// not valid hexadecimal. A corrupt bitmap may contain tasks beyond the size of its shard, which is not detected here.
 func DecodeDoneBitmap(bitmap string, visit func(task int)) error {
 	bits, err := hex.DecodeString(bitmap)
 	if err != nil {
--- a/internal/state/progress_test.go
+++ b/internal/state/progress_test.go
@@ -17,12 +17,12 @@
 		done  []int
 		want  string
 	}{
-		{"no task", 0, nil, ""},
-		{"none done", 20, nil, ""},
-		{"first", 1, []int{0}, "01"},
-		{"last of a byte", 8, []int{7}, "80"},
+		{"no tasks", 0, nil, ""},
+		{"no task done", 20, nil, ""},
+		{"first task", 1, []int{0}, "01"},
+		{"highest bit of a byte", 8, []int{7}, "80"},
 		{"several bytes", 20, []int{0, 2, 8, 19}, "050108"},
-		{"all", 9, []int{0, 1, 2, 3, 4, 5, 6, 7, 8}, "ff01"},
+		{"all tasks", 9, []int{0, 1, 2, 3, 4, 5, 6, 7, 8}, "ff01"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -41,21 +41,22 @@
 	}
 }
 
-func TestDecodeDoneBitmapOfWhatIsNone(t *testing.T) {
+func TestDecodeDoneBitmapRejectsInvalidHex(t *testing.T) {
 	for _, bitmap := range []string{"0", "xy", "0 "} {
 		if err := DecodeDoneBitmap(bitmap, func(int) { t.Error("visited a task") }); err == nil {
-			t.Errorf("%q: no error", bitmap)
+			t.Errorf("%q: got no error", bitmap)
 		}
 	}
 }
 
-// longestPlacement has the longest values that occur: 5 digits of task, machine IDs as the cloud forms them.
+// longestPlacement has the longest values that occur in practice: a 5-digit task index and a machine ID in the cloud's
+// format.
 var longestPlacement = Placement{
 	Task: wire.MaxTasks - 1, Machine: "n-999999", Attempt: math.MaxInt64, Incarnation: 99_999,
 }
 
-// A shard's record must fit into a value when all its tasks are placed.
-func TestProgressShardSizeFitsTheLimit(t *testing.T) {
+// The record of a shard must not exceed the value size limit when all tasks of the shard are placed.
+func TestProgressShardSizeFitsValueLimit(t *testing.T) {
 	cases := []struct {
 		name    string
 		kind    wire.JobKind
@@ -63,10 +64,10 @@
 		want    int
 	}{
 		{"lowest limit", wire.KindArray, MinValueKB, 10},
-		{"medium", wire.KindArray, 8, 99},
-		{"no more than 256 tasks", wire.KindArray, 64, 256},
-		{"gang, whatever the limit", wire.KindGang, 64, 10},
-		{"never less than 4", wire.KindArray, 0.1, 4},
+		{"medium limit", wire.KindArray, 8, 99},
+		{"at most 256 tasks", wire.KindArray, 64, 256},
+		{"gang uses the lowest limit", wire.KindGang, 64, 10},
+		{"at least 4 tasks", wire.KindArray, 0.1, 4},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -78,13 +79,14 @@
 				return
 			}
 			if encoded := len(encodeFullRecord(t, size)); encoded > int(c.valueKB*1024) {
-				t.Errorf("%d tasks take %d bytes", size, encoded)
+				t.Errorf("the record of %d tasks has %d bytes, more than %v KiB", size, encoded, c.valueKB)
 			}
 		})
 	}
 }
 
-// The sum of the parts must not be less than the whole record.
+// The overhead plus the encoded sizes of the placements must be at least the size of the whole record, and at most one
+// byte more.
 func TestProgressRecordOverheadAndEncodedSize(t *testing.T) {
 	for _, tasks := range []int{1, 8, 9, 256} {
 		placement, err := longestPlacement.EncodedSize()
@@ -93,19 +95,19 @@
 		}
 		record := len(encodeFullRecord(t, tasks))
 		if bound := ProgressRecordOverhead(tasks) + tasks*placement; record > bound || record < bound-1 {
-			t.Errorf("%d tasks: the record takes %d bytes, the bound is %d", tasks, record, bound)
+			t.Errorf("%d tasks: the record has %d bytes, the computed bound is %d", tasks, record, bound)
 		}
 	}
 }
 
-// encodeFullRecord returns a record of so many tasks that are all placed, and all done.
+// encodeFullRecord returns an encoded record with the given number of tasks, all of them both placed and done.
 func encodeFullRecord(t *testing.T, tasks int) []byte {
 	t.Helper()
-	mark := strings.Repeat("z", 13)
+	digits := strings.Repeat("z", 13)
 	record := ProgressRecord{
-		Done:            EncodeDoneBitmap(tasks, func(int) bool { return true }),
-		Active:          slices.Repeat([]Placement{longestPlacement}, tasks),
-		IdempotencyMark: mark + "." + mark,
+		Done:             EncodeDoneBitmap(tasks, func(int) bool { return true }),
+		Active:           slices.Repeat([]Placement{longestPlacement}, tasks),
+		IdempotencyToken: digits + "." + digits,
 	}
 	encoded, err := json.Marshal(record)
 	if err != nil {
--- a/internal/state/ratelimit.go
+++ b/internal/state/ratelimit.go
@@ -7,17 +7,19 @@
 	"golang.org/x/time/rate"
 )
 
-// The adaptive limiter multiplies its rate by decrease when the store says that there were too many changes, but at
-// most once in decreaseInterval and not below minShare of the configured rate, and by increase after each success.
+// Parameters of adaptiveLimiter. The limiter multiplies its rate by decreaseFactor when the store reports too many
+// changes, at most once per decreaseInterval and never below minRateFraction of the configured rate. It multiplies its
+// rate by increaseFactor after each success.
 const (
-	decrease         = 0.9
-	increase         = 1.03
-	minShare         = 0.25
+	decreaseFactor   = 0.9
+	increaseFactor   = 1.03
+	minRateFraction  = 0.25
 	decreaseInterval = time.Second
 )
 
-// adaptiveLimiter limits changes to a configured rate, and to a lower one while the store refuses some: it may allow
-// less than the settings say. The rest then remains for the other controllers, and fewer requests are wasted.
+// adaptiveLimiter limits changes to a configured rate, and to a lower rate while the store rejects changes, since the
+// store may allow less than the settings say. The lower rate leaves the remaining capacity to the other controllers and
+// avoids requests that would be rejected.
 type adaptiveLimiter struct {
 	limiter *rate.Limiter
 
@@ -26,7 +28,7 @@
 	decreasedAt time.Time
 }
 
-// newAdaptiveLimiter returns a limiter that allows nothing until it is configured.
+// newAdaptiveLimiter returns a limiter that allows no changes until configure is called.
 func newAdaptiveLimiter() *adaptiveLimiter { return &adaptiveLimiter{limiter: rate.NewLimiter(0, 0)} }
 
 // configure sets the rate, in changes per second.
@@ -38,28 +40,28 @@
 	l.limiter.SetBurst(changeBurst(changesPerSecond))
 }
 
-// succeeded raises the rate after changes that the store accepted, up to the configured one.
-func (l *adaptiveLimiter) succeeded() {
+// recordSuccess raises the rate, up to the configured rate, after the store has accepted changes.
+func (l *adaptiveLimiter) recordSuccess() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.limiter.SetLimit(rate.Limit(min(l.configured, increase*float64(l.limiter.Limit()))))
+	l.limiter.SetLimit(rate.Limit(min(l.configured, increaseFactor*float64(l.limiter.Limit()))))
 }
 
-// rateLimited lowers the rate after changes that were too many for the store. The interval keeps repetitions of the
-// same request from lowering it each time.
-func (l *adaptiveLimiter) rateLimited() {
+// recordRateLimited lowers the rate after the store has rejected changes because of its rate limit. It does so at most
+// once per decreaseInterval, so that retries of the same request don't lower the rate each time.
+func (l *adaptiveLimiter) recordRateLimited() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if time.Since(l.decreasedAt) <= decreaseInterval {
 		return
 	}
-	l.limiter.SetLimit(rate.Limit(max(minShare*l.configured, decrease*float64(l.limiter.Limit()))))
+	l.limiter.SetLimit(rate.Limit(max(minRateFraction*l.configured, decreaseFactor*float64(l.limiter.Limit()))))
 	l.decreasedAt = time.Now()
 }
 
-// changeBurst returns how many changes may be made at once: a second's worth, as the store allows to all controllers
-// together, and in any case those of a submission.
+// changeBurst returns the burst size for a rate of changes: one second's worth, as the store allows for all controllers
+// together, but at least the number of changes of a job submission.
 func changeBurst(changesPerSecond float64) int {
-	const submission = 4
-	return max(submission, int(changesPerSecond))
+	const submissionChanges = 4
+	return max(submissionChanges, int(changesPerSecond))
 }
--- a/internal/state/ratelimit_test.go
+++ b/internal/state/ratelimit_test.go
@@ -10,7 +10,7 @@
 func expectRate(t *testing.T, limiter *adaptiveLimiter, want float64) {
 	t.Helper()
 	if got := float64(limiter.limiter.Limit()); math.Abs(got-want) > 1e-9 {
-		t.Errorf("the rate is %v, want %v", got, want)
+		t.Errorf("got rate %v, want %v", got, want)
 	}
 }
 
@@ -19,26 +19,26 @@
 		limiter := newAdaptiveLimiter()
 		expectRate(t, limiter, 0)
 		limiter.configure(100)
-		limiter.succeeded()
+		limiter.recordSuccess()
 		expectRate(t, limiter, 100)
 
-		limiter.rateLimited()
-		limiter.rateLimited() // a repetition within the interval
+		limiter.recordRateLimited()
+		limiter.recordRateLimited() // has no effect within decreaseInterval
 		expectRate(t, limiter, 90)
 		time.Sleep(decreaseInterval + time.Millisecond)
-		limiter.rateLimited()
+		limiter.recordRateLimited()
 		expectRate(t, limiter, 81)
 
-		limiter.succeeded()
+		limiter.recordSuccess()
 		expectRate(t, limiter, 81*1.03)
 		for range 10 {
-			limiter.succeeded()
+			limiter.recordSuccess()
 		}
 		expectRate(t, limiter, 100)
 
 		for range 30 {
 			time.Sleep(decreaseInterval + time.Millisecond)
-			limiter.rateLimited()
+			limiter.recordRateLimited()
 		}
 		expectRate(t, limiter, 25)
 	})
@@ -48,7 +48,7 @@
 	cases := map[float64]int{0: 4, 0.5: 4, 4.9: 4, 5: 5, 250.7: 250}
 	for changesPerSecond, want := range cases {
 		if got := changeBurst(changesPerSecond); got != want {
-			t.Errorf("%v a second: got %d, want %d", changesPerSecond, got, want)
+			t.Errorf("%v changes per second: got burst %d, want %d", changesPerSecond, got, want)
 		}
 	}
 }
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -6,7 +6,7 @@
 	"saffronbend/wire"
 )
 
-// DecodeRecord decodes an entry's value. An error is a *RecordError.
+// DecodeRecord decodes the value of an entry into record. Any error is a *RecordError.
 func DecodeRecord(entry wire.KeyValue, record any) error {
 	if err := json.Unmarshal(entry.Value, record); err != nil {
 		return &RecordError{entry.Key, err}
@@ -14,30 +14,30 @@
 	return nil
 }
 
-// LeaderRecord names a member that leads, or renews worker leases.
+// LeaderRecord identifies the member that is the leader or that renews worker leases.
 type LeaderRecord struct {
 	Member string `json:"member"`
-	// Incarnation distinguishes the processes that have run under the member's name.
+	// Incarnation distinguishes the successive processes that run under the member's name.
 	Incarnation uint64 `json:"run"`
 }
 
-// JobStatusRecord is what users are told of a job. It stays for good. While the job's OpenJobRecord exists, the two are
-// only written together, so that they have the same version.
+// JobStatusRecord holds the job state that is reported to users. It is never deleted. While the job's OpenJobRecord
+// exists, both records are always written in the same transaction, so that they have the same version.
 type JobStatusRecord struct {
 	State wire.JobState `json:"status"` // pending, done or cancelled
 }
 
-// OpenJobRecord describes a job that is in no final state yet, or whose tasks may still exist.
+// OpenJobRecord describes a job that is not in a final state yet or whose tasks may still exist.
 type OpenJobRecord struct {
 	Job        wire.Job      `json:"job"`
-	AcceptedAt int64         `json:"accepted"`       // time of day, microseconds since 1970
-	ShardSize  int           `json:"chunk"`          // tasks in a progress record
-	FinalState wire.JobState `json:"over,omitempty"` // empty: none yet
+	AcceptedAt int64         `json:"accepted"`       // Unix time in microseconds
+	ShardSize  int           `json:"chunk"`          // number of tasks per progress record
+	FinalState wire.JobState `json:"over,omitempty"` // empty until the job is in a final state
 }
 
-// Finalized returns the record of the job in a final state: what must be known until its last task is gone, and no
-// more. The description may have been stored under a higher limit than there is now, and must not have to be written
-// at that size again.
+// Finalized returns the record of the job in a final state. It keeps only the fields that are needed until the job's
+// last task is gone. The original job description may have been stored under a higher size limit than the present one
+// and must not have to be written at that size again.
 func (r OpenJobRecord) Finalized(state wire.JobState) OpenJobRecord {
 	job := r.Job
 	r.Job = wire.Job{
@@ -48,45 +48,46 @@
 	return r
 }
 
-// DisruptionRecord holds the disrupted tasks of a shard: those whose running attempt was stopped or lost and whose
-// successor does not run yet.
+// DisruptionRecord holds the disrupted tasks of a shard: those whose running attempt was stopped or lost and whose next
+// attempt is not running yet.
 type DisruptionRecord struct {
 	Open []OpenDisruption `json:"o"`
-	// IdempotencyMark is unique to the write, as in a ProgressRecord.
-	IdempotencyMark string `json:"w"`
+	// IdempotencyToken is unique to the write; see ProgressRecord.
+	IdempotencyToken string `json:"w"`
 }
 
-// OpenDisruption is a task that is disrupted. Its encoding is no longer than that of a Placement.
+// OpenDisruption is a disrupted task. Its encoding is no longer than that of a Placement.
 type OpenDisruption struct {
 	Task    int            `json:"t"`
 	Attempt wire.AttemptID `json:"n"`
 	Cause   string         `json:"c"`
-	// ReservedMachine is where resources are reserved for the successor, if any are.
+	// ReservedMachine is the machine on which resources are reserved for the next attempt. Empty means none.
 	ReservedMachine wire.MachineID `json:"m,omitempty"`
 }
 
-// DrainRecord is a drain as its operators have started it, and its state.
+// DrainRecord holds the parameters with which an operator started a drain, and the drain's state.
 type DrainRecord struct {
 	Name               string `json:"name"`
 	State              string `json:"state"` // a drain.State
 	RequestFingerprint string `json:"request"`
-	Step               int    `json:"step"`    // machines emptied at once
-	StartedAt          int64  `json:"started"` // time of day, microseconds since 1970
-	// Deadline is a time of day, microseconds since 1970; 0: none.
+	Step               int    `json:"step"`    // number of machines emptied at the same time
+	StartedAt          int64  `json:"started"` // Unix time in microseconds
+	// Deadline is a Unix time in microseconds; 0 means that the drain has no deadline.
 	Deadline        int64 `json:"deadline,omitempty"`
 	EvictAtDeadline bool  `json:"evict,omitempty"`
-	// Budgets are those by team, as disruption.ParseBudget parses them.
+	// Budgets holds the disruption budgets by team, in the format of disruption.ParseBudget.
 	Budgets map[wire.TeamName]string `json:"budgets,omitempty"`
-	// Zone and Type name what is vacated as a whole: no machine is rented there that can be elsewhere.
+	// Zone and Type are set if the drain vacates a whole zone, machine type or both. While it does, machines are rented
+	// there only if they can't be rented elsewhere.
 	Zone string `json:"zone,omitempty"`
 	Type string `json:"type,omitempty"`
-	// MachineListID, MachinePages and MachineCount describe the list of its machines; see DrainMachinesKey.
+	// MachineListID, MachinePages and MachineCount describe the stored list of the drain's machines; see DrainMachinesKey.
 	MachineListID string `json:"list"`
 	MachinePages  int    `json:"pages"`
 	MachineCount  int    `json:"machines"`
 }
 
-// RebalancingRecord says whether the moves of running tasks are paused. Without it they aren't.
+// RebalancingRecord stores whether moves of running tasks are paused. If the record doesn't exist, they are not paused.
 type RebalancingRecord struct {
 	Paused bool `json:"paused"`
 }
--- a/internal/state/records_test.go
+++ b/internal/state/records_test.go
@@ -9,7 +9,7 @@
 	"saffronbend/wire"
 )
 
-// The encoding is stored and read by other versions, so it must stay. Empty optional fields are left out.
+// The encoding is stored and read by other versions, so it must not change. Empty optional fields are omitted.
 func TestRecordEncoding(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -18,9 +18,9 @@
 	}{
 		{"leader", &LeaderRecord{"c1", 3}, `{"member":"c1","run":3}`},
 		{"job status", &JobStatusRecord{wire.JobCancelled}, `{"status":"aborted"}`},
-		{"progress", &ProgressRecord{Done: "05", Active: []Placement{{1, "n-1", 9, 2}}, IdempotencyMark: "a.1"},
+		{"progress", &ProgressRecord{Done: "05", Active: []Placement{{1, "n-1", 9, 2}}, IdempotencyToken: "a.1"},
 			`{"d":"05","a":[{"t":1,"m":"n-1","n":9,"s":2}],"w":"a.1"}`},
-		{"progress without any", &ProgressRecord{}, `{"w":""}`},
+		{"empty progress", &ProgressRecord{}, `{"w":""}`},
 		{"disruption", &DisruptionRecord{Open: []OpenDisruption{{1, 9, "drain", "n-2"}, {Task: 2, Cause: "lost"}}},
 			`{"o":[{"t":1,"n":9,"c":"drain","m":"n-2"},{"t":2,"n":0,"c":"lost"}],"w":""}`},
 		{"drain", &DrainRecord{Name: "x", State: "running", RequestFingerprint: "r", Step: 2, StartedAt: 5,
@@ -32,28 +32,28 @@
 		t.Run(c.name, func(t *testing.T) {
 			encoded, err := json.Marshal(c.record)
 			if err != nil || string(encoded) != c.want {
-				t.Errorf("got %s, %v, want %s", encoded, err, c.want)
+				t.Errorf("got encoding %s, error %v; want %s", encoded, err, c.want)
 			}
 			decoded := reflect.New(reflect.TypeOf(c.record).Elem()).Interface()
 			if err := DecodeRecord(wire.KeyValue{Value: encoded}, decoded); err != nil {
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(decoded, c.record) {
-				t.Errorf("decoded again: got %+v, want %+v", decoded, c.record)
+				t.Errorf("after decoding: got %+v, want %+v", decoded, c.record)
 			}
 		})
 	}
 }
 
-func TestDecodeRecordNamesTheKey(t *testing.T) {
+func TestDecodeRecordErrorContainsKey(t *testing.T) {
 	err := DecodeRecord(wire.KeyValue{Key: "open/run-1", Value: json.RawMessage(`{"chunk":"x"}`)}, new(OpenJobRecord))
 	var recordError *RecordError
 	if !errors.As(err, &recordError) || recordError.Key != "open/run-1" {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want a RecordError for key open/run-1", err)
 	}
 	var typeError *json.UnmarshalTypeError
 	if !errors.As(err, &typeError) {
-		t.Errorf("%v does not wrap its cause", err)
+		t.Errorf("error %v does not wrap the decoding error", err)
 	}
 }
 
@@ -69,6 +69,6 @@
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	if open.Job.Image != "img" || open.FinalState != "" {
-		t.Error("the open record was changed")
+		t.Error("Finalized modified the original record")
 	}
 }
--- a/internal/state/transaction.go
+++ b/internal/state/transaction.go
@@ -13,43 +13,45 @@
 )
 
 const (
-	// transactionTimeout includes the wait for the rate limits, transactionRequestTimeout only that for requests.
+	// transactionTimeout includes the waits for both rate limits, that of changes and that of requests.
+	// transactionRequestTimeout includes only the wait for the rate limit of requests.
 	transactionTimeout        = 3 * time.Second
 	transactionRequestTimeout = 1500 * time.Millisecond
 )
 
-// CompareAndSwap carries out a transaction that somebody waits for, and returns its revision. After a *ConflictError,
-// ErrUnavailable, ErrLeaseExpired and ErrRefused nothing was changed; after any other error the outcome is unknown.
+// CompareAndSwap executes an urgent transaction, one that a caller is waiting for, and returns its revision. After a
+// *ConflictError, ErrUnavailable, ErrLeaseExpired or ErrRejected nothing was changed; after any other error the outcome
+// is unknown.
 func (c *Client) CompareAndSwap(ctx context.Context, transaction wire.Transaction) (revision uint64, err error) {
-	return c.compareAndSwap(ctx, c.urgentRate, transaction)
+	return c.compareAndSwap(ctx, c.urgentLimiter, transaction)
 }
 
-// CompareAndSwapDeferrable is CompareAndSwap for a transaction that can wait: it has a rate limit of its own, which is
-// lowered while the store refuses such changes as too many.
+// CompareAndSwapDeferrable is like CompareAndSwap, but for transactions that can be delayed. They have a separate rate
+// limit, which is lowered while the store reports that the rate is exceeded.
 func (c *Client) CompareAndSwapDeferrable(
 	ctx context.Context, transaction wire.Transaction,
 ) (revision uint64, err error) {
-	revision, err = c.compareAndSwap(ctx, c.deferrableRate.limiter, transaction)
+	revision, err = c.compareAndSwap(ctx, c.deferrableLimiter.limiter, transaction)
 	switch {
 	case err == nil:
-		c.deferrableRate.succeeded()
+		c.deferrableLimiter.recordSuccess()
 	case errors.Is(err, errRateLimited):
-		c.deferrableRate.rateLimited()
+		c.deferrableLimiter.recordRateLimited()
 	}
 	return revision, err
 }
 
 func (c *Client) compareAndSwap(
-	ctx context.Context, changeRate *rate.Limiter, transaction wire.Transaction,
+	ctx context.Context, limiter *rate.Limiter, transaction wire.Transaction,
 ) (revision uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, transactionTimeout)
 	defer cancel()
-	if err := waitForChanges(ctx, changeRate, len(transaction.Then)); err != nil {
+	if err := waitForChanges(ctx, limiter, len(transaction.Then)); err != nil {
 		return 0, ErrUnavailable // nothing was sent
 	}
 	var result wire.TransactionResult
 	status, err := c.do(ctx, request{
-		connections: c.requests, method: http.MethodPost, path: "/txn", timeout: transactionRequestTimeout,
+		httpClient: c.requestClient, method: http.MethodPost, path: "/txn", timeout: transactionRequestTimeout,
 		body: transaction, response: &result,
 	})
 	switch {
@@ -58,19 +60,21 @@
 	case status == http.StatusConflict:
 		return 0, &ConflictError{FailedKeys: result.FailedKeys}
 	case status == http.StatusBadRequest && slices.ContainsFunc(transaction.Then, attachesToLease):
-		// The store answers an expired lease like a malformed request. Ours are well formed.
+		// The store responds to an expired lease with the same status as to a malformed request. This client's requests
+		// are well-formed.
 		return 0, ErrLeaseExpired
 	case status == http.StatusBadRequest:
-		return 0, ErrRefused
+		return 0, ErrRejected
 	case status != http.StatusOK:
-		return 0, refused(status)
+		return 0, rejectedError(status)
 	}
 	return result.Revision, nil
 }
 
 func attachesToLease(change wire.Change) bool { return change.Lease != 0 }
 
-// waitForChanges waits until the limiter allows so many changes. More than its burst are waited for in parts.
+// waitForChanges waits until the limiter allows the given number of changes. If the number exceeds the limiter's burst,
+// it waits in several steps.
 func waitForChanges(ctx context.Context, limiter *rate.Limiter, changes int) error {
 	for changes > 0 {
 		part := max(1, min(changes, limiter.Burst()))
--- a/internal/state/watch.go
+++ b/internal/state/watch.go
@@ -10,11 +10,11 @@
 	"saffronbend/wire"
 )
 
-// watchMargin is how much longer than it blocks a watch may take.
-const watchMargin = 3 * time.Second
+// watchTimeoutMargin is added to the blocking time of a watch to get the timeout of the request.
+const watchTimeoutMargin = 3 * time.Second
 
-// Watch waits until a key with the prefix has changed after a revision, for block at most, and returns all such
-// changes; there may be none. ErrCompacted means that some are no longer known.
+// Watch waits, for the duration of block at most, until a key with the prefix has changed after the given revision. It
+// returns all such changes, possibly none. ErrCompacted means that the store no longer has all of them.
 func (c *Client) Watch(
 	ctx context.Context, prefix string, after uint64, block time.Duration,
 ) (*wire.WatchResponse, error) {
@@ -25,8 +25,8 @@
 	}
 	response := new(wire.WatchResponse)
 	status, err := c.do(ctx, request{
-		connections: c.watches, method: http.MethodGet, path: "/watch?" + query.Encode(), timeout: block + watchMargin,
-		response: response,
+		httpClient: c.watchClient, method: http.MethodGet, path: "/watch?" + query.Encode(),
+		timeout: block + watchTimeoutMargin, response: response,
 	})
 	switch {
 	case err != nil:
@@ -34,7 +34,7 @@
 	case status == http.StatusGone:
 		return nil, ErrCompacted
 	case status != http.StatusOK:
-		return nil, refused(status)
+		return nil, rejectedError(status)
 	}
 	return response, nil
 }
--- a/limits.go
+++ b/limits.go
@@ -29,10 +29,10 @@
 func (l *rateLimits) SetLeading(leading bool) {
 	deployment := &l.settings.Deployment
 	if leading {
-		l.store.SetWriteRate(deployment.State.Effective().WriteRPS * (1 - urgentWriteShare))
+		l.store.SetDeferrableRate(deployment.State.Effective().WriteRPS * (1 - urgentWriteShare))
 		l.cloud.SetRate(deployment.Cloud.RPS * leaderCloudShare)
 		return
 	}
-	l.store.SetWriteRate(0)
+	l.store.SetDeferrableRate(0)
 	l.cloud.SetRate(l.settings.PerController(deployment.Cloud.RPS) / followerCloudDivisor)
 }
