--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -169,7 +169,7 @@
 		f.cfg.Log.Debug("cannot relay a heartbeat to the leader", "machine", heartbeat.Machine, "error", err)
 		return nil
 	}
-	if relayed.CommandsDelivered {
+	if relayed.WorkerReachable {
 		return nil
 	}
 	return relayed.Response
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// requestTimeout bounds a request other than the stream of updates.
+	// requestTimeout is the timeout of all requests except the stream of updates.
 	requestTimeout = 2 * time.Second
-	// clientIdleTimeout closes connections over which nothing is in flight.
+	// clientIdleTimeout is the time after which connections without requests in flight are closed.
 	clientIdleTimeout = 10 * time.Second
 )
 
 var (
-	errUpdateMissed = errors.New("an update was missed")
-	errStreamSilent = errors.New("the stream has fallen silent")
+	errUpdateMissed  = errors.New("snapshot update missed")
+	errStreamTimeout = errors.New("snapshot stream timed out")
 )
 
-// Client sends this controller's requests to another controller under one fencing token. It is safe for concurrent use.
-// After an error other than ErrNotLeader it is unknown whether the request was served.
+// Client sends this controller's requests to another controller with a fixed fencing token. It is safe for concurrent
+// use. After an error other than ErrNotLeader it is unknown whether the request was served.
 type Client struct {
 	addr, member string
 	fencingToken wire.FencingToken
@@ -35,7 +35,8 @@
 	transport    *http.Transport
 }
 
-// NewClient returns a client for the controller at addr; member is the sender's own name. Close ends its connections.
+// NewClient returns a client for the controller at addr; member is the name of the sending controller. Call Close when
+// the client is no longer used.
 func NewClient(dial call.Dialer, addr, member string, fencingToken wire.FencingToken) *Client {
 	transport := &http.Transport{DialContext: dial, Protocols: call.UnencryptedHTTP2(), IdleConnTimeout: clientIdleTimeout}
 	return &Client{
@@ -44,22 +45,24 @@
 	}
 }
 
-// Close closes the client's connections that have no request in flight; the others close once they have none.
+// Close closes the client's idle connections. Connections with requests in flight are closed when these requests have
+// ended.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// FollowSnapshots passes the updates of the leader's snapshot to apply, the first of them a whole snapshot, until apply
-// returns false because it has missed an update, the stream breaks, nothing arrives for two seconds, or ctx ends. It
-// always returns an error: ErrNotLeader if the controller does not lead under the client's fencing token.
+// FollowSnapshots passes the updates of the leader's snapshot to apply, the first of which is a full snapshot. It
+// returns when apply returns false because an update was missed, when the stream breaks, when no update arrives within
+// streamTimeout, or when ctx ends. The returned error is never nil; it is ErrNotLeader if the controller is not the
+// leader with the client's fencing token.
 func (c *Client) FollowSnapshots(ctx context.Context, apply func(*snapshot.Update) bool) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watchdog := time.AfterFunc(streamTimeout, func() { cancel(errStreamSilent) })
+	watchdog := time.AfterFunc(streamTimeout, func() { cancel(errStreamTimeout) })
 	defer watchdog.Stop()
 	response, err := c.openStream(ctx)
 	if err != nil {
 		return err
 	}
-	// Closing the body cancels the stream, which has no outcome.
+	// Closing the body only cancels the stream, so its error is irrelevant.
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		return ErrNotLeader
@@ -93,7 +96,8 @@
 	return response, nil
 }
 
-// RequestLeases sends lease requests to the leader and returns its responses. An empty list is a sign of life.
+// RequestLeases sends lease requests to the leader and returns its responses. An empty list only tells the leader that
+// this controller is alive.
 func (c *Client) RequestLeases(ctx context.Context, requests []lease.Transaction) (*LeaseResponses, error) {
 	responses := new(LeaseResponses)
 	message := LeaseRequests{Member: c.member, FencingToken: c.fencingToken, Requests: requests}
@@ -103,7 +107,7 @@
 	return responses, nil
 }
 
-// RelayHeartbeat passes a worker's heartbeat on to the leader and returns the leader's response.
+// RelayHeartbeat relays a worker's heartbeat to the leader and returns the leader's response.
 func (c *Client) RelayHeartbeat(ctx context.Context, heartbeat *wire.Heartbeat) (*RelayResponse, error) {
 	response := new(RelayResponse)
 	message := RelayedHeartbeat{Member: c.member, FencingToken: c.fencingToken, Heartbeat: heartbeat}
@@ -113,12 +117,12 @@
 	return response, nil
 }
 
-// Announce announces that this client's own controller leads under the client's fencing token.
+// Announce announces to the other controller that the sending controller is the leader with the client's fencing token.
 func (c *Client) Announce(ctx context.Context) error {
 	return c.post(ctx, announcementPath, Announcement{Member: c.member, FencingToken: c.fencingToken}, nil)
 }
 
-// post sends a message and decodes the response into out; nil: the response has no body.
+// post sends a message and decodes the response into out. If out is nil, the response body is ignored.
 func (c *Client) post(ctx context.Context, path string, message, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -133,7 +137,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(body, out); err != nil {
-		return fmt.Errorf("peer: response: %w", err)
+		return fmt.Errorf("peer: decode response: %w", err)
 	}
 	return nil
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -1,13 +1,15 @@
-// Package peer is the interface between the controllers: HTTP/2 streams and requests that carry JSON. The leader
-// publishes its snapshot to the others as a stream of updates, serves their lease requests and the heartbeats that they
-// relay, and announces its fencing token to them.
+// Package peer implements the communication between controllers, which uses HTTP/2 streams and requests with JSON
+// bodies. The leader publishes its snapshot to the other controllers as a stream of updates, serves their lease
+// requests and the heartbeats that they relay, and announces its fencing token to them.
 //
-// It owns the paths and the messages, which keep their spelling from version to version since controllers of two
-// versions work together during a rolling upgrade (internal/upgrade proves it), the limits on size and time, and the
-// connections of a Client. Serve runs on every controller; a Client belongs to one term of one other controller.
+// The package is responsible for the paths, the messages, the size limits, the timeouts and the connections of a
+// Client. The names of paths and message fields must not change between versions, because controllers of two versions
+// work together during a rolling upgrade; the tests of internal/upgrade verify this. Serve runs on every controller. A
+// Client is used for requests to one other controller during one term.
 //
-// The package decides nothing: it neither knows who leads nor keeps any part of the snapshot. Every message carries a
-// fencing token, and the Controller that serves it compares it with its own term. Nothing is retried here.
+// The package makes no decisions: it does not know which controller is the leader and keeps no part of the snapshot.
+// Every message carries a fencing token, which the Controller that serves the message compares with the token of its
+// own term. The package never retries.
 package peer
 
 import (
@@ -19,58 +21,57 @@
 	"saffronbend/wire"
 )
 
-// ErrNotLeader means that the controller that was asked does not lead under the fencing token of the request.
-var ErrNotLeader = errors.New("the controller does not lead")
+// ErrNotLeader means that the controller that received a request is not the leader with the request's fencing token.
+var ErrNotLeader = errors.New("controller is not the leader")
 
-// Controller is what Serve calls: this controller in its part towards the others. Its methods are called from many
-// goroutines at once.
+// Controller handles the requests of other controllers that Serve receives. Its methods are called concurrently.
 type Controller interface {
-	// Subscribe registers a member as a follower of the term with a fencing token until ctx ends. It returns nil if
-	// this controller does not lead under that token. The function that it returns waits for a snapshot newer than
-	// version since and returns the update from that version, with since 0 the whole snapshot; it returns nil when the
-	// term or ctx has ended.
+	// Subscribe registers a member as a follower of the term with a fencing token until ctx ends. It returns nil if this
+	// controller is not the leader with that token. The returned function waits for a snapshot newer than the version
+	// since and returns the update from that version, or the full snapshot if since is 0. It returns nil when the term or
+	// ctx has ended.
 	Subscribe(ctx context.Context, member string, fencingToken wire.FencingToken) func(since uint64) *snapshot.Update
-	// RequestLeases serves another controller's lease requests; ErrNotLeader if the fencing token is not this
-	// controller's.
+	// RequestLeases serves another controller's lease requests. It returns ErrNotLeader if this controller is not the
+	// leader with the fencing token of the request.
 	RequestLeases(ctx context.Context, requests LeaseRequests) (*LeaseResponses, error)
-	// LeaderAnnounced applies another controller's announcement that it leads.
+	// LeaderAnnounced handles another controller's announcement that it is the leader.
 	LeaderAnnounced(ctx context.Context, announcement Announcement)
-	// HeartbeatRelayed serves a heartbeat that a worker has sent to another controller; ErrNotLeader if the fencing
-	// token is not this controller's.
-	HeartbeatRelayed(ctx context.Context, heartbeat RelayedHeartbeat) (*RelayResponse, error)
+	// RelayHeartbeat serves a heartbeat that another controller has received from a worker and relays to this controller.
+	// It returns ErrNotLeader if this controller is not the leader with the fencing token of the request.
+	RelayHeartbeat(ctx context.Context, heartbeat RelayedHeartbeat) (*RelayResponse, error)
 }
 
-// LeaseRequests carries a controller's lease requests to the leader. A controller also sends it without any, as a sign
-// that its scheduler is alive.
+// LeaseRequests carries a controller's lease requests to the leader. A controller also sends it without any requests,
+// to show that its scheduler is alive.
 type LeaseRequests struct {
 	Member       string              `json:"member"`
 	FencingToken wire.FencingToken   `json:"token"`
 	Requests     []lease.Transaction `json:"requests,omitempty"`
 }
 
-// LeaseResponses carries the results of LeaseRequests, in their order. What was granted is in the snapshots from
-// SnapshotVersion on.
+// LeaseResponses carries the results of LeaseRequests in the order of the requests. Snapshots from version
+// SnapshotVersion on contain the granted leases.
 type LeaseResponses struct {
 	SnapshotVersion uint64         `json:"version"`
 	Results         []lease.Result `json:"results,omitempty"`
 }
 
-// RelayedHeartbeat carries a worker's heartbeat to the leader from the controller that the worker has turned to, since
-// the leader does not reach it though the worker has the leader's fencing token.
+// RelayedHeartbeat carries a worker's heartbeat to the leader from another controller. A worker that has the leader's
+// fencing token but has lost contact with the leader sends its heartbeats to another controller, which relays them.
 type RelayedHeartbeat struct {
 	Member       string            `json:"member"`
 	FencingToken wire.FencingToken `json:"token"`
 	Heartbeat    *wire.Heartbeat   `json:"report"`
 }
 
-// RelayResponse carries the leader's response to a relayed heartbeat. CommandsDelivered means that commands that the
-// leader pushes reach the worker again, so that the worker should be redirected to the leader.
+// RelayResponse carries the leader's response to a relayed heartbeat. WorkerReachable means that commands pushed by the
+// leader reach the worker again, so that the worker should be redirected to the leader.
 type RelayResponse struct {
-	Response          *wire.HeartbeatResponse `json:"answer,omitempty"`
-	CommandsDelivered bool                    `json:"reached,omitempty"`
+	Response        *wire.HeartbeatResponse `json:"answer,omitempty"`
+	WorkerReachable bool                    `json:"reached,omitempty"`
 }
 
-// Announcement says that a member leads under a fencing token.
+// Announcement announces that a member is the leader with a fencing token.
 type Announcement struct {
 	Member       string            `json:"member"`
 	FencingToken wire.FencingToken `json:"token"`
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -23,31 +23,31 @@
 const (
 	leaderToken = 7
 	staleToken  = 6
-	testMember  = "c2" // of the clients
+	testMember  = "c2" // the member whose requests the clients send
 )
 
-// leader is a Controller that leads under leaderToken.
-type leader struct {
-	// updates are published to each follower; a closed channel ends the term.
-	updates    chan *snapshot.Update
-	subscriber string
-	ended      atomic.Bool // the subscription
-	since      []uint64    // versions that the follower had when it waited for updates
+// fakeLeader is a Controller that is the leader with the fencing token leaderToken.
+type fakeLeader struct {
+	// updates receives the updates to publish to the follower. Closing the channel ends the term.
+	updates           chan *snapshot.Update
+	subscriber        string
+	subscriptionEnded atomic.Bool
+	since             []uint64 // versions from which the follower requested updates
 
 	requests      []LeaseRequests
 	heartbeats    []RelayedHeartbeat
 	announcements []Announcement
-	stuck         bool // requests are never answered
+	unresponsive  bool // lease requests get no response
 }
 
-func (l *leader) Subscribe(
+func (l *fakeLeader) Subscribe(
 	ctx context.Context, member string, token wire.FencingToken,
 ) func(since uint64) *snapshot.Update {
 	if token != leaderToken {
 		return nil
 	}
 	l.subscriber = member
-	context.AfterFunc(ctx, func() { l.ended.Store(true) })
+	context.AfterFunc(ctx, func() { l.subscriptionEnded.Store(true) })
 	return func(since uint64) *snapshot.Update {
 		l.since = append(l.since, since)
 		select {
@@ -59,8 +59,8 @@
 	}
 }
 
-func (l *leader) RequestLeases(ctx context.Context, requests LeaseRequests) (*LeaseResponses, error) {
-	if l.stuck {
+func (l *fakeLeader) RequestLeases(ctx context.Context, requests LeaseRequests) (*LeaseResponses, error) {
+	if l.unresponsive {
 		<-ctx.Done()
 	}
 	if requests.FencingToken != leaderToken {
@@ -74,27 +74,27 @@
 	return &LeaseResponses{SnapshotVersion: 12, Results: results}, nil
 }
 
-func (l *leader) LeaderAnnounced(_ context.Context, announcement Announcement) {
+func (l *fakeLeader) LeaderAnnounced(_ context.Context, announcement Announcement) {
 	l.announcements = append(l.announcements, announcement)
 }
 
-func (l *leader) HeartbeatRelayed(_ context.Context, heartbeat RelayedHeartbeat) (*RelayResponse, error) {
+func (l *fakeLeader) RelayHeartbeat(_ context.Context, heartbeat RelayedHeartbeat) (*RelayResponse, error) {
 	if heartbeat.FencingToken != leaderToken {
 		return nil, ErrNotLeader
 	}
 	l.heartbeats = append(l.heartbeats, heartbeat)
-	return &RelayResponse{Response: &wire.HeartbeatResponse{FencingToken: leaderToken}, CommandsDelivered: true}, nil
+	return &RelayResponse{Response: &wire.HeartbeatResponse{FencingToken: leaderToken}, WorkerReachable: true}, nil
 }
 
-// pipeListener accepts the connections that its dial opens in memory, so that tests run on synctest's clock.
+// pipeListener accepts in-memory connections, which its dial method opens, so that tests can use synctest's fake clock.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
-	// partitioned means that what the server sends is lost.
+	// partitioned simulates a network partition: everything that the server sends is lost.
 	partitioned atomic.Bool
 }
 
-// serverConn is the server's side of a connection.
+// serverConn is the server side of a connection.
 type serverConn struct {
 	net.Conn
 	listener *pipeListener
@@ -139,23 +139,23 @@
 	}
 }
 
-// serveLeader serves a leader until the test ends.
-func serveLeader(t *testing.T, l *leader, others ...Route) *pipeListener {
+// serveLeader runs Serve for a leader until the test ends.
+func serveLeader(t *testing.T, l *fakeLeader, routes ...Route) *pipeListener {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	listener := newPipeListener()
 	served := make(chan error, 1)
-	go func() { served <- Serve(ctx, listener, l, others...) }()
+	go func() { served <- Serve(ctx, listener, l, routes...) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-served; err != nil {
-			t.Errorf("Serve returned %v after its context had ended, want nil", err)
+			t.Errorf("Serve returned error %v after its context was cancelled, want nil", err)
 		}
 	})
 	return listener
 }
 
-// newTestClient returns a client of testMember under a fencing token.
+// newTestClient returns a client that sends requests of testMember with a fencing token.
 func newTestClient(t *testing.T, dial call.Dialer, fencingToken wire.FencingToken) *Client {
 	t.Helper()
 	client := NewClient(dial, "leader", testMember, fencingToken)
@@ -163,33 +163,33 @@
 	return client
 }
 
-// followCase is a stream of updates from a leader to a follower.
+// followCase is a test case for a stream of updates from a leader to a follower.
 type followCase struct {
 	name      string
 	token     wire.FencingToken
 	published []*snapshot.Update
-	termEnds  bool   // after the updates
-	rejected  uint64 // version that the follower does not accept
-	// partitionAt is the version after which nothing that the leader sends arrives.
+	termEnds  bool   // the leader's term ends after the updates
+	rejected  uint64 // version that the follower rejects
+	// partitionAt is the version after which everything that the leader sends is lost.
 	partitionAt uint64
-	cancel      time.Duration
+	cancel      time.Duration // time after which the follower ends the stream; 0 means never
 
-	want      []uint64 // versions that were applied
-	wantSince []uint64 // versions that the leader was asked to continue from first
-	wantErr   error    // nil: any
+	want      []uint64 // versions that the follower applied
+	wantSince []uint64 // first versions from which the follower requested updates
+	wantErr   error    // nil accepts any error
 	wantAfter time.Duration
 }
 
-// followed is what came of a followCase.
-type followed struct {
+// followResult is the outcome of a followCase.
+type followResult struct {
 	applied []uint64
 	err     error
 	after   time.Duration
 }
 
 // leader returns a leader that publishes the case's updates.
-func (c *followCase) leader() *leader {
-	l := &leader{updates: make(chan *snapshot.Update, len(c.published))}
+func (c *followCase) leader() *fakeLeader {
+	l := &fakeLeader{updates: make(chan *snapshot.Update, len(c.published))}
 	for _, update := range c.published {
 		l.updates <- update
 	}
@@ -199,8 +199,8 @@
 	return l
 }
 
-// follow follows the leader until the stream ends.
-func (c *followCase) follow(t *testing.T, l *leader) followed {
+// follow calls FollowSnapshots and returns its outcome.
+func (c *followCase) follow(t *testing.T, l *fakeLeader) followResult {
 	t.Helper()
 	listener := serveLeader(t, l)
 	client := newTestClient(t, listener.dial, c.token)
@@ -210,7 +210,7 @@
 		time.AfterFunc(c.cancel, cancel)
 	}
 	started := time.Now()
-	var got followed
+	var got followResult
 	got.err = client.FollowSnapshots(ctx, func(update *snapshot.Update) bool {
 		if update.Version == c.rejected {
 			return false
@@ -229,36 +229,37 @@
 	}
 	tests := []followCase{
 		{
-			name: "updates continue from the version sent last until the term ends", token: leaderToken,
+			name: "each update continues from the last version until the term ends", token: leaderToken,
 			published: []*snapshot.Update{update(1), update(2), update(5)}, termEnds: true,
 			want: []uint64{1, 2, 5}, wantSince: []uint64{0, 1, 2, 5},
 		},
 		{
-			name: "a stream without a first update is broken after two seconds", token: leaderToken,
+			name: "stream without a first update times out", token: leaderToken,
 			wantSince: []uint64{0}, wantErr: context.Canceled, wantAfter: streamTimeout,
 		},
 		{
-			// The leader's own deadline for writing passes at the same time: either side may be the first to end it.
-			name: "a stream without a further update is broken after two seconds", token: leaderToken,
+			// The leader's write deadline expires at the same time as the follower's timeout, so either side may end the
+			// stream first and the error is not checked.
+			name: "stream without a second update times out", token: leaderToken,
 			published: []*snapshot.Update{update(1)},
 			want:      []uint64{1}, wantSince: []uint64{0, 1}, wantAfter: streamTimeout,
 		},
 		{
-			name: "a stream whose leader is cut off is broken after two seconds", token: leaderToken,
+			name: "stream from a partitioned leader times out", token: leaderToken,
 			published: []*snapshot.Update{update(1)}, partitionAt: 1,
-			want: []uint64{1}, wantSince: []uint64{0}, wantErr: errStreamSilent, wantAfter: streamTimeout,
+			want: []uint64{1}, wantSince: []uint64{0}, wantErr: errStreamTimeout, wantAfter: streamTimeout,
 		},
 		{
-			name: "an update that is not accepted ends the stream", token: leaderToken,
+			name: "rejected update ends the stream", token: leaderToken,
 			published: []*snapshot.Update{update(1), update(3), update(4)}, rejected: 3,
 			want: []uint64{1}, wantSince: []uint64{0, 1}, wantErr: errUpdateMissed,
 		},
 		{
-			name: "the follower ends the stream", token: leaderToken, cancel: time.Second,
+			name: "follower ends the stream", token: leaderToken, cancel: time.Second,
 			wantSince: []uint64{0}, wantErr: context.Canceled, wantAfter: time.Second,
 		},
 		{
-			name: "a leader of another term serves no stream", token: staleToken,
+			name: "leader of another term rejects the stream", token: staleToken,
 			published: []*snapshot.Update{update(1)}, wantErr: ErrNotLeader,
 		},
 	}
@@ -269,37 +270,37 @@
 				got := test.follow(t, l)
 				synctest.Wait()
 				if got.err == nil || test.wantErr != nil && !errors.Is(got.err, test.wantErr) {
-					t.Errorf("error %v, want %v", got.err, test.wantErr)
+					t.Errorf("got error %v, want %v", got.err, test.wantErr)
 				}
 				if got.after != test.wantAfter {
-					t.Errorf("the stream ended after %v, want %v", got.after, test.wantAfter)
+					t.Errorf("stream ended after %v, want %v", got.after, test.wantAfter)
 				}
 				if !slices.Equal(got.applied, test.want) {
-					t.Errorf("applied the versions %v, want %v", got.applied, test.want)
+					t.Errorf("follower applied versions %v, want %v", got.applied, test.want)
 				}
 				if len(l.since) < len(test.wantSince) || !slices.Equal(l.since[:len(test.wantSince)], test.wantSince) {
-					t.Errorf("the leader was asked to continue from %v, want %v first", l.since, test.wantSince)
+					t.Errorf("follower requested updates since versions %v, want them to begin with %v", l.since, test.wantSince)
 				}
 			})
 		})
 	}
 }
 
-func TestSubscriberIsNamed(t *testing.T) {
+func TestFollowSnapshotsSendsMemberName(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stream := followCase{token: leaderToken, termEnds: true}
 		l := stream.leader()
 		stream.follow(t, l)
 		if l.subscriber != testMember {
-			t.Errorf("the subscriber is %q, want %q", l.subscriber, testMember)
+			t.Errorf("got subscriber %q, want %q", l.subscriber, testMember)
 		}
 	})
 }
 
-// Updates that come in time keep the stream alive for any length of time.
-func TestFollowSnapshotsWhileUpdatesArrive(t *testing.T) {
+// A stream must not time out as long as each update arrives within streamTimeout of the previous one.
+func TestFollowSnapshotsContinuesWhileUpdatesArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &leader{updates: make(chan *snapshot.Update)}
+		l := &fakeLeader{updates: make(chan *snapshot.Update)}
 		client := newTestClient(t, serveLeader(t, l).dial, leaderToken)
 		const updates = 10
 		go func() {
@@ -315,19 +316,19 @@
 			return true
 		})
 		if applied != updates {
-			t.Errorf("%d updates were applied before %v, want %d", applied, err, updates)
+			t.Errorf("%d updates were applied before error %v, want %d", applied, err, updates)
 		}
 	})
 }
 
-// A follower that reads no more must not hold up the goroutine that serves it.
-func TestFollowerThatDoesNotRead(t *testing.T) {
+// A follower that stops reading must not block the goroutine that serves it for longer than streamTimeout.
+func TestFollowerThatStopsReadingIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &leader{updates: make(chan *snapshot.Update)}
+		l := &fakeLeader{updates: make(chan *snapshot.Update)}
 		client := newTestClient(t, serveLeader(t, l).dial, leaderToken)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		// The update is larger than what HTTP/2 lets the server send ahead of the reader.
+		// The update is larger than the HTTP/2 flow control window, so the server blocks until the follower reads.
 		large := &snapshot.Update{FencingToken: leaderToken, Version: 1, Removed: []string{strings.Repeat("m", 6<<20)}}
 		go func() { l.updates <- large }()
 		stream, err := client.openStream(ctx)
@@ -337,8 +338,8 @@
 		defer func() { _ = stream.Body.Close() }()
 		time.Sleep(streamTimeout + time.Millisecond)
 		synctest.Wait()
-		if !l.ended.Load() {
-			t.Errorf("the follower is still served %v after it has stopped reading", streamTimeout)
+		if !l.subscriptionEnded.Load() {
+			t.Errorf("the subscription still exists %v after the follower stopped reading", streamTimeout)
 		}
 	})
 }
@@ -353,105 +354,108 @@
 		send  func(context.Context, *Client) (any, error)
 
 		want     any
-		received func(*leader) any // what the leader has received
+		received func(*fakeLeader) any // returns the messages that the leader received
 		wantSent any
 		wantErr  error
 	}{
 		{
-			name: "lease requests are answered in their order", token: leaderToken,
+			name: "lease responses are in the order of the requests", token: leaderToken,
 			send: func(ctx context.Context, client *Client) (any, error) {
 				return client.RequestLeases(ctx, []lease.Transaction{transaction})
 			},
 			want:     &LeaseResponses{SnapshotVersion: 12, Results: []lease.Result{{Granted: []int{3}}}},
-			received: func(l *leader) any { return l.requests },
+			received: func(l *fakeLeader) any { return l.requests },
 			wantSent: []LeaseRequests{
 				{Member: testMember, FencingToken: leaderToken, Requests: []lease.Transaction{transaction}},
 			},
 		},
 		{
-			name: "an empty list of lease requests reaches the leader as a sign of life", token: leaderToken,
+			name: "empty list of lease requests reaches the leader", token: leaderToken,
 			send: func(ctx context.Context, client *Client) (any, error) { return client.RequestLeases(ctx, nil) },
-			want: &LeaseResponses{SnapshotVersion: 12}, received: func(l *leader) any { return l.requests },
+			want: &LeaseResponses{SnapshotVersion: 12}, received: func(l *fakeLeader) any { return l.requests },
 			wantSent: []LeaseRequests{{Member: testMember, FencingToken: leaderToken}},
 		},
 		{
-			name: "lease requests under a stale fencing token are refused", token: staleToken,
+			name: "lease requests with a stale fencing token are rejected", token: staleToken,
 			send: func(ctx context.Context, client *Client) (any, error) { return client.RequestLeases(ctx, nil) },
-			want: (*LeaseResponses)(nil), received: func(l *leader) any { return l.requests },
+			want: (*LeaseResponses)(nil), received: func(l *fakeLeader) any { return l.requests },
 			wantSent: []LeaseRequests(nil), wantErr: ErrNotLeader,
 		},
 		{
-			name: "a leader that does not answer is given up", token: leaderToken, stuck: true,
+			name: "request to an unresponsive leader times out", token: leaderToken, stuck: true,
 			send: func(ctx context.Context, client *Client) (any, error) { return client.RequestLeases(ctx, nil) },
-			want: (*LeaseResponses)(nil), received: func(l *leader) any { return l.announcements },
+			want: (*LeaseResponses)(nil), received: func(l *fakeLeader) any { return l.announcements },
 			wantSent: []Announcement(nil), wantErr: context.DeadlineExceeded,
 		},
 		{
-			name: "a heartbeat is relayed and the leader's response returned", token: leaderToken,
+			name: "heartbeat is relayed and the leader's response is returned", token: leaderToken,
 			send: func(ctx context.Context, client *Client) (any, error) { return client.RelayHeartbeat(ctx, heartbeat) },
 			want: &RelayResponse{
-				Response: &wire.HeartbeatResponse{FencingToken: leaderToken}, CommandsDelivered: true,
+				Response: &wire.HeartbeatResponse{FencingToken: leaderToken}, WorkerReachable: true,
 			},
-			received: func(l *leader) any { return l.heartbeats },
+			received: func(l *fakeLeader) any { return l.heartbeats },
 			wantSent: []RelayedHeartbeat{{Member: testMember, FencingToken: leaderToken, Heartbeat: heartbeat}},
 		},
 		{
-			name: "a heartbeat relayed under a stale fencing token is refused", token: staleToken,
+			name: "heartbeat relayed with a stale fencing token is rejected", token: staleToken,
 			send: func(ctx context.Context, client *Client) (any, error) { return client.RelayHeartbeat(ctx, heartbeat) },
-			want: (*RelayResponse)(nil), received: func(l *leader) any { return l.heartbeats },
+			want: (*RelayResponse)(nil), received: func(l *fakeLeader) any { return l.heartbeats },
 			wantSent: []RelayedHeartbeat(nil), wantErr: ErrNotLeader,
 		},
 		{
-			name: "an announcement carries the sender's own fencing token", token: 9,
+			name: "announcement carries the sender's fencing token", token: 9,
 			send:     func(ctx context.Context, client *Client) (any, error) { return nil, client.Announce(ctx) },
-			received: func(l *leader) any { return l.announcements },
+			received: func(l *fakeLeader) any { return l.announcements },
 			wantSent: []Announcement{{Member: testMember, FencingToken: 9}},
 		},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := &leader{stuck: test.stuck}
+				l := &fakeLeader{unresponsive: test.stuck}
 				got, err := test.send(t.Context(), newTestClient(t, serveLeader(t, l).dial, test.token))
 				synctest.Wait()
 				if !errors.Is(err, test.wantErr) {
-					t.Errorf("error %v, want %v", err, test.wantErr)
+					t.Errorf("got error %v, want %v", err, test.wantErr)
 				}
 				if !reflect.DeepEqual(got, test.want) {
-					t.Errorf("response %+v, want %+v", got, test.want)
+					t.Errorf("got response %+v, want %+v", got, test.want)
 				}
 				if received := test.received(l); !reflect.DeepEqual(received, test.wantSent) {
-					t.Errorf("the leader received %+v, want %+v", received, test.wantSent)
+					t.Errorf("leader received %+v, want %+v", received, test.wantSent)
 				}
 			})
 		})
 	}
 }
 
-func TestServeRawRequests(t *testing.T) {
+func TestServeStatusCodes(t *testing.T) {
 	tests := []struct {
 		name, method, path, body string
 		want                     int
 	}{
-		{"a lease request that is not JSON", http.MethodPost, leaseRequestPath, "{", http.StatusBadRequest},
-		{"a relayed heartbeat that is not JSON", http.MethodPost, relayHeartbeatPath, "{", http.StatusBadRequest},
-		{"an announcement that is not JSON", http.MethodPost, announcementPath, "{", http.StatusBadRequest},
+		{"lease request that is not JSON", http.MethodPost, leaseRequestPath, "{", http.StatusBadRequest},
+		{"relayed heartbeat that is not JSON", http.MethodPost, relayHeartbeatPath, "{", http.StatusBadRequest},
+		{"announcement that is not JSON", http.MethodPost, announcementPath, "{", http.StatusBadRequest},
 		{
-			"a request longer than the limit", http.MethodPost, announcementPath,
+			"request larger than the limit", http.MethodPost, announcementPath,
 			`{"member":"` + strings.Repeat("c", maxRequestBytes) + `"}`, http.StatusBadRequest,
 		},
-		{"a stream without a fencing token", http.MethodGet, snapshotPath, "", http.StatusMisdirectedRequest},
-		{"a stream with a malformed one", http.MethodGet, snapshotPath + "?token=x", "", http.StatusMisdirectedRequest},
-		{"another service below its prefix", http.MethodPost, "/other/method", "", http.StatusTeapot},
-		{"an unknown path", http.MethodPost, "/unknown", "", http.StatusNotFound},
+		{"stream without a fencing token", http.MethodGet, snapshotPath, "", http.StatusMisdirectedRequest},
+		{
+			"stream with a malformed fencing token", http.MethodGet, snapshotPath + "?token=x", "",
+			http.StatusMisdirectedRequest,
+		},
+		{"additional route", http.MethodPost, "/other/method", "", http.StatusTeapot},
+		{"unknown path", http.MethodPost, "/unknown", "", http.StatusNotFound},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := &leader{}
+				l := &fakeLeader{}
 				other := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) })
-				others := Route{Prefix: "/other/", Handler: other}
-				client := newTestClient(t, serveLeader(t, l, others).dial, leaderToken)
+				route := Route{Prefix: "/other/", Handler: other}
+				client := newTestClient(t, serveLeader(t, l, route).dial, leaderToken)
 				request, err := http.NewRequestWithContext(t.Context(), test.method, "http://leader"+test.path,
 					bytes.NewReader([]byte(test.body)))
 				if err != nil {
@@ -465,10 +469,10 @@
 					t.Error(err)
 				}
 				if response.StatusCode != test.want {
-					t.Errorf("status %d, want %d", response.StatusCode, test.want)
+					t.Errorf("got status %d, want %d", response.StatusCode, test.want)
 				}
 				if len(l.announcements) > 0 || len(l.requests) > 0 || len(l.heartbeats) > 0 {
-					t.Error("a malformed request was served")
+					t.Error("a malformed request was passed to the controller")
 				}
 			})
 		})
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -16,7 +16,7 @@
 	"saffronbend/wire"
 )
 
-// Paths. Controllers of the previous version use them too.
+// Request paths. They must not change, because controllers of other versions use them too.
 const (
 	snapshotPath       = "/peer/view"
 	leaseRequestPath   = "/peer/ask"
@@ -25,36 +25,37 @@
 )
 
 const (
-	// streamTimeout is how long a stream of updates may be silent before the follower counts it as broken, and how long
-	// the leader tries to write one update to a follower.
+	// streamTimeout is the time without updates after which a follower considers a stream broken. It is also the timeout
+	// for writing one update to a follower.
 	streamTimeout = 2 * time.Second
-	// maxRequestBytes bounds the body of a request.
+	// maxRequestBytes is the maximum size of the body of a request.
 	maxRequestBytes = 4 << 20
 	maxHeaderBytes  = 16 << 10
-	// headerTimeout bounds the reading of a request's header, idleTimeout the life of a connection without requests.
+	// headerTimeout limits the time for reading the header of a request. idleTimeout is the time after which connections
+	// without requests are closed.
 	headerTimeout = 5 * time.Second
 	idleTimeout   = time.Minute
 )
 
-// Route is another service on the listener of Serve: the POST requests to all paths below Prefix, which ends in a
-// slash.
+// Route is an additional service on the listener of Serve. It handles POST requests to all paths below Prefix, which
+// must end with a slash.
 type Route struct {
 	Prefix  string
 	Handler http.Handler
 }
 
-// Serve serves the other controllers on a listener, and the other routes beside, until ctx ends; then it returns nil,
-// and every connection is closed.
-func Serve(ctx context.Context, listener net.Listener, controller Controller, others ...Route) error {
+// Serve serves the requests of other controllers and the additional routes on a listener. When ctx ends, it closes all
+// connections and returns nil.
+func Serve(ctx context.Context, listener net.Listener, controller Controller, routes ...Route) error {
 	server := &http.Server{
-		Handler:           newRouter(controller, others),
+		Handler:           newRouter(controller, routes),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		BaseContext:       func(net.Listener) context.Context { return ctx },
 		Protocols:         call.UnencryptedHTTP2(),
 		MaxHeaderBytes:    maxHeaderBytes,
 	}
-	// Close can only report that the listener was closed before.
+	// The only error that Close can return is that the listener was already closed.
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -63,23 +64,23 @@
 	return nil
 }
 
-func newRouter(controller Controller, others []Route) *httprouter.Router {
+func newRouter(controller Controller, routes []Route) *httprouter.Router {
 	router := httprouter.New()
-	for _, other := range others {
-		router.Handler(http.MethodPost, other.Prefix+"*method", other.Handler)
+	for _, route := range routes {
+		router.Handler(http.MethodPost, route.Prefix+"*method", route.Handler)
 	}
 	router.GET(snapshotPath, serveSnapshots(controller))
 	router.POST(leaseRequestPath, serveRequest(controller.RequestLeases))
-	router.POST(relayHeartbeatPath, serveRequest(controller.HeartbeatRelayed))
+	router.POST(relayHeartbeatPath, serveRequest(controller.RelayHeartbeat))
 	router.POST(announcementPath, serveAnnouncement(controller))
 	return router
 }
 
-// serveSnapshots streams the updates of the leader's snapshot to a follower, one JSON document after the other.
+// serveSnapshots streams updates of the leader's snapshot to a follower as a sequence of JSON documents.
 func serveSnapshots(controller Controller) httprouter.Handle {
 	return func(w http.ResponseWriter, req *http.Request, _ httprouter.Params) {
 		query := req.URL.Query()
-		// A malformed fencing token is 0, and no term has that.
+		// A malformed fencing token is parsed as 0, which is not the token of any term.
 		token, _ := strconv.ParseUint(query.Get("token"), 10, 64)
 		next := controller.Subscribe(req.Context(), query.Get("member"), wire.FencingToken(token))
 		if next == nil {
@@ -89,17 +90,17 @@
 		response := http.NewResponseController(w)
 		encoder := json.NewEncoder(w)
 		for update := next(0); update != nil; update = next(update.Version) {
-			// It can only fail on writers that have no deadlines; those of net/http have them.
+			// SetWriteDeadline fails only for writers without support for deadlines; the writers of net/http support them.
 			_ = response.SetWriteDeadline(time.Now().Add(streamTimeout))
 			if encoder.Encode(update) != nil || response.Flush() != nil {
-				return // The follower has gone; it opens another stream.
+				return // The follower has disconnected; it will open another stream.
 			}
 		}
 	}
 }
 
-// serveRequest serves requests that only the leader answers. All errors of handle mean that this controller does not
-// lead under the token of the request.
+// serveRequest serves requests that only the leader may answer. Any error returned by handle means that this controller
+// is not the leader with the fencing token of the request.
 func serveRequest[Request, Response any](
 	handle func(context.Context, Request) (*Response, error),
 ) httprouter.Handle {
@@ -113,7 +114,7 @@
 			w.WriteHeader(http.StatusMisdirectedRequest)
 			return
 		}
-		// An error means that the client has gone.
+		// An error means that the client has closed the connection.
 		_ = json.NewEncoder(w).Encode(response)
 	}
 }
@@ -126,7 +127,8 @@
 	}
 }
 
-// decodeRequest decodes a request's body, or responds that it is malformed.
+// decodeRequest decodes the body of a request. If the body is malformed or too large, it responds with status 400 and
+// returns ok = false.
 func decodeRequest[Request any](w http.ResponseWriter, req *http.Request) (request Request, ok bool) {
 	body := http.MaxBytesReader(w, req.Body, maxRequestBytes)
 	if err := json.NewDecoder(body).Decode(&request); err != nil {
--- a/services.go
+++ b/services.go
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// HeartbeatRelayed implements peer.Controller.
-func (s peerService) HeartbeatRelayed(ctx context.Context, relayed peer.RelayedHeartbeat) (*peer.RelayResponse, error) {
+// RelayHeartbeat implements peer.Controller.
+func (s peerService) RelayHeartbeat(ctx context.Context, relayed peer.RelayedHeartbeat) (*peer.RelayResponse, error) {
 	term := s.term(relayed.FencingToken)
 	if term == nil || relayed.Heartbeat == nil {
 		return nil, peer.ErrNotLeader
