--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -46,7 +46,7 @@
 	if body != nil {
 		encoded, err := json.Marshal(body)
 		if err != nil {
-			return 0, nil, fmt.Errorf("encode request: %w", err)
+			return 0, nil, fmt.Errorf("encode: %w", err)
 		}
 		content = bytes.NewReader(encoded)
 	}
@@ -61,7 +61,7 @@
 	defer func() { _ = resp.Body.Close() }() // the body was read completely, or the read error is returned
 	response, err = io.ReadAll(resp.Body)
 	if err != nil {
-		return 0, nil, fmt.Errorf("read response: %w", err)
+		return 0, nil, fmt.Errorf("read: %w", err)
 	}
 	return resp.StatusCode, response, nil
 }
