--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -21,17 +21,17 @@
 
 const testJob = "run-1"
 
-var errLost = errors.New("the response was lost")
+var errResponseLost = errors.New("the response was lost")
 
-// memoryStore is a key-value store in memory.
+// memoryStore is an in-memory key-value store.
 type memoryStore struct {
 	items   map[string]wire.KeyValue
 	version uint64
 
-	getErr error // of every read
-	// beforeWrite is called before each write; after an error the write is not carried out.
+	getErr error // returned by every read
+	// beforeWrite is called before each write. If it returns an error, the write fails with it and changes nothing.
 	beforeWrite func() error
-	// afterWrite is called after each write that was carried out; its error is the write's.
+	// afterWrite is called after each write that changed the store. Its error is returned to the writer.
 	afterWrite func() error
 	writes     int
 }
@@ -68,8 +68,8 @@
 	return s.version, nil
 }
 
-// stateOf returns a job's stored state, "" if there is none.
-func (s *memoryStore) stateOf(t *testing.T, job wire.JobID) wire.JobState {
+// jobState returns a job's stored state, or "" if the job is not stored.
+func (s *memoryStore) jobState(t *testing.T, job wire.JobID) wire.JobState {
 	t.Helper()
 	item, ok := s.items[state.JobStatusKey(job)]
 	if !ok {
@@ -82,8 +82,8 @@
 	return record.State
 }
 
-// storeWith returns a store in which testJob is in a state; "": it was never accepted.
-func storeWith(t *testing.T, jobState wire.JobState) *memoryStore {
+// newTestStore returns a store in which testJob has the given state, or an empty store if the state is empty.
+func newTestStore(t *testing.T, jobState wire.JobState) *memoryStore {
 	t.Helper()
 	store := &memoryStore{items: map[string]wire.KeyValue{}}
 	if jobState == "" {
@@ -93,7 +93,7 @@
 	return store
 }
 
-// setState writes the records of testJob as another controller would.
+// setState writes the records of testJob, as another controller would.
 func (s *memoryStore) setState(t *testing.T, jobState wire.JobState) {
 	t.Helper()
 	job := testSubmission()
@@ -107,37 +107,37 @@
 	s.items[openJobKey] = wire.KeyValue{Key: openJobKey, Value: records.openJob, Version: s.version}
 }
 
-// controller is what the controller knows beside the store.
-type controller struct {
-	typesUnknown  bool
-	unhealthy     bool
-	shortOfMemory bool
-	done, running int // tasks of every job
+// fakeController implements ControllerStatus.
+type fakeController struct {
+	typesUnknown        bool
+	unhealthy           bool
+	underMemoryPressure bool
+	done, running       int // task counts of every job
 }
 
-func (c *controller) Types() []wire.MachineType {
+func (c *fakeController) Types() []wire.MachineType {
 	if c.typesUnknown {
 		return nil
 	}
 	return []wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 16, Zones: []string{"a"}}}
 }
 
-func (c *controller) Progress(wire.JobID) (done, running int) { return c.done, c.running }
-func (c *controller) Healthy() bool                           { return !c.unhealthy }
-func (c *controller) ShortOfMemory() bool                     { return c.shortOfMemory }
+func (c *fakeController) Progress(wire.JobID) (done, running int) { return c.done, c.running }
+func (c *fakeController) Healthy() bool                           { return !c.unhealthy }
+func (c *fakeController) UnderMemoryPressure() bool               { return c.underMemoryPressure }
 
-// newTestAPI returns the interface over a store in which one team may submit.
-func newTestAPI(store Store, info *controller) http.Handler {
+// newTestAPI returns the handler of an API whose settings have a single team, red.
+func newTestAPI(store Store, controller *fakeController) http.Handler {
 	s := &settings.Settings{}
 	s.Deployment.Teams = []settings.Team{{Name: "red", CPUsMax: 16}}
 	s.Deployment.State = settings.StoreLimits{ValueKB: 4, TxnOps: 8}
 	router := httprouter.New()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	New(store, info, s, log, func() int64 { return 0 }).Register(router)
+	New(store, controller, s, log, func() int64 { return 0 }).Register(router)
 	return router
 }
 
-// testSubmission returns a job that can be accepted.
+// testSubmission returns a job that the API of newTestAPI accepts.
 func testSubmission() *wire.Job {
 	return &wire.Job{
 		ID: testJob, Class: "plan", Team: "red", Kind: wire.KindArray, PriorityName: "normal", Tasks: 1,
@@ -145,8 +145,8 @@
 	}
 }
 
-// longSubmission returns a job whose record is larger than the store of newTestAPI accepts.
-func longSubmission() *wire.Job {
+// oversizedSubmission returns a job whose record exceeds the value size limit of the settings in newTestAPI.
+func oversizedSubmission() *wire.Job {
 	job := testSubmission()
 	job.MachineTypes = []string{"small"}
 	for range 40 {
@@ -164,20 +164,20 @@
 	return string(body)
 }
 
-// expected is a response. One with the status 503 must say when to come back.
-type expected struct {
+// wantResponse is an expected response. A response with status 503 must have a Retry-After header, any other must not.
+type wantResponse struct {
 	status int
-	body   string // a part of it
+	body   string // a substring of the body
 }
 
-func (e expected) check(t *testing.T, handler http.Handler, method, path, body string) {
+func (want wantResponse) check(t *testing.T, handler http.Handler, method, path, body string) {
 	t.Helper()
 	w := httptest.NewRecorder()
 	handler.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
-	if w.Code != e.status || !strings.Contains(w.Body.String(), e.body) {
-		t.Errorf("%s %s: %d %s; want %d %s", method, path, w.Code, w.Body, e.status, e.body)
+	if w.Code != want.status || !strings.Contains(w.Body.String(), want.body) {
+		t.Errorf("%s %s: %d %s; want %d %s", method, path, w.Code, w.Body, want.status, want.body)
 	}
-	if retryAfter := w.Header().Get("Retry-After"); (retryAfter != "") != (e.status == http.StatusServiceUnavailable) {
+	if retryAfter := w.Header().Get("Retry-After"); (retryAfter != "") != (want.status == http.StatusServiceUnavailable) {
 		t.Errorf("%s %s: Retry-After %q with status %d", method, path, retryAfter, w.Code)
 	}
 }
@@ -186,75 +186,75 @@
 	submission := encodeJob(t, testSubmission())
 	tests := []struct {
 		name        string
-		stored      wire.JobState // of the job before
-		body        string        // "": testSubmission
-		controller  controller
+		stored      wire.JobState // the job's state before the request
+		body        string        // the encoded testSubmission if empty
+		controller  fakeController
 		getErr      error
 		beforeWrite error
 		afterWrite  error
 
-		want       expected
+		want       wantResponse
 		wantStored wire.JobState
 	}{
 		{
-			name: "a new job is accepted", want: expected{http.StatusCreated, `"pending"`}, wantStored: wire.JobPending,
+			name: "a new job is accepted", want: wantResponse{http.StatusCreated, `"pending"`}, wantStored: wire.JobPending,
 		},
 		{
-			name: "a repeated submission gets the job's state", stored: wire.JobPending,
-			want: expected{http.StatusOK, `"pending"`}, wantStored: wire.JobPending,
+			name: "a repeated submission returns the job's state", stored: wire.JobPending,
+			want: wantResponse{http.StatusOK, `"pending"`}, wantStored: wire.JobPending,
 		},
 		{
 			name: "a repeated submission of a job that is done", stored: wire.JobDone,
-			want: expected{http.StatusOK, `"done"`}, wantStored: wire.JobDone,
+			want: wantResponse{http.StatusOK, `"done"`}, wantStored: wire.JobDone,
 		},
 		{
-			name: "a body that is no job", body: "{}", want: expected{http.StatusBadRequest, ""},
+			name: "a body that is not a job", body: "{}", want: wantResponse{http.StatusBadRequest, ""},
 		},
 		{
-			name: "a body beyond the limit", body: strings.Repeat(" ", wire.MaxBodyBytes+1),
-			want: expected{http.StatusBadRequest, "the body is too long or broken"},
+			name: "a body that exceeds the size limit", body: strings.Repeat(" ", wire.MaxBodyBytes+1),
+			want: wantResponse{http.StatusBadRequest, "the body is too long or broken"},
 		},
 		{
-			name: "the machine types are not known", controller: controller{typesUnknown: true},
-			want: expected{http.StatusServiceUnavailable, "the machine types are not known yet"},
+			name: "the machine types are unknown", controller: fakeController{typesUnknown: true},
+			want: wantResponse{http.StatusServiceUnavailable, "the machine types are not known yet"},
 		},
 		{
 			name: "a job that can never run", body: strings.Replace(submission, "red", "blue", 1),
-			want: expected{http.StatusUnprocessableEntity, "unknown team"},
+			want: wantResponse{http.StatusUnprocessableEntity, "unknown team"},
 		},
 		{
-			name: "a job that can no longer run but was accepted", stored: wire.JobPending,
+			name: "a job that can no longer run but was accepted before", stored: wire.JobPending,
 			body: strings.Replace(submission, "red", "blue", 1),
-			want: expected{http.StatusOK, `"pending"`}, wantStored: wire.JobPending,
+			want: wantResponse{http.StatusOK, `"pending"`}, wantStored: wire.JobPending,
 		},
 		{
-			name: "a description beyond the store's limit", body: encodeJob(t, longSubmission()),
-			want: expected{http.StatusBadRequest, descriptionTooLong},
+			name: "a record that exceeds the store's size limit", body: encodeJob(t, oversizedSubmission()),
+			want: wantResponse{http.StatusBadRequest, msgDescriptionTooLong},
 		},
 		{
-			name: "the store refuses the description", beforeWrite: fmt.Errorf("%w: status 413", state.ErrRejected),
-			want: expected{http.StatusBadRequest, descriptionTooLong},
+			name: "the store rejects the record", beforeWrite: fmt.Errorf("%w: status 413", state.ErrRejected),
+			want: wantResponse{http.StatusBadRequest, msgDescriptionTooLong},
 		},
 		{
-			name: "the store does not serve", beforeWrite: state.ErrUnavailable,
-			want: expected{http.StatusServiceUnavailable, "the state service does not serve now"},
+			name: "the store is unavailable", beforeWrite: state.ErrUnavailable,
+			want: wantResponse{http.StatusServiceUnavailable, "the state service does not serve now"},
 		},
 		{
-			name: "the outcome is unknown and the job is stored", afterWrite: errLost,
-			want: expected{http.StatusOK, `"pending"`}, wantStored: wire.JobPending,
+			name: "the outcome is unknown and the job is stored", afterWrite: errResponseLost,
+			want: wantResponse{http.StatusOK, `"pending"`}, wantStored: wire.JobPending,
 		},
 		{
-			name: "the outcome is unknown and the job is not stored", beforeWrite: errLost,
-			want: expected{http.StatusServiceUnavailable, outcomeUnknown},
+			name: "the outcome is unknown and the job is not stored", beforeWrite: errResponseLost,
+			want: wantResponse{http.StatusServiceUnavailable, msgOutcomeUnknown},
 		},
 		{
-			name: "the outcome is unknown and the store does not answer", beforeWrite: errLost, getErr: errLost,
-			want: expected{http.StatusServiceUnavailable, storeSilent},
+			name: "the outcome is unknown and the store does not respond", beforeWrite: errResponseLost, getErr: errResponseLost,
+			want: wantResponse{http.StatusServiceUnavailable, msgStoreUnreachable},
 		},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			store := storeWith(t, test.stored)
+			store := newTestStore(t, test.stored)
 			store.getErr = test.getErr
 			store.beforeWrite = func() error { return test.beforeWrite }
 			store.afterWrite = func() error { return test.afterWrite }
@@ -263,7 +263,7 @@
 				body = submission
 			}
 			test.want.check(t, newTestAPI(store, &test.controller), http.MethodPost, wire.PathJobs, body)
-			if stored := store.stateOf(t, testJob); stored != test.wantStored {
+			if stored := store.jobState(t, testJob); stored != test.wantStored {
 				t.Errorf("the stored state is %q, want %q", stored, test.wantStored)
 			}
 		})
@@ -274,33 +274,34 @@
 	tests := []struct {
 		name       string
 		stored     wire.JobState
-		job        wire.JobID // "": testJob
-		controller controller
+		job        wire.JobID // testJob if empty
+		controller fakeController
 		getErr     error
-		want       expected
+		want       wantResponse
 	}{
 		{
 			name: "a job without running tasks", stored: wire.JobPending,
-			want: expected{http.StatusOK, `{"id":"run-1","status":"pending","done":0,"running":0}`},
+			want: wantResponse{http.StatusOK, `{"id":"run-1","status":"pending","done":0,"running":0}`},
 		},
 		{
-			name: "a job with running tasks", stored: wire.JobPending, controller: controller{done: 2, running: 3},
-			want: expected{http.StatusOK, `{"id":"run-1","status":"running","done":2,"running":3}`},
+			name: "a job with running tasks", stored: wire.JobPending, controller: fakeController{done: 2, running: 3},
+			want: wantResponse{http.StatusOK, `{"id":"run-1","status":"running","done":2,"running":3}`},
 		},
 		{
-			name: "a job in a final state has no counts", stored: wire.JobDone, controller: controller{done: 2, running: 3},
-			want: expected{http.StatusOK, `{"id":"run-1","status":"done"}`},
+			name: "a job in a final state has no task counts", stored: wire.JobDone,
+			controller: fakeController{done: 2, running: 3},
+			want:       wantResponse{http.StatusOK, `{"id":"run-1","status":"done"}`},
 		},
-		{name: "a job that was never accepted", want: expected{http.StatusNotFound, noSuchJob}},
-		{name: "what is no job's name", job: "job-1", want: expected{http.StatusNotFound, noSuchJob}},
+		{name: "a job that was never accepted", want: wantResponse{http.StatusNotFound, msgNoSuchJob}},
+		{name: "an invalid job ID", job: "job-1", want: wantResponse{http.StatusNotFound, msgNoSuchJob}},
 		{
-			name: "the store does not answer", stored: wire.JobPending, getErr: errLost,
-			want: expected{http.StatusServiceUnavailable, storeSilent},
+			name: "the store does not respond", stored: wire.JobPending, getErr: errResponseLost,
+			want: wantResponse{http.StatusServiceUnavailable, msgStoreUnreachable},
 		},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			store := storeWith(t, test.stored)
+			store := newTestStore(t, test.stored)
 			store.getErr = test.getErr
 			job := test.job
 			if job == "" {
@@ -311,13 +312,13 @@
 	}
 }
 
-// A final state that was read once is known without the store.
-func TestPollOfFinalStateDuringOutage(t *testing.T) {
-	store := storeWith(t, wire.JobDone)
-	handler := newTestAPI(store, &controller{})
-	want := expected{http.StatusOK, `"done"`}
+// A final state that was read once is served from the cache while the store does not respond.
+func TestPollServesCachedFinalStateDuringStoreOutage(t *testing.T) {
+	store := newTestStore(t, wire.JobDone)
+	handler := newTestAPI(store, &fakeController{})
+	want := wantResponse{http.StatusOK, `"done"`}
 	want.check(t, handler, http.MethodGet, wire.PathJobs+"/"+testJob, "")
-	store.getErr = errLost
+	store.getErr = errResponseLost
 	want.check(t, handler, http.MethodGet, wire.PathJobs+"/"+testJob, "")
 }
 
@@ -325,26 +326,26 @@
 	tests := []struct {
 		name        string
 		stored      wire.JobState
-		job         wire.JobID // "": testJob
+		job         wire.JobID // testJob if empty
 		getErr      error
 		beforeWrite func(t *testing.T, store *memoryStore) error
 
-		want       expected
+		want       wantResponse
 		wantStored wire.JobState
 		wantWrites int
 	}{
 		{
 			name: "a pending job", stored: wire.JobPending,
-			want: expected{http.StatusOK, `{"id":"run-1","status":"aborted"}`}, wantStored: wire.JobCancelled, wantWrites: 1,
+			want: wantResponse{http.StatusOK, `{"id":"run-1","status":"aborted"}`}, wantStored: wire.JobCancelled, wantWrites: 1,
 		},
 		{
 			name: "a job that is done stays done", stored: wire.JobDone,
-			want: expected{http.StatusOK, `{"id":"run-1","status":"done"}`}, wantStored: wire.JobDone,
+			want: wantResponse{http.StatusOK, `{"id":"run-1","status":"done"}`}, wantStored: wire.JobDone,
 		},
-		{name: "a job that was never accepted", want: expected{http.StatusNotFound, noSuchJob}},
-		{name: "what is no job's name", job: "job-1", want: expected{http.StatusNotFound, noSuchJob}},
+		{name: "a job that was never accepted", want: wantResponse{http.StatusNotFound, msgNoSuchJob}},
+		{name: "an invalid job ID", job: "job-1", want: wantResponse{http.StatusNotFound, msgNoSuchJob}},
 		{
-			name: "the leader writes the job's records at the same time", stored: wire.JobPending,
+			name: "the leader writes the job's records concurrently", stored: wire.JobPending,
 			beforeWrite: func(t *testing.T, store *memoryStore) error {
 				t.Helper()
 				if store.writes == 1 {
@@ -352,31 +353,31 @@
 				}
 				return nil
 			},
-			want: expected{http.StatusOK, `"aborted"`}, wantStored: wire.JobCancelled, wantWrites: 2,
+			want: wantResponse{http.StatusOK, `"aborted"`}, wantStored: wire.JobCancelled, wantWrites: 2,
 		},
 		{
-			name: "the job is done at the same time", stored: wire.JobPending,
+			name: "the job becomes done concurrently", stored: wire.JobPending,
 			beforeWrite: func(t *testing.T, store *memoryStore) error {
 				t.Helper()
 				store.setState(t, wire.JobDone)
 				return nil
 			},
-			want: expected{http.StatusOK, `"done"`}, wantStored: wire.JobDone, wantWrites: 1,
+			want: wantResponse{http.StatusOK, `"done"`}, wantStored: wire.JobDone, wantWrites: 1,
 		},
 		{
-			name: "the outcome stays unknown", stored: wire.JobPending,
-			beforeWrite: func(*testing.T, *memoryStore) error { return errLost },
-			want:        expected{http.StatusServiceUnavailable, outcomeUnknown}, wantStored: wire.JobPending,
+			name: "the outcome of every attempt is unknown", stored: wire.JobPending,
+			beforeWrite: func(*testing.T, *memoryStore) error { return errResponseLost },
+			want:        wantResponse{http.StatusServiceUnavailable, msgOutcomeUnknown}, wantStored: wire.JobPending,
 			wantWrites: cancelAttempts,
 		},
 		{
-			name: "the store does not answer", stored: wire.JobPending, getErr: errLost,
-			want: expected{http.StatusServiceUnavailable, storeSilent}, wantStored: wire.JobPending,
+			name: "the store does not respond", stored: wire.JobPending, getErr: errResponseLost,
+			want: wantResponse{http.StatusServiceUnavailable, msgStoreUnreachable}, wantStored: wire.JobPending,
 		},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			store := storeWith(t, test.stored)
+			store := newTestStore(t, test.stored)
 			store.getErr = test.getErr
 			if test.beforeWrite != nil {
 				store.beforeWrite = func() error { return test.beforeWrite(t, store) }
@@ -386,8 +387,8 @@
 				job = testJob
 			}
 			path := wire.PathJobs + "/" + string(job) + "/" + wire.ActionCancel
-			test.want.check(t, newTestAPI(store, &controller{}), http.MethodPost, path, "")
-			if stored := store.stateOf(t, testJob); stored != test.wantStored {
+			test.want.check(t, newTestAPI(store, &fakeController{}), http.MethodPost, path, "")
+			if stored := store.jobState(t, testJob); stored != test.wantStored {
 				t.Errorf("the stored state is %q, want %q", stored, test.wantStored)
 			}
 			if store.writes != test.wantWrites {
@@ -397,10 +398,11 @@
 	}
 }
 
-// Near the memory limit a new job is told to come back; all that is known is answered as ever.
-func TestShortOfMemory(t *testing.T) {
-	info := &controller{}
-	handler := newTestAPI(storeWith(t, ""), info)
+// Near the memory limit, submissions of new jobs get a 503. Repeated submissions, invalid submissions, polls and
+// cancellations get the same responses as usual.
+func TestSubmitUnderMemoryPressure(t *testing.T) {
+	controller := &fakeController{}
+	handler := newTestAPI(newTestStore(t, ""), controller)
 	job := func(id wire.JobID, cpus float64) string {
 		t.Helper()
 		submission := testSubmission()
@@ -409,7 +411,7 @@
 	}
 	steps := []struct {
 		name               string
-		short              bool
+		underPressure      bool
 		method, path, body string
 		status             int
 	}{
@@ -425,13 +427,13 @@
 	}
 	for _, s := range steps {
 		t.Run(s.name, func(t *testing.T) {
-			info.shortOfMemory = s.short
-			expected{status: s.status}.check(t, handler, s.method, s.path, s.body)
+			controller.underMemoryPressure = s.underPressure
+			wantResponse{status: s.status}.check(t, handler, s.method, s.path, s.body)
 		})
 	}
 }
 
-// blockingStore holds up every read until it is released.
+// blockingStore blocks every read until release is closed.
 type blockingStore struct {
 	*memoryStore
 	entered, release chan struct{}
@@ -444,8 +446,10 @@
 }
 
 func TestTooManyRequestsInFlight(t *testing.T) {
-	store := &blockingStore{memoryStore: storeWith(t, ""), entered: make(chan struct{}), release: make(chan struct{})}
-	handler := newTestAPI(store, &controller{})
+	store := &blockingStore{
+		memoryStore: newTestStore(t, ""), entered: make(chan struct{}), release: make(chan struct{}),
+	}
+	handler := newTestAPI(store, &fakeController{})
 	served := make(chan int)
 	for range maxRequestsInFlight {
 		go func() {
@@ -455,9 +459,9 @@
 		}()
 		<-store.entered
 	}
-	expected{http.StatusServiceUnavailable, "too many requests at once"}.check(
+	wantResponse{http.StatusServiceUnavailable, "too many requests at once"}.check(
 		t, handler, http.MethodGet, wire.PathJobs+"/"+testJob, "")
-	expected{http.StatusOK, "{}"}.check(t, handler, http.MethodGet, wire.PathHealth, "")
+	wantResponse{http.StatusOK, "{}"}.check(t, handler, http.MethodGet, wire.PathHealth, "")
 	close(store.release)
 	for range maxRequestsInFlight {
 		if status := <-served; status != http.StatusNotFound {
@@ -466,30 +470,31 @@
 	}
 }
 
-func TestRequestsOutsideTheJobs(t *testing.T) {
+func TestOtherPaths(t *testing.T) {
 	tests := []struct {
 		name, method, path string
-		controller         controller
+		controller         fakeController
 		want               int
 	}{
-		{"healthy", http.MethodGet, wire.PathHealth, controller{}, http.StatusOK},
-		{"an unknown path", http.MethodGet, "/unknown", controller{}, http.StatusNotFound},
-		{"a method that is not allowed", http.MethodDelete, wire.PathJobs, controller{}, http.StatusMethodNotAllowed},
+		{"healthy", http.MethodGet, wire.PathHealth, fakeController{}, http.StatusOK},
+		{"an unknown path", http.MethodGet, "/unknown", fakeController{}, http.StatusNotFound},
+		{"a method that is not allowed", http.MethodDelete, wire.PathJobs, fakeController{}, http.StatusMethodNotAllowed},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			expected{status: test.want}.check(t, newTestAPI(storeWith(t, ""), &test.controller), test.method, test.path, "")
+			handler := newTestAPI(newTestStore(t, ""), &test.controller)
+			wantResponse{status: test.want}.check(t, handler, test.method, test.path, "")
 		})
 	}
 }
 
-// The health check's 503 is not for users: it does not say when to come back.
-func TestUnhealthy(t *testing.T) {
+// The 503 of the health check has no Retry-After header, because it is not a response to a user.
+func TestUnhealthyWithoutRetryAfter(t *testing.T) {
 	w := httptest.NewRecorder()
-	handler := newTestAPI(storeWith(t, ""), &controller{unhealthy: true})
+	handler := newTestAPI(newTestStore(t, ""), &fakeController{unhealthy: true})
 	handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, wire.PathHealth, http.NoBody))
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") != "" {
-		t.Errorf("status %d, Retry-After %q; want %d alone", w.Code, w.Header().Get("Retry-After"),
+		t.Errorf("status %d, Retry-After %q; want %d without Retry-After", w.Code, w.Header().Get("Retry-After"),
 			http.StatusServiceUnavailable)
 	}
 }
--- a/internal/api/feasibility_test.go
+++ b/internal/api/feasibility_test.go
@@ -22,42 +22,45 @@
 	}{
 		{"a task that fits", wire.Job{Team: "unlimited", CPUs: 4}, nil},
 		{"unknown team", wire.Job{Team: "other", CPUs: 1}, errUnknownTeam},
-		{"one task over the limit of processors", wire.Job{Team: "limited", CPUs: 10.5}, errTaskExceedsLimit},
-		{"one task over the limit of accelerators", wire.Job{Team: "limited", GPUs: 3}, errTaskExceedsLimit},
+		{"one task over the processor limit", wire.Job{Team: "limited", CPUs: 10.5}, errTaskExceedsLimit},
+		{"one task over the accelerator limit", wire.Job{Team: "limited", GPUs: 3}, errTaskExceedsLimit},
 		{"one task at the limit", wire.Job{Team: "limited", CPUs: 10, GPUs: 2}, nil},
-		{"a task that fits no type", wire.Job{Team: "unlimited", CPUs: 17}, errTaskFitsNowhere},
-		{"a task that fits no type in its zone", wire.Job{Team: "unlimited", CPUs: 8, Zone: &zoneB}, errTaskFitsNowhere},
+		{"a task that fits no machine type", wire.Job{Team: "unlimited", CPUs: 17}, errNoMachineTypeFits},
 		{
-			"a task that fits none of its types",
-			wire.Job{Team: "unlimited", CPUs: 8, MachineTypes: []string{"small"}}, errTaskFitsNowhere,
+			"a task that fits no machine type in its zone",
+			wire.Job{Team: "unlimited", CPUs: 8, Zone: &zoneB}, errNoMachineTypeFits,
 		},
 		{
-			"the tasks of an array may exceed the limit together",
+			"a task that fits none of its allowed machine types",
+			wire.Job{Team: "unlimited", CPUs: 8, MachineTypes: []string{"small"}}, errNoMachineTypeFits,
+		},
+		{
+			"the total of a job array may exceed the limit",
 			wire.Job{Team: "limited", Kind: wire.KindArray, Tasks: 100, CPUs: 4}, nil,
 		},
 		{
-			"the tasks of a gang may not",
+			"the total of a gang may not exceed the limit",
 			wire.Job{Team: "limited", Kind: wire.KindGang, Tasks: 3, CPUs: 4}, errGangExceedsLimit,
 		},
 		{
-			"a gang at the limit, whose sum is rounded up",
+			"a gang at the limit whose floating-point total is rounded up",
 			wire.Job{Team: "limited", Kind: wire.KindGang, Tasks: 3, CPUs: 10.0 / 3}, nil,
 		},
 		{
-			"a gang that is spread over the zones",
+			"a gang that can be spread over two zones",
 			wire.Job{Team: "unlimited", Kind: wire.KindGang, Tasks: 2, CPUs: 4, SpreadZones: true}, nil,
 		},
 		{
-			"a gang to be spread that fits in one zone only",
-			wire.Job{Team: "unlimited", Kind: wire.KindGang, Tasks: 2, CPUs: 8, SpreadZones: true}, errNoZonesToSpread,
+			"a gang to be spread that fits in only one zone",
+			wire.Job{Team: "unlimited", Kind: wire.KindGang, Tasks: 2, CPUs: 8, SpreadZones: true}, errTooFewZones,
 		},
 		{
-			"a gang to be spread and in one zone",
+			"a gang to be spread that also requires a single zone",
 			wire.Job{Team: "unlimited", Kind: wire.KindGang, Tasks: 2, CPUs: 4, SpreadZones: true, SameZone: true},
-			errNoZonesToSpread,
+			errTooFewZones,
 		},
 		{
-			"a gang of one task needs no spreading",
+			"a gang of one task need not be spread",
 			wire.Job{Team: "unlimited", Kind: wire.KindGang, Tasks: 1, CPUs: 8, SpreadZones: true}, nil,
 		},
 	}
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -13,11 +13,13 @@
 	"saffronbend/wire"
 )
 
-// cancelAttempts is how often a cancellation is tried, since the leader may change a job's records at the same time.
+// cancelAttempts is the maximum number of attempts to write a cancellation. An attempt fails if the leader changes the
+// job's records concurrently.
 const cancelAttempts = 3
 
-// jobRequest returns the handler of a request about one job, which ends after a timeout.
-func (a *API) jobRequest(
+// jobHandler returns a handler for requests about a single job. It parses the job's ID and calls serve with a context
+// that expires after timeout.
+func (a *API) jobHandler(
 	timeout time.Duration, serve func(ctx context.Context, w http.ResponseWriter, job wire.JobID),
 ) httprouter.Handle {
 	return a.limitInFlight(func(w http.ResponseWriter, req *http.Request, params httprouter.Params) {
@@ -25,82 +27,82 @@
 		defer cancel()
 		job := wire.JobID(params.ByName("id"))
 		if !wire.ValidJobID(job) {
-			refuse(w, http.StatusNotFound, noSuchJob)
+			writeError(w, http.StatusNotFound, msgNoSuchJob)
 			return
 		}
 		serve(ctx, w, job)
 	})
 }
 
-// poll serves a poll of a job's state.
+// poll responds with a job's state.
 func (a *API) poll(ctx context.Context, w http.ResponseWriter, job wire.JobID) {
-	switch jobState, err := a.readState(ctx, job); {
+	switch jobState, err := a.readJobState(ctx, job); {
 	case err != nil:
-		refuseForNow(w, storeSilent)
+		writeUnavailable(w, msgStoreUnreachable)
 	case jobState == "":
-		refuse(w, http.StatusNotFound, noSuchJob)
+		writeError(w, http.StatusNotFound, msgNoSuchJob)
 	default:
-		a.respondWithState(w, http.StatusOK, job, jobState)
+		a.writeJobStatus(w, http.StatusOK, job, jobState)
 	}
 }
 
-// cancel serves a cancellation. It responds with the job's final state, which is not cancelled if the job was done
-// before.
+// cancel cancels a job and responds with its final state. If the job was done before, that state is done, not
+// cancelled.
 //
-// The cancellation is durable, and told to the user, once both records of the job are written. Both are conditioned on
-// their version, so that a job is either done or cancelled, never both. The leader sees the write in its watch of the
-// open jobs and stops the job's tasks; until it has seen it, the limit on renewals without fresh knowledge of
-// cancellations holds (the resolved timestamp).
+// The cancellation is durable, and reported to the user, once both records of the job are written. Both writes are
+// conditional on the records' version, so that a job ends either done or cancelled, never both. The leader receives the
+// change from its watch of the open jobs and stops the job's tasks. Until then, the tasks' run time is bounded by the
+// resolved timestamp: worker leases are renewed only while the leader's knowledge of cancellations is recent enough.
 func (a *API) cancel(ctx context.Context, w http.ResponseWriter, job wire.JobID) {
 	for range cancelAttempts {
-		switch jobState, err := a.readState(ctx, job); {
+		switch jobState, err := a.readJobState(ctx, job); {
 		case err != nil:
-			refuseForNow(w, storeSilent)
+			writeUnavailable(w, msgStoreUnreachable)
 			return
 		case jobState == "":
-			refuse(w, http.StatusNotFound, noSuchJob)
+			writeError(w, http.StatusNotFound, msgNoSuchJob)
 			return
 		case jobState != wire.JobPending:
-			a.respondWithState(w, http.StatusOK, job, jobState)
+			a.writeJobStatus(w, http.StatusOK, job, jobState)
 			return
 		}
 		if err := a.writeCancellation(ctx, job); err != nil {
-			a.log.Debug("cancellation not carried out yet", "job", job, "error", err)
+			a.log.Debug("cancellation not written yet", "job", job, "error", err)
 		}
 	}
-	refuseForNow(w, outcomeUnknown)
+	writeUnavailable(w, msgOutcomeUnknown)
 }
 
-// writeCancellation tries to write that a job is cancelled. Whether it has succeeded is not known until the job's state
-// is read again.
+// writeCancellation tries to write the cancellation of a job. Neither nil nor an error tells whether the job is now
+// cancelled: the caller must read the job's state again.
 func (a *API) writeCancellation(ctx context.Context, job wire.JobID) error {
-	stored, err := a.store.Get(ctx, state.OpenJobKey(job))
-	if err != nil || stored == nil {
+	entry, err := a.store.Get(ctx, state.OpenJobKey(job))
+	if err != nil || entry == nil {
 		return err
 	}
 	var openJob state.OpenJobRecord
-	if err := json.Unmarshal(stored.Value, &openJob); err != nil {
-		return fmt.Errorf("record of %s: %w", job, err)
+	if err := json.Unmarshal(entry.Value, &openJob); err != nil {
+		return fmt.Errorf("decode open job record of %s: %w", job, err)
 	}
 	records, err := encodeRecords(openJob.Finalized(wire.JobCancelled), wire.JobCancelled)
 	if err != nil {
-		return fmt.Errorf("record of %s: %w", job, err)
+		return fmt.Errorf("encode records of %s: %w", job, err)
 	}
-	return a.writeRecords(ctx, job, stored.Version, records)
+	return a.writeRecords(ctx, job, entry.Version, records)
 }
 
-// readState returns a job's state as stored: pending or a final state, or "" if the job was never accepted.
-func (a *API) readState(ctx context.Context, job wire.JobID) (wire.JobState, error) {
+// readJobState returns a job's stored state, which is pending or final. It returns "" if the job was never accepted.
+func (a *API) readJobState(ctx context.Context, job wire.JobID) (wire.JobState, error) {
 	if jobState, ok := a.finalStates.get(job); ok {
 		return jobState, nil
 	}
-	stored, err := a.store.Get(ctx, state.JobStatusKey(job))
-	if err != nil || stored == nil {
+	entry, err := a.store.Get(ctx, state.JobStatusKey(job))
+	if err != nil || entry == nil {
 		return "", err
 	}
 	var record state.JobStatusRecord
-	if err := json.Unmarshal(stored.Value, &record); err != nil {
-		return "", fmt.Errorf("record of %s: %w", job, err)
+	if err := json.Unmarshal(entry.Value, &record); err != nil {
+		return "", fmt.Errorf("decode status record of %s: %w", job, err)
 	}
 	if record.State != wire.JobPending {
 		a.finalStates.put(job, record.State)
--- a/internal/api/responses.go
+++ b/internal/api/responses.go
@@ -7,44 +7,44 @@
 	"saffronbend/wire"
 )
 
-// Texts of refusals that several requests have. Users see them.
+// Error messages shared by several requests. They are part of the responses to users.
 const (
-	storeSilent    = "the state service does not answer"
-	outcomeUnknown = "the outcome is not known yet"
-	noSuchJob      = "no such job"
+	msgStoreUnreachable = "the state service does not answer"
+	msgOutcomeUnknown   = "the outcome is not known yet"
+	msgNoSuchJob        = "no such job"
 )
 
-// retryAfterS is when a user may come back with a request that can't be served now, in seconds.
+// retryAfterS is the value of the Retry-After header in seconds.
 const retryAfterS = "1"
 
-func respond(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// An error means that the user has gone; what is durable stays so.
+	// An error means that the client has disconnected. Changes that were made for the request are durable nevertheless.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// refuse responds with a reason for the user.
-func refuse(w http.ResponseWriter, status int, reason string) {
-	respond(w, status, wire.ErrorResponse{Error: reason})
+// writeError responds with an error message for the user.
+func writeError(w http.ResponseWriter, status int, reason string) {
+	writeJSON(w, status, wire.ErrorResponse{Error: reason})
 }
 
-// refusal returns a handler that refuses every request.
-func refusal(status int, reason string) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { refuse(w, status, reason) })
+// errorHandler returns a handler that responds to every request with the same error.
+func errorHandler(status int, reason string) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { writeError(w, status, reason) })
 }
 
-// refuseForNow refuses a request that can't be served now, and says when to come back. It closes the connection, so
-// that the user may reach another controller then.
-func refuseForNow(w http.ResponseWriter, reason string) {
+// writeUnavailable responds with 503 and a Retry-After header to a request that can't be served now. It also closes the
+// connection, so that the client's retry may reach another controller.
+func writeUnavailable(w http.ResponseWriter, reason string) {
 	w.Header().Set("Retry-After", retryAfterS)
 	w.Header().Set("Connection", "close")
-	refuse(w, http.StatusServiceUnavailable, reason)
+	writeError(w, http.StatusServiceUnavailable, reason)
 }
 
-// respondWithState responds with a job's stored state and its counts of tasks. Whether a job that has no final state is
-// pending or running is for display: it comes from this controller's snapshot.
-func (a *API) respondWithState(w http.ResponseWriter, status int, job wire.JobID, jobState wire.JobState) {
+// writeJobStatus responds with a job's stored state and its task counts. Whether a job without a final state is shown
+// as pending or as running is for display only and depends on this controller's snapshot of the cluster.
+func (a *API) writeJobStatus(w http.ResponseWriter, status int, job wire.JobID, jobState wire.JobState) {
 	done, running := a.controller.Progress(job)
 	if jobState == wire.JobPending && running > 0 {
 		jobState = wire.JobRunning
@@ -53,5 +53,5 @@
 	if jobState != wire.JobCancelled && jobState != wire.JobDone {
 		body.DoneTasks, body.RunningTasks = &done, &running
 	}
-	respond(w, status, body)
+	writeJSON(w, status, body)
 }
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -13,88 +13,90 @@
 	"saffronbend/wire"
 )
 
-const descriptionTooLong = "the description is too long"
+const msgDescriptionTooLong = "the description is too long"
 
-// submit serves a submission. It is an idempotent request: a job that was accepted once is never refused afterwards,
-// whatever has changed since.
+// submit serves a job submission. Submissions are idempotent: a job that was accepted once is never rejected later,
+// even if the settings or the machine types have changed since.
 func (a *API) submit(w http.ResponseWriter, req *http.Request, _ httprouter.Params) {
-	ctx, cancel := context.WithTimeout(req.Context(), changeTimeout)
+	ctx, cancel := context.WithTimeout(req.Context(), writeTimeout)
 	defer cancel()
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, wire.MaxBodyBytes))
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "the body is too long or broken")
+		writeError(w, http.StatusBadRequest, "the body is too long or broken")
 		return
 	}
 	job, err := wire.ParseJob(body)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	types := a.controller.Types()
 	if types == nil {
-		refuseForNow(w, "the machine types are not known yet")
+		writeUnavailable(w, "the machine types are not known yet")
 		return
 	}
 	if err := checkFeasible(job, a.settings.Deployment.Teams, types); err != nil {
-		a.refuseUnlessAccepted(ctx, w, job.ID, func() { refuse(w, http.StatusUnprocessableEntity, err.Error()) })
+		a.rejectUnlessAccepted(ctx, w, job.ID, func() { writeError(w, http.StatusUnprocessableEntity, err.Error()) })
 		return
 	}
-	if a.controller.ShortOfMemory() {
-		a.refuseUnlessAccepted(ctx, w, job.ID, func() { refuseForNow(w, "short of memory") })
+	if a.controller.UnderMemoryPressure() {
+		a.rejectUnlessAccepted(ctx, w, job.ID, func() { writeUnavailable(w, "short of memory") })
 		return
 	}
 	a.accept(ctx, w, job)
 }
 
-// refuseUnlessAccepted refuses a submission, unless the job was accepted earlier: then it responds with its state.
-func (a *API) refuseUnlessAccepted(ctx context.Context, w http.ResponseWriter, job wire.JobID, refuseIt func()) {
-	switch jobState, err := a.readState(ctx, job); {
+// rejectUnlessAccepted responds with the job's state if the job was accepted earlier; otherwise it calls reject.
+func (a *API) rejectUnlessAccepted(ctx context.Context, w http.ResponseWriter, job wire.JobID, reject func()) {
+	switch jobState, err := a.readJobState(ctx, job); {
 	case err != nil:
-		refuseForNow(w, storeSilent)
+		writeUnavailable(w, msgStoreUnreachable)
 	case jobState != "":
-		a.respondWithState(w, http.StatusOK, job, jobState)
+		a.writeJobStatus(w, http.StatusOK, job, jobState)
 	default:
-		refuseIt()
+		reject()
 	}
 }
 
-func (a *API) refuseTooLong(ctx context.Context, w http.ResponseWriter, job wire.JobID) {
-	a.refuseUnlessAccepted(ctx, w, job, func() { refuse(w, http.StatusBadRequest, descriptionTooLong) })
+func (a *API) rejectTooLong(ctx context.Context, w http.ResponseWriter, job wire.JobID) {
+	a.rejectUnlessAccepted(ctx, w, job, func() { writeError(w, http.StatusBadRequest, msgDescriptionTooLong) })
 }
 
-// accept writes a job's records, if there are none yet, and responds with the outcome.
+// accept writes a job's records unless they exist already, and responds with the outcome.
 func (a *API) accept(ctx context.Context, w http.ResponseWriter, job *wire.Job) {
 	maxValueKB := a.settings.Deployment.State.Effective().ValueKB
 	records, err := encodeRecords(state.OpenJobRecord{
 		Job: *job, AcceptedAt: a.unixMicro(), ShardSize: state.ProgressShardSize(job.Kind, maxValueKB),
 	}, wire.JobPending)
 	if err != nil {
-		a.log.Error("a record can't be encoded", "job", job.ID, "error", err)
-		refuseForNow(w, "internal error")
+		a.log.Error("failed to encode job record", "job", job.ID, "error", err)
+		writeUnavailable(w, "internal error")
 		return
 	}
 	if float64(len(records.openJob)) > maxValueKB*1024 {
-		a.refuseTooLong(ctx, w, job.ID)
+		a.rejectTooLong(ctx, w, job.ID)
 		return
 	}
 	switch err := a.writeRecords(ctx, job.ID, 0, records); {
 	case err == nil:
 		a.log.Debug("job accepted", "job", job.ID, "class", job.Class, "team", job.Team, "tasks", job.Tasks)
-		a.respondWithState(w, http.StatusCreated, job.ID, wire.JobPending)
+		a.writeJobStatus(w, http.StatusCreated, job.ID, wire.JobPending)
 	case errors.Is(err, state.ErrUnavailable):
-		refuseForNow(w, "the state service does not serve now")
+		writeUnavailable(w, "the state service does not serve now")
 	case errors.Is(err, state.ErrRejected):
-		// The store's limit has been lowered to less than the settings say.
-		a.log.Error("the key-value store refuses a job description",
+		// The record is within the configured size limit: the store's limit has been lowered below the configured one.
+		a.log.Error("key-value store rejected a job record that is within the configured size limit",
 			"key", state.OpenJobKey(job.ID), "bytes", len(records.openJob), "error", err)
-		a.refuseTooLong(ctx, w, job.ID)
+		a.rejectTooLong(ctx, w, job.ID)
 	default:
-		// The job has been accepted before, or the outcome is unknown: what is stored decides.
-		a.refuseUnlessAccepted(ctx, w, job.ID, func() { refuseForNow(w, outcomeUnknown) })
+		// Either the job was accepted before or the outcome of the write is unknown. The stored state determines the
+		// response.
+		a.rejectUnlessAccepted(ctx, w, job.ID, func() { writeUnavailable(w, msgOutcomeUnknown) })
 	}
 }
 
-// jobRecords are the encoded records of a job. They are always written together, so that they have the same version.
+// jobRecords holds the encoded records of a job. Both are always written in one transaction, so that they have the same
+// version.
 type jobRecords struct {
 	status  []byte
 	openJob []byte
@@ -112,7 +114,7 @@
 	return jobRecords{status: statusValue, openJob: openJobValue}, nil
 }
 
-// writeRecords replaces the records of a job at a version; with version 0 it creates them.
+// writeRecords writes both records of a job if both have the given version. Version 0 means that neither exists yet.
 func (a *API) writeRecords(ctx context.Context, job wire.JobID, version uint64, records jobRecords) error {
 	statusKey, openJobKey := state.JobStatusKey(job), state.OpenJobKey(job)
 	_, err := a.store.CompareAndSwap(ctx, wire.Transaction{
--- a/services.go
+++ b/services.go
@@ -19,7 +19,7 @@
 var (
 	_ worker.HeartbeatHandler = workerService{}
 	_ peer.Controller         = peerService{}
-	_ api.Info                = (*info)(nil)
+	_ api.ControllerStatus    = (*info)(nil)
 )
 
 // workerService serves the heartbeats of workers.
@@ -95,13 +95,13 @@
 	return &info{Catalog: n.types, health: n.health, leadership: n.leadership, memory: memoryGuard{n.settings}}
 }
 
-// Progress implements api.Info.
+// Progress implements api.ControllerStatus.
 func (i *info) Progress(job wire.JobID) (done, running int) { return i.health.Progress(job) }
 
-// Healthy implements api.Info. A controller that the store refuses alone is unhealthy, unless it leads.
+// Healthy implements api.ControllerStatus. A controller that the store refuses alone is unhealthy, unless it leads.
 func (i *info) Healthy() bool {
 	return i.Types() != nil && (i.health.StoreReachable() || i.leadership.Role().Term != nil)
 }
 
-// ShortOfMemory implements api.Info.
-func (i *info) ShortOfMemory() bool { return i.memory.short() }
+// UnderMemoryPressure implements api.ControllerStatus.
+func (i *info) UnderMemoryPressure() bool { return i.memory.short() }
