--- a/internal/ingress/admission.go
+++ b/internal/ingress/admission.go
@@ -1,9 +1,8 @@
-// Package ingress bounds what clients can demand of an HTTP server: how many connections are open (ConnLimiter), and
-// how many requests of low priority are served before everything else has its turn (Admission). It owns the state of
-// the server's connections in this regard; the server calls its hooks, and handlers mark their requests by LowPriority
-// and Yield.
+// Package ingress limits the load that clients can put on an HTTP server. ConnLimiter limits the number of open
+// connections; Admission limits how many low-priority requests run at the same time, so that the server's other work is
+// not delayed. The server calls their hooks, and handlers classify their requests by calling MarkLowPriority and Yield.
 //
-// It never looks into a request, and it never responds to one: what it refuses, it refuses by closing the connection.
+// The package neither inspects requests nor responds to them: it rejects a request by closing its connection.
 package ingress
 
 import (
@@ -16,37 +15,37 @@
 	"time"
 )
 
-// ErrOverloaded closes a connection whose request has waited for admission for as long as its client waits for a
-// response.
-var ErrOverloaded = errors.New("too many requests of low priority")
+// ErrOverloaded is the read error of a connection whose request has waited for admission for the maximum time, which is
+// as long as its client waits for a response. The server then closes the connection.
+var ErrOverloaded = errors.New("too many low-priority requests")
 
 const (
-	// batchPause is the pause between two batches, the shortest that timers are sure to keep.
+	// batchPause is the pause between two batches. It is the shortest pause that timers reliably keep.
 	batchPause = time.Millisecond
-	// maxBatchDuration bounds how long a stuck request holds up the next batch.
+	// maxBatchDuration bounds how long a request that does not end delays the next batch.
 	maxBatchDuration = 200 * time.Millisecond
 )
 
-// Admission admits requests of low priority in small batches. The others wait as soon as their first bytes have been
-// read, before they are parsed. It is safe for concurrent use.
+// Admission admits low-priority requests in small batches. A request that is not admitted yet blocks in the read of its
+// first bytes, before it is parsed. Admission is safe for concurrent use.
 //
-// Go's scheduler has no priorities, and it polls the network only when nothing is runnable. When a processor is short,
-// hundreds of requests that arrive together keep it busy for a second or more, and meanwhile the controller does not
-// see the responses that its own duties, such as leases and streams, wait for. So after each batch there is a pause in
-// which nothing of low priority is runnable.
+// Go's scheduler has no priorities, and it polls the network only when no goroutine is runnable. With little processor
+// time, hundreds of requests that arrive together keep the process busy for a second or more. Meanwhile the controller
+// does not receive the responses that its own work, such as renewing leases and reading streams, waits for. A pause
+// after each batch, in which no low-priority request is runnable, avoids this.
 type Admission struct {
-	// admissions carries the batch that a request joins: a request that receives from it is admitted.
+	// admissions is unbuffered: a request that receives a batch from it is admitted and joins that batch.
 	admissions chan *batch
 	batchSize  int
 	maxWait    time.Duration
 }
 
-// NewAdmission returns an admission in batches of batchSize requests, each of which waits for at most maxWait.
+// NewAdmission returns an Admission with batches of batchSize requests. A request waits for at most maxWait.
 func NewAdmission(batchSize int, maxWait time.Duration) *Admission {
 	return &Admission{admissions: make(chan *batch), batchSize: batchSize, maxWait: maxWait}
 }
 
-// Run admits requests until ctx ends. While it doesn't run, none is admitted.
+// Run admits requests until ctx is done. No request is admitted unless Run is running.
 func (a *Admission) Run(ctx context.Context) {
 	for {
 		next := newBatch(a.batchSize)
@@ -62,10 +61,10 @@
 	}
 }
 
-// batch counts requests that are admitted together.
+// batch counts the requests in flight among those that were admitted together.
 type batch struct {
 	inFlight atomic.Int32
-	done     chan struct{} // closed when none is in flight any more
+	done     chan struct{} // closed when inFlight reaches 0
 }
 
 func newBatch(size int) *batch {
@@ -81,7 +80,7 @@
 	}
 }
 
-// wait waits until all requests of the batch have ended, at most for maxBatchDuration.
+// wait waits until all requests of the batch have ended, but for at most maxBatchDuration.
 func (b *batch) wait() {
 	timeout := time.NewTimer(maxBatchDuration)
 	defer timeout.Stop()
@@ -91,10 +90,11 @@
 	}
 }
 
-// Listener returns a listener whose connections are subject to admission once LowPriority has been called for them.
+// Listener returns a listener whose connections are subject to admission once MarkLowPriority was called for them.
 func (a *Admission) Listener(inner net.Listener) net.Listener { return &listener{inner, a} }
 
-// ConnState ends a connection's request in its batch. It is to be called by the hook of that name in http.Server.
+// ConnState removes a connection's request from its batch when the request has ended. The ConnState hook of http.Server
+// must call it.
 func (a *Admission) ConnState(netConn net.Conn, connState http.ConnState) {
 	if connState != http.StateIdle && connState != http.StateClosed && connState != http.StateHijacked {
 		return
@@ -104,30 +104,31 @@
 	}
 }
 
-type connKey struct{}
+type connContextKey struct{}
 
-// ConnContext is the hook of that name in http.Server. LowPriority and Yield have no effect without it.
+// ConnContext is to be used as the ConnContext hook of http.Server. MarkLowPriority and Yield have no effect without
+// it.
 func ConnContext(ctx context.Context, netConn net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, netConn)
+	return context.WithValue(ctx, connContextKey{}, netConn)
 }
 
-// connOf returns the connection of a request's context, or nil if it is not subject to admission.
-func connOf(ctx context.Context) *conn {
-	c, _ := ctx.Value(connKey{}).(*conn)
+// connFromContext returns the connection of a request's context, or nil if the connection is not subject to admission.
+func connFromContext(ctx context.Context) *conn {
+	c, _ := ctx.Value(connContextKey{}).(*conn)
 	return c
 }
 
-// LowPriority makes all later requests on the connection of ctx wait for admission.
-func LowPriority(ctx context.Context) {
-	if c := connOf(ctx); c != nil {
+// MarkLowPriority makes all later requests on ctx's connection wait for admission.
+func MarkLowPriority(ctx context.Context) {
+	if c := connFromContext(ctx); c != nil {
 		c.setLowPriority()
 	}
 }
 
-// Yield takes the request of ctx out of its batch: from here on it waits for something other than the processor, such
-// as another controller, and must not hold up the next batch.
+// Yield removes ctx's request from its batch. A handler calls it before it waits for something other than the
+// processor, such as a response from another controller, so that it does not delay the next batch.
 func Yield(ctx context.Context) {
-	if c := connOf(ctx); c != nil {
+	if c := connFromContext(ctx); c != nil {
 		c.leaveBatch()
 	}
 }
@@ -153,14 +154,16 @@
 
 	mu          sync.Mutex
 	lowPriority bool
-	batch       *batch // of the request in flight; nil: there is none, or it did not have to wait
+	// batch is the batch of the request in flight. It is nil if no request is in flight, if the request did not have to
+	// wait for admission, or if it has yielded.
+	batch *batch
 }
 
-// Read implements net.Conn. After the first bytes of a request of low priority it waits for admission, and returns
-// ErrOverloaded if that does not come in time.
+// Read implements net.Conn. After it has read the first bytes of a low-priority request, it waits for admission. It
+// returns ErrOverloaded if the request is not admitted in time.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n > 0 && c.mustWait() && !c.awaitAdmission() {
+	if n > 0 && c.needsAdmission() && !c.awaitAdmission() {
 		return 0, ErrOverloaded
 	}
 	return n, err
@@ -172,19 +175,19 @@
 	c.lowPriority = true
 }
 
-func (c *conn) mustWait() bool {
+func (c *conn) needsAdmission() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lowPriority && c.batch == nil
 }
 
-// awaitAdmission waits for admission and reports whether it came in time.
+// awaitAdmission waits for admission and reports whether the request was admitted in time.
 func (c *conn) awaitAdmission() bool {
 	select {
 	case admitted := <-c.admission.admissions:
 		c.joinBatch(admitted)
 		return true
-	default: // Others are waiting, or there is a pause.
+	default: // No batch accepts requests at the moment.
 	}
 	timeout := time.NewTimer(c.admission.maxWait)
 	defer timeout.Stop()
--- a/internal/ingress/admission_test.go
+++ b/internal/ingress/admission_test.go
@@ -15,7 +15,7 @@
 	testMaxWait   = 3 * time.Second
 )
 
-// startAdmission runs an admission until the test ends.
+// startAdmission returns an Admission that runs until the test ends.
 func startAdmission(t *testing.T) *Admission {
 	t.Helper()
 	admission := NewAdmission(testBatchSize, testMaxWait)
@@ -32,137 +32,140 @@
 	return admission
 }
 
-// arrival is a connection of low priority on which one byte has arrived; err is the outcome of the server's read.
-type arrival struct {
+// incomingRequest is a request of one byte on a low-priority connection. readErr receives the error of the server's
+// read, which is nil once the request is admitted.
+type incomingRequest struct {
 	*conn
-	err chan error
+	readErr chan error
 }
 
-// arrive opens such a connection.
-func arrive(t *testing.T, admission *Admission) *arrival {
+// sendRequest opens a low-priority connection and writes one byte to it. A goroutine reads that byte as the server
+// does.
+func sendRequest(t *testing.T, admission *Admission) *incomingRequest {
 	t.Helper()
 	server, client := net.Pipe()
-	arrived := &arrival{&conn{Conn: server, admission: admission, lowPriority: true}, make(chan error, 1)}
+	request := &incomingRequest{&conn{Conn: server, admission: admission, lowPriority: true}, make(chan error, 1)}
 	ended := make(chan struct{})
 	t.Cleanup(func() {
 		_ = client.Close()
 		_ = server.Close()
-		<-ended // at the latest when its longest wait is over
+		<-ended // The read returns after testMaxWait at the latest
 	})
 	go func() { _, _ = client.Write([]byte{1}) }()
 	go func() {
 		defer close(ended)
-		_, err := arrived.Read(make([]byte, 1))
-		arrived.err <- err
+		_, err := request.Read(make([]byte, 1))
+		request.readErr <- err
 	}()
-	return arrived
+	return request
 }
 
-// admittedCount returns how many of the arrivals have been admitted by now.
-func admittedCount(arrivals []*arrival) int {
+// admittedCount returns how many of the requests are admitted and in flight at present.
+func admittedCount(requests []*incomingRequest) int {
 	synctest.Wait()
 	count := 0
-	for _, arrived := range arrivals {
-		arrived.mu.Lock()
-		if arrived.batch != nil {
+	for _, request := range requests {
+		request.mu.Lock()
+		if request.batch != nil {
 			count++
 		}
-		arrived.mu.Unlock()
+		request.mu.Unlock()
 	}
 	return count
 }
 
-func TestBatchEndsBeforeTheNext(t *testing.T) {
+func TestNextBatchWaitsForPreviousBatchAndPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		admission := startAdmission(t)
-		var arrivals []*arrival
+		var requests []*incomingRequest
 		for range 5 {
-			arrivals = append(arrivals, arrive(t, admission))
+			requests = append(requests, sendRequest(t, admission))
 		}
 		time.Sleep(maxBatchDuration / 2)
-		if count := admittedCount(arrivals); count != testBatchSize {
+		if count := admittedCount(requests); count != testBatchSize {
 			t.Fatalf("%d admitted, want %d", count, testBatchSize)
 		}
 		ended := 0
-		for _, arrived := range arrivals {
-			if !arrived.mustWait() {
-				admission.ConnState(arrived.conn, http.StateIdle)
+		for _, request := range requests {
+			if !request.needsAdmission() {
+				admission.ConnState(request.conn, http.StateIdle)
 				ended++
 			}
 		}
-		if count := admittedCount(arrivals); ended != testBatchSize || count != 0 {
-			t.Fatalf("%d ended, %d admitted before the pause is over", ended, count)
+		if count := admittedCount(requests); ended != testBatchSize || count != 0 {
+			t.Fatalf("%d ended, %d admitted before the end of the pause", ended, count)
 		}
 		time.Sleep(batchPause)
-		if count := admittedCount(arrivals); count != testBatchSize {
+		if count := admittedCount(requests); count != testBatchSize {
 			t.Fatalf("%d admitted after the pause, want %d", count, testBatchSize)
 		}
 	})
 }
 
-// A request that is stuck must not hold up the others for good.
-func TestStuckRequestHoldsUpOneBatchOnly(t *testing.T) {
+// A request that does not end delays the next batch for maxBatchDuration at most.
+func TestStuckRequestDelaysOnlyOneBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		admission := startAdmission(t)
-		stuck := []*arrival{arrive(t, admission), arrive(t, admission)}
+		stuck := []*incomingRequest{sendRequest(t, admission), sendRequest(t, admission)}
 		if count := admittedCount(stuck); count != testBatchSize {
 			t.Fatalf("%d admitted, want %d", count, testBatchSize)
 		}
-		next := []*arrival{arrive(t, admission)}
+		next := []*incomingRequest{sendRequest(t, admission)}
 		if count := admittedCount(next); count != 0 {
-			t.Fatal("admitted beside a full batch")
+			t.Fatal("request admitted while the batch is full")
 		}
 		time.Sleep(maxBatchDuration + batchPause)
 		if count := admittedCount(next); count != 1 {
-			t.Fatal("still held up by the batch that is stuck")
+			t.Fatal("request not admitted after the maximum duration of the stuck batch")
 		}
-		// What ends late belongs to its own batch.
+		// Requests of the stuck batch that end late are counted in their own batch, not in the current one.
 		admission.ConnState(stuck[0].conn, http.StateClosed)
 		admission.ConnState(stuck[1].conn, http.StateClosed)
 		admission.ConnState(next[0].conn, http.StateClosed)
 	})
 }
 
-func TestOverloadedAfterTheLongestWait(t *testing.T) {
+func TestOverloadedAfterMaxWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		admission := NewAdmission(testBatchSize, testMaxWait) // admits nobody
-		arrived := arrive(t, admission)
+		admission := NewAdmission(testBatchSize, testMaxWait) // admits nothing, because Run is not called
+		request := sendRequest(t, admission)
 		time.Sleep(testMaxWait - time.Millisecond)
 		synctest.Wait()
-		if len(arrived.err) != 0 {
-			t.Fatal("gave up early")
+		if len(request.readErr) != 0 {
+			t.Fatal("read failed before the maximum wait was over")
 		}
 		time.Sleep(time.Millisecond)
-		if err := <-arrived.err; !errors.Is(err, ErrOverloaded) {
-			t.Fatalf("got %v", err)
+		if err := <-request.readErr; !errors.Is(err, ErrOverloaded) {
+			t.Fatalf("got %v, want ErrOverloaded", err)
 		}
 	})
 }
 
-// A request that yields makes room, and can end after that without being counted twice.
-func TestYield(t *testing.T) {
+// A request that yields leaves its batch, so that the next batch starts. When the request ends later, it is not counted
+// a second time.
+func TestYieldLeavesBatchOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		admission := startAdmission(t)
-		yielding := []*arrival{arrive(t, admission), arrive(t, admission)}
+		yielding := []*incomingRequest{sendRequest(t, admission), sendRequest(t, admission)}
 		if count := admittedCount(yielding); count != testBatchSize {
 			t.Fatalf("%d admitted, want %d", count, testBatchSize)
 		}
-		for _, arrived := range yielding {
-			Yield(ConnContext(t.Context(), arrived.conn))
-			admission.ConnState(arrived.conn, http.StateIdle)
+		for _, request := range yielding {
+			Yield(ConnContext(t.Context(), request.conn))
+			admission.ConnState(request.conn, http.StateIdle)
 		}
 		time.Sleep(batchPause)
-		more := []*arrival{arrive(t, admission), arrive(t, admission)}
+		more := []*incomingRequest{sendRequest(t, admission), sendRequest(t, admission)}
 		if count := admittedCount(more); count != testBatchSize {
 			t.Fatalf("%d admitted after the others yielded, want %d", count, testBatchSize)
 		}
 	})
 }
 
-// Only connections that have carried a request of low priority wait.
-func TestOthersDoNotWait(t *testing.T) {
+// Requests wait for admission only on connections that have carried a low-priority request before.
+func TestNormalPriorityDoesNotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		admission := NewAdmission(testBatchSize, testMaxWait) // admits nobody
+		admission := NewAdmission(testBatchSize, testMaxWait) // admits nothing, because Run is not called
 		server, client := net.Pipe()
 		defer func() {
 			_ = client.Close()
@@ -171,11 +174,11 @@
 		c := &conn{Conn: server, admission: admission}
 		go func() { _, _ = client.Write([]byte{1, 2}) }()
 		if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil {
-			t.Fatalf("got %d, %v", n, err)
+			t.Fatalf("read %d bytes, error %v; want 1 byte without waiting for admission", n, err)
 		}
-		LowPriority(ConnContext(t.Context(), c))
+		MarkLowPriority(ConnContext(t.Context(), c))
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, ErrOverloaded) {
-			t.Fatalf("got %v after the connection was found to be of low priority", err)
+			t.Fatalf("got %v after the connection was marked as low priority, want ErrOverloaded", err)
 		}
 	})
 }
--- a/internal/ingress/connlimiter.go
+++ b/internal/ingress/connlimiter.go
@@ -7,22 +7,24 @@
 	"time"
 )
 
-// ConnLimiter keeps the number of a server's open connections at or below a limit: a new connection beyond it replaces
-// the one that has been idle longest; if none is idle, the new one is closed. It is safe for concurrent use.
+// ConnLimiter limits the number of a server's open connections. When a new connection exceeds the limit, the limiter
+// closes the connection that has been idle for the longest time, or the new one if none is idle. It is safe for
+// concurrent use.
 type ConnLimiter struct {
 	limit int
 
 	mu sync.Mutex
-	// idleSince holds the open connections; the zero time is that of one with a request in flight.
+	// idleSince holds the open connections. The time is zero for a connection that has a request in flight or has not
+	// received its first request yet.
 	idleSince map[net.Conn]time.Time
 }
 
-// NewConnLimiter returns a limiter of a server's connections to at most limit.
+// NewConnLimiter returns a limiter that allows at most limit open connections.
 func NewConnLimiter(limit int) *ConnLimiter {
 	return &ConnLimiter{limit: limit, idleSince: map[net.Conn]time.Time{}}
 }
 
-// ConnState applies a connection's change of state. It is to be called by the hook of that name in http.Server.
+// ConnState handles a connection's change of state. The ConnState hook of http.Server must call it.
 func (l *ConnLimiter) ConnState(conn net.Conn, connState http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -30,7 +32,7 @@
 	case http.StateNew:
 		l.idleSince[conn] = time.Time{}
 		if len(l.idleSince) > l.limit {
-			l.closeOne(conn)
+			l.closeLongestIdle(conn)
 		}
 	case http.StateActive:
 		l.idleSince[conn] = time.Time{}
@@ -41,16 +43,16 @@
 	}
 }
 
-// closeOne closes the connection that has been idle longest, or the newest if none is idle.
-func (l *ConnLimiter) closeOne(newest net.Conn) {
+// closeLongestIdle closes the connection that has been idle for the longest time, or the newest one if none is idle.
+func (l *ConnLimiter) closeLongestIdle(newest net.Conn) {
 	victim := newest
 	var victimSince time.Time
 	for conn, since := range l.idleSince {
-		isIdle := !since.IsZero()
-		if isIdle && (victimSince.IsZero() || since.Before(victimSince)) {
+		idle := !since.IsZero()
+		if idle && (victimSince.IsZero() || since.Before(victimSince)) {
 			victim, victimSince = conn, since
 		}
 	}
 	delete(l.idleSince, victim)
-	_ = victim.Close() // It is given up whatever the outcome.
+	_ = victim.Close() // The connection isn't used any more, whether or not closing it fails.
 }
--- a/internal/worker/server.go
+++ b/internal/worker/server.go
@@ -31,7 +31,7 @@
 // Register adds the heartbeat endpoint to a router. Heartbeats have low priority; see ingress.Admission.
 func Register(router *httprouter.Router, handler HeartbeatHandler) {
 	router.POST(wire.PathHeartbeat, func(w http.ResponseWriter, req *http.Request, _ httprouter.Params) {
-		ingress.LowPriority(req.Context())
+		ingress.MarkLowPriority(req.Context())
 		heartbeat, err := readHeartbeat(w, req)
 		if err != nil {
 			http.Error(w, `{"error":"malformed report"}`, http.StatusBadRequest)
