--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -15,25 +15,25 @@
 	"saffronbend/wire"
 )
 
-// DrainController carries out the operators' requests about drains on the leader. Its errors are those of this
-// package and of package drain.
+// DrainController executes operators' requests about drains on the leader. It returns errors of this package and of
+// package drain.
 type DrainController interface {
 	LeaderLocator
-	// StartDrain starts a drain and returns its status once that is durable. A repeated request changes nothing.
+	// StartDrain starts a drain and returns its status once the drain is durable. It is idempotent.
 	StartDrain(ctx context.Context, request drain.Request) (drain.Status, error)
-	// ChangeDrain pauses, resumes or cancels a drain and returns its status once that is durable.
-	ChangeDrain(ctx context.Context, name string, to drain.State) (drain.Status, error)
-	// ListDrains returns the drain of a name, or all drains if the name is empty.
+	// ChangeDrain pauses, resumes or cancels a drain and returns its status once the change is durable.
+	ChangeDrain(ctx context.Context, name string, newState drain.State) (drain.Status, error)
+	// ListDrains returns the drain with the given name, or all drains if the name is empty.
 	ListDrains(ctx context.Context, name string) ([]drain.Status, error)
 }
 
-// drainService implements the generated interface by a DrainController.
+// drainService implements the generated interface DrainServiceHandler by a DrainController.
 type drainService struct {
 	forwarder[operatorpbconnect.DrainServiceClient]
 	controller DrainController
 }
 
-// DrainHandler returns the handler of the service of drains, and the path below which it is served.
+// DrainHandler returns the HTTP handler of the drain service, and the path prefix at which to register it.
 func DrainHandler(controller DrainController, dial call.Dialer) (path string, handler http.Handler) {
 	service := &drainService{
 		forwarder: forwarder[operatorpbconnect.DrainServiceClient]{
@@ -46,13 +46,13 @@
 	return operatorpbconnect.NewDrainServiceHandler(service, connect.WithReadMaxBytes(maxMessageBytes))
 }
 
-// NewDrainClient returns a client for the service of drains on a cluster address. The function closeIdle closes its
-// idle connections.
+// NewDrainClient returns a client for the drain service on a cluster address. The returned function closeIdle closes
+// the client's idle connections.
 func NewDrainClient(dial call.Dialer, addr string) (client operatorpbconnect.DrainServiceClient, closeIdle func()) {
 	return newClient(operatorpbconnect.NewDrainServiceClient, dial, addr)
 }
 
-// StartDrain implements the generated interface.
+// StartDrain implements DrainServiceHandler.
 func (s *drainService) StartDrain(
 	ctx context.Context, request *connect.Request[operatorpb.StartDrainRequest],
 ) (*connect.Response[operatorpb.DrainStatus], error) {
@@ -61,12 +61,12 @@
 		if err != nil {
 			return nil, err
 		}
-		return encodeDrainStatus(s.controller.StartDrain(ctx, decoded))
+		return drainStatusResult(s.controller.StartDrain(ctx, decoded))
 	}
 	return serveOrForward(ctx, s.forwarder, request, local, operatorpbconnect.DrainServiceClient.StartDrain)
 }
 
-// GetDrains implements the generated interface.
+// GetDrains implements DrainServiceHandler.
 func (s *drainService) GetDrains(
 	ctx context.Context, request *connect.Request[operatorpb.GetDrainsRequest],
 ) (*connect.Response[operatorpb.GetDrainsResponse], error) {
@@ -84,40 +84,41 @@
 	return serveOrForward(ctx, s.forwarder, request, local, operatorpbconnect.DrainServiceClient.GetDrains)
 }
 
-// PauseDrain implements the generated interface.
+// PauseDrain implements DrainServiceHandler.
 func (s *drainService) PauseDrain(
 	ctx context.Context, request *connect.Request[operatorpb.NamedDrainRequest],
 ) (*connect.Response[operatorpb.DrainStatus], error) {
-	local := s.changeDrain(request, drain.Paused)
+	local := s.setState(request, drain.Paused)
 	return serveOrForward(ctx, s.forwarder, request, local, operatorpbconnect.DrainServiceClient.PauseDrain)
 }
 
-// ResumeDrain implements the generated interface.
+// ResumeDrain implements DrainServiceHandler.
 func (s *drainService) ResumeDrain(
 	ctx context.Context, request *connect.Request[operatorpb.NamedDrainRequest],
 ) (*connect.Response[operatorpb.DrainStatus], error) {
-	local := s.changeDrain(request, drain.Running)
+	local := s.setState(request, drain.Running)
 	return serveOrForward(ctx, s.forwarder, request, local, operatorpbconnect.DrainServiceClient.ResumeDrain)
 }
 
-// CancelDrain implements the generated interface.
+// CancelDrain implements DrainServiceHandler.
 func (s *drainService) CancelDrain(
 	ctx context.Context, request *connect.Request[operatorpb.NamedDrainRequest],
 ) (*connect.Response[operatorpb.DrainStatus], error) {
-	local := s.changeDrain(request, drain.Cancelled)
+	local := s.setState(request, drain.Cancelled)
 	return serveOrForward(ctx, s.forwarder, request, local, operatorpbconnect.DrainServiceClient.CancelDrain)
 }
 
-// changeDrain returns the function that carries a change of state out on the leader.
-func (s *drainService) changeDrain(
-	request *connect.Request[operatorpb.NamedDrainRequest], to drain.State,
+// setState returns the function that changes the state of a drain on the leader.
+func (s *drainService) setState(
+	request *connect.Request[operatorpb.NamedDrainRequest], newState drain.State,
 ) func(context.Context) (*operatorpb.DrainStatus, error) {
 	return func(ctx context.Context) (*operatorpb.DrainStatus, error) {
-		return encodeDrainStatus(s.controller.ChangeDrain(ctx, request.Msg.Name, to))
+		return drainStatusResult(s.controller.ChangeDrain(ctx, request.Msg.Name, newState))
 	}
 }
 
-// decodeStartDrain checks what the types of package drain can't express, and leaves the rest to the planner.
+// decodeStartDrain converts a request. It rejects values that the types of package drain can't represent; all other
+// values are validated by package drain.
 func decodeStartDrain(message *operatorpb.StartDrainRequest) (drain.Request, error) {
 	if message.Step > drain.MaxStep {
 		return drain.Request{}, errStepTooLarge
@@ -138,7 +139,7 @@
 	}, nil
 }
 
-// machineIDs returns the identifiers of machines that a message names.
+// machineIDs converts the machine names of a message.
 func machineIDs(names []string) []wire.MachineID {
 	var ids []wire.MachineID
 	for _, name := range names {
@@ -147,7 +148,7 @@
 	return ids
 }
 
-// budgetsByTeam returns the disruption budgets of a message.
+// budgetsByTeam converts the disruption budgets of a message.
 func budgetsByTeam(message map[string]string) map[wire.TeamName]string {
 	budgets := make(map[wire.TeamName]string, len(message))
 	for team, budget := range message {
@@ -156,8 +157,8 @@
 	return budgets
 }
 
-// encodeDrainStatus returns the message for a controller's result.
-func encodeDrainStatus(status drain.Status, err error) (*operatorpb.DrainStatus, error) {
+// drainStatusResult converts the result of a DrainController's method.
+func drainStatusResult(status drain.Status, err error) (*operatorpb.DrainStatus, error) {
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operator/errors.go
+++ b/internal/operator/errors.go
@@ -11,27 +11,27 @@
 	"saffronbend/internal/drain"
 )
 
-// Errors of the controllers, which operators see.
+// Errors of DrainController and RebalancingController. Their texts are shown to operators.
 var (
 	// ErrDrainsDisabled is returned while the options don't enable drains.
 	ErrDrainsDisabled = errors.New("drains are switched off: set drains { enabled: true } in the options")
 	// ErrRebalancingDisabled is returned while the options don't enable rebalancing.
 	ErrRebalancingDisabled = errors.New("moves are switched off: set spread { enabled: true } in the options")
-	// ErrUnavailable is returned if no leader can carry a request out now. It may have been carried out all the same;
-	// it can be repeated.
+	// ErrUnavailable is returned if no leader can execute a request at present. The request may have been executed
+	// nevertheless; it is safe to retry.
 	ErrUnavailable = errors.New("no leader can make this durable now")
 )
 
-// errStepTooLarge is returned for a request to empty too many machines at the same time.
+// errStepTooLarge is returned for a request to drain too many machines at the same time.
 var errStepTooLarge = errors.New("a step has at most " + strconv.Itoa(drain.MaxStep) + " machines")
 
 const (
-	// retryAfterHeader says when to repeat a request, in whole seconds.
+	// retryAfterHeader is the header for the delay before a retry, in whole seconds.
 	retryAfterHeader = "Retry-After"
 	retryAfter       = 2 * time.Second
 )
 
-// errorCodes maps errors to the codes with which the services return them.
+// errorCodes maps errors to the status codes of the services' responses.
 var errorCodes = []struct {
 	err  error
 	code connect.Code
@@ -53,33 +53,34 @@
 	{disruption.ErrInvalidBudget, connect.CodeInvalidArgument},
 }
 
-// encodeError returns an error with its code. An error without a code is a failure of the leader, such as a context
-// that has ended: the request can be repeated.
-func encodeError(err error) *connect.Error {
-	for _, known := range errorCodes {
-		if errors.Is(err, known.err) {
-			return withRetryAfter(connect.NewError(known.code, err))
+// toConnectError returns an error with its status code. An error that errorCodes doesn't list is a failure of the
+// leader, such as an expired context. It gets the code Unavailable, because the request can be retried.
+func toConnectError(err error) *connect.Error {
+	for _, mapping := range errorCodes {
+		if errors.Is(err, mapping.err) {
+			return withRetryAfter(connect.NewError(mapping.code, err))
 		}
 	}
 	return withRetryAfter(connect.NewError(connect.CodeUnavailable, err))
 }
 
-// translateForwardError returns the leader's answer to a forwarded request. Without an answer it isn't known whether
-// the request was carried out; it can be repeated.
-func translateForwardError(err error) *connect.Error {
-	var answer *connect.Error
-	if !errors.As(err, &answer) {
-		return encodeError(ErrUnavailable)
+// translateForwardingError returns the error of a forwarded request. This is the leader's error if the leader has
+// responded. Otherwise it is ErrUnavailable, since it is unknown whether the leader has executed the request. The codes
+// Unknown and DeadlineExceeded count as no response.
+func translateForwardingError(err error) *connect.Error {
+	var connectErr *connect.Error
+	if !errors.As(err, &connectErr) {
+		return toConnectError(ErrUnavailable)
 	}
-	switch answer.Code() {
+	switch connectErr.Code() {
 	case connect.CodeUnknown, connect.CodeDeadlineExceeded:
-		return encodeError(ErrUnavailable)
+		return toConnectError(ErrUnavailable)
 	default:
-		return withRetryAfter(connect.NewError(answer.Code(), errors.New(answer.Message())))
+		return withRetryAfter(connect.NewError(connectErr.Code(), errors.New(connectErr.Message())))
 	}
 }
 
-// withRetryAfter sets when to repeat a request that is unavailable now.
+// withRetryAfter sets the retry header if the error's code is Unavailable.
 func withRetryAfter(err *connect.Error) *connect.Error {
 	if err.Code() == connect.CodeUnavailable {
 		err.Meta().Set(retryAfterHeader, strconv.Itoa(int(retryAfter.Seconds())))
@@ -87,12 +88,13 @@
 	return err
 }
 
-// RetryAfter returns how long after an error the request should be repeated; ok is false if the error doesn't say so.
+// RetryAfter returns the delay after which a failed request should be retried. ok is false if the error doesn't specify
+// a delay.
 func RetryAfter(err error) (wait time.Duration, ok bool) {
-	var answer *connect.Error
-	if !errors.As(err, &answer) {
+	var connectErr *connect.Error
+	if !errors.As(err, &connectErr) {
 		return 0, false
 	}
-	seconds, parseErr := strconv.Atoi(answer.Meta().Get(retryAfterHeader))
+	seconds, parseErr := strconv.Atoi(connectErr.Meta().Get(retryAfterHeader))
 	return time.Duration(seconds) * time.Second, parseErr == nil
 }
--- a/internal/operator/forward.go
+++ b/internal/operator/forward.go
@@ -8,34 +8,35 @@
 	"saffronbend/internal/call"
 )
 
-// forwardedHeader marks a request that another controller has forwarded. It isn't forwarded again: two controllers
-// that take each other for the leader must not send it back and forth.
+// forwardedHeader marks a request that another controller has forwarded. Such a request isn't forwarded again, since
+// two controllers that each consider the other one the leader would forward it back and forth.
 const forwardedHeader = "Saffronbend-Forwarded"
 
-// forwarder forwards requests to the leader's instance of a service.
+// forwarder holds what is needed to forward a service's requests to the leader.
 type forwarder[Client any] struct {
 	leader    LeaderLocator
 	dial      call.Dialer
 	newClient func(dial call.Dialer, addr string) (client Client, closeIdle func())
 }
 
-// serveOrForward answers a request by the function local on the leader, and by the client's method remote elsewhere.
-// The errors are *connect.Error, with ErrUnavailable as the text if no leader has answered.
+// serveOrForward calls local if this controller is the leader; otherwise it forwards the request to the leader by the
+// client's method remote. Errors have the type *connect.Error, with the text of ErrUnavailable if no leader has
+// responded.
 func serveOrForward[Client, Request, Response any](
 	ctx context.Context, f forwarder[Client], request *connect.Request[Request],
 	local func(context.Context) (*Response, error),
 	remote func(Client, context.Context, *connect.Request[Request]) (*connect.Response[Response], error),
 ) (*connect.Response[Response], error) {
-	addr, here := f.leader.Leader()
-	if here {
+	addr, isLeader := f.leader.Leader()
+	if isLeader {
 		response, err := local(ctx)
 		if err != nil {
-			return nil, encodeError(err)
+			return nil, toConnectError(err)
 		}
 		return connect.NewResponse(response), nil
 	}
 	if addr == "" || request.Header().Get(forwardedHeader) != "" {
-		return nil, encodeError(ErrUnavailable)
+		return nil, toConnectError(ErrUnavailable)
 	}
 	client, closeIdle := f.newClient(f.dial, addr)
 	defer closeIdle()
@@ -43,7 +44,7 @@
 	forwarded.Header().Set(forwardedHeader, "yes")
 	response, err := remote(client, ctx, forwarded)
 	if err != nil {
-		return nil, translateForwardError(err)
+		return nil, translateForwardingError(err)
 	}
 	return connect.NewResponse(response.Msg), nil
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,7 +1,8 @@
-// Package operator serves the operators' requests: one service for drains and one for rebalancing, both defined in
-// operatorpb/operator.proto. Every controller serves them on its cluster address. The leader carries a request out by
-// a DrainController or a RebalancingController, which the program's node implements; any other controller forwards it
-// to the leader, once. The package translates messages and errors; it holds no state and decides nothing.
+// Package operator implements the RPC services for operators, one for drains and one for rebalancing. Both are defined
+// in operatorpb/operator.proto, and every controller serves them on its cluster address. The leader executes a request
+// by calling a DrainController or a RebalancingController, which the root package implements. Any other controller
+// forwards the request to the leader; a forwarded request is not forwarded again. The package converts messages and
+// errors, and is stateless.
 package operator
 
 import (
@@ -14,21 +15,21 @@
 )
 
 const (
-	// callTimeout bounds a request to another controller, connecting included.
+	// callTimeout is the timeout of a request to another controller, including the time to connect.
 	callTimeout = 5 * time.Second
-	// maxMessageBytes bounds a request.
+	// maxMessageBytes is the maximum size of a request.
 	maxMessageBytes = 1 << 20
 )
 
-// LeaderLocator locates the leader.
+// LeaderLocator finds the leader.
 type LeaderLocator interface {
-	// Leader returns the cluster address of the leader; here says that it is this controller. If the address is empty
-	// and here is false, no leader is known.
-	Leader() (addr string, here bool)
+	// Leader returns the cluster address of the leader, or "" if no leader is known. If isLeader is true, this controller
+	// is the leader, and the address is not used.
+	Leader() (addr string, isLeader bool)
 }
 
-// newClient returns a client, made by its generated constructor, for a service on a cluster address. The function
-// closeIdle closes its idle connections.
+// newClient calls a generated constructor to create a client for the service on a cluster address. The returned
+// function closeIdle closes the client's idle connections.
 func newClient[Client any](
 	construct func(connect.HTTPClient, string, ...connect.ClientOption) Client,
 	dial call.Dialer, addr string,
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -23,28 +23,28 @@
 	"saffronbend/wire"
 )
 
-// fakeController is a controller of drains and rebalancing that records the requests it carries out.
+// fakeController implements DrainController and RebalancingController, and records the requests that it executes.
 type fakeController struct {
 	leaderAddr string
-	leads      bool
-	err        error // with which requests fail
+	isLeader   bool
+	err        error // returned by every request
 
-	started  []drain.Request
-	changed  []drain.State
-	listed   []int // machines of each status of rebalancing
-	statuses []drain.Status
+	startRequests []drain.Request
+	newStates     []drain.State
+	machineLimits []int // number of machines of each request for the rebalancing status
+	statuses      []drain.Status
 }
 
-func (c *fakeController) Leader() (addr string, here bool) { return c.leaderAddr, c.leads }
+func (c *fakeController) Leader() (addr string, isLeader bool) { return c.leaderAddr, c.isLeader }
 
 func (c *fakeController) StartDrain(_ context.Context, request drain.Request) (drain.Status, error) {
-	c.started = append(c.started, request)
+	c.startRequests = append(c.startRequests, request)
 	return drain.Status{Name: request.Name, State: drain.Running}, c.err
 }
 
-func (c *fakeController) ChangeDrain(_ context.Context, name string, to drain.State) (drain.Status, error) {
-	c.changed = append(c.changed, to)
-	return drain.Status{Name: name, State: to}, c.err
+func (c *fakeController) ChangeDrain(_ context.Context, name string, newState drain.State) (drain.Status, error) {
+	c.newStates = append(c.newStates, newState)
+	return drain.Status{Name: name, State: newState}, c.err
 }
 
 func (c *fakeController) ListDrains(context.Context, string) ([]drain.Status, error) {
@@ -52,7 +52,7 @@
 }
 
 func (c *fakeController) RebalancingStatus(_ context.Context, machines int) (rebalance.Status, error) {
-	c.listed = append(c.listed, machines)
+	c.machineLimits = append(c.machineLimits, machines)
 	return rebalance.Status{}, c.err
 }
 
@@ -60,8 +60,8 @@
 	return rebalance.Status{Paused: paused}, c.err
 }
 
-// serve serves both services of a controller until the test ends, and returns the address.
-func serve(t *testing.T, controller *fakeController) (addr string) {
+// serveController serves both services of a controller until the test ends, and returns their address.
+func serveController(t *testing.T, controller *fakeController) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -85,7 +85,7 @@
 	return listener.Addr().String()
 }
 
-// pauseDrain pauses a drain by the controller on an address.
+// pauseDrain sends a request to pause a drain to the controller at an address.
 func pauseDrain(t *testing.T, addr string) (*operatorpb.DrainStatus, error) {
 	t.Helper()
 	client, closeIdle := NewDrainClient(new(net.Dialer).DialContext, addr)
@@ -98,48 +98,48 @@
 	return response.Msg, nil
 }
 
-// checkUnavailable checks that an error asks for a repetition later.
-func checkUnavailable(t *testing.T, err error) {
+// requireUnavailable checks that an error has the code Unavailable and a retry delay.
+func requireUnavailable(t *testing.T, err error) {
 	t.Helper()
 	if connect.CodeOf(err) != connect.CodeUnavailable {
 		t.Errorf("error %v, want unavailable", err)
 	}
 	if wait, ok := RetryAfter(err); !ok || wait != 2*time.Second {
-		t.Errorf("retry after %v, %v; want 2s", wait, ok)
+		t.Errorf("retry delay %v, set %v; want 2s", wait, ok)
 	}
 }
 
-func TestLeaderCarriesOut(t *testing.T) {
-	leader := &fakeController{leads: true}
-	status, err := pauseDrain(t, serve(t, leader))
+func TestLeaderServesRequests(t *testing.T) {
+	leader := &fakeController{isLeader: true}
+	status, err := pauseDrain(t, serveController(t, leader))
 	if err != nil || status.Name != "x" || status.State != "paused" {
 		t.Errorf("%v, %v", status, err)
 	}
 }
 
-func TestOthersForwardToTheLeader(t *testing.T) {
-	leader := &fakeController{leads: true}
-	follower := serve(t, &fakeController{leaderAddr: serve(t, leader)})
+func TestFollowersForwardToLeader(t *testing.T) {
+	leader := &fakeController{isLeader: true}
+	follower := serveController(t, &fakeController{leaderAddr: serveController(t, leader)})
 	status, err := pauseDrain(t, follower)
-	if err != nil || status.State != "paused" || len(leader.changed) != 1 {
-		t.Errorf("%v, %v; the leader has carried out %v", status, err, leader.changed)
+	if err != nil || status.State != "paused" || len(leader.newStates) != 1 {
+		t.Errorf("%v, %v; the leader has executed %v", status, err, leader.newStates)
 	}
 	leader.err = fmt.Errorf("%w: it is cancelled", drain.ErrDrainEnded)
 	_, err = pauseDrain(t, follower)
-	var answer *connect.Error
-	if !errors.As(err, &answer) || answer.Code() != connect.CodeFailedPrecondition ||
-		answer.Message() != "the drain is over: it is cancelled" {
-		t.Errorf("error %v, want that of the leader", err)
+	var connectErr *connect.Error
+	if !errors.As(err, &connectErr) || connectErr.Code() != connect.CodeFailedPrecondition ||
+		connectErr.Message() != "the drain is over: it is cancelled" {
+		t.Errorf("error %v, want the leader's error", err)
 	}
 	leader.err = ErrUnavailable
 	_, err = pauseDrain(t, follower)
-	checkUnavailable(t, err)
+	requireUnavailable(t, err)
 }
 
-func TestUnavailableWithoutALeader(t *testing.T) {
+func TestUnavailableWithoutLeader(t *testing.T) {
 	t.Run("no leader is known", func(t *testing.T) {
-		_, err := pauseDrain(t, serve(t, &fakeController{}))
-		checkUnavailable(t, err)
+		_, err := pauseDrain(t, serveController(t, &fakeController{}))
+		requireUnavailable(t, err)
 	})
 	t.Run("the leader can't be reached", func(t *testing.T) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -150,15 +150,15 @@
 		if err := listener.Close(); err != nil {
 			t.Fatal(err)
 		}
-		_, err = pauseDrain(t, serve(t, &fakeController{leaderAddr: addr}))
-		checkUnavailable(t, err)
+		_, err = pauseDrain(t, serveController(t, &fakeController{leaderAddr: addr}))
+		requireUnavailable(t, err)
 	})
-	t.Run("the presumed leader follows another", func(t *testing.T) {
-		third := &fakeController{leads: true}
-		second := &fakeController{leaderAddr: serve(t, third)}
-		_, err := pauseDrain(t, serve(t, &fakeController{leaderAddr: serve(t, second)}))
-		checkUnavailable(t, err)
-		if len(third.changed) != 0 {
+	t.Run("the presumed leader is a follower", func(t *testing.T) {
+		thirdController := &fakeController{isLeader: true}
+		secondController := &fakeController{leaderAddr: serveController(t, thirdController)}
+		_, err := pauseDrain(t, serveController(t, &fakeController{leaderAddr: serveController(t, secondController)}))
+		requireUnavailable(t, err)
+		if len(thirdController.newStates) != 0 {
 			t.Error("a request was forwarded twice")
 		}
 	})
@@ -177,19 +177,19 @@
 	} {
 		for _, err := range errs {
 			t.Run(err.Error(), func(t *testing.T) {
-				encoded := encodeError(fmt.Errorf("wrapped: %w", err))
+				encoded := toConnectError(fmt.Errorf("wrapped: %w", err))
 				if encoded.Code() != want {
 					t.Errorf("code %v, want %v", encoded.Code(), want)
 				}
 				_, retry := RetryAfter(encoded)
 				if unavailable := want == connect.CodeUnavailable; retry != unavailable {
-					t.Errorf("retry-after is set: %v, want %v", retry, unavailable)
+					t.Errorf("retry delay is set: %v, want %v", retry, unavailable)
 				}
 			})
 		}
 	}
-	if _, ok := RetryAfter(errors.New("of no service")); ok {
-		t.Error("an error without a header says when to retry")
+	if _, ok := RetryAfter(errors.New("not a service error")); ok {
+		t.Error("an error without the header has a retry delay")
 	}
 }
 
@@ -201,9 +201,9 @@
 	}{
 		{name: "seconds", message: &operatorpb.StartDrainRequest{DeadlineS: 1.5, OlderThanS: 60, Step: drain.MaxStep}},
 		{name: "a step too large", message: &operatorpb.StartDrainRequest{Step: drain.MaxStep + 1}, err: errStepTooLarge},
-		{name: "no number as deadline", message: &operatorpb.StartDrainRequest{DeadlineS: math.NaN()},
+		{name: "NaN as deadline", message: &operatorpb.StartDrainRequest{DeadlineS: math.NaN()},
 			err: drain.ErrNegativeDuration},
-		{name: "no number as age", message: &operatorpb.StartDrainRequest{OlderThanS: math.NaN()},
+		{name: "NaN as age", message: &operatorpb.StartDrainRequest{OlderThanS: math.NaN()},
 			err: drain.ErrNegativeDuration},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -219,12 +219,12 @@
 }
 
 func TestDrainRequests(t *testing.T) {
-	leader := &fakeController{leads: true, statuses: []drain.Status{{
+	leader := &fakeController{isLeader: true, statuses: []drain.Status{{
 		Name: "x", State: drain.Running, Machines: 5, Gone: 1, Emptying: 2, TasksLeft: 7, Overdue: true,
 		Blocked: []drain.BlockedEviction{{Machine: "n-1", Team: "red", Task: "run-1/0", Reason: "it ends soon"}},
 		Budgets: []drain.TeamBudget{{Team: "red", Disrupted: 3, Allowed: 4}},
 	}}}
-	client, closeIdle := NewDrainClient(new(net.Dialer).DialContext, serve(t, leader))
+	client, closeIdle := NewDrainClient(new(net.Dialer).DialContext, serveController(t, leader))
 	defer closeIdle()
 	budgets := map[string]string{"red": "4"}
 	start := connect.NewRequest(&operatorpb.StartDrainRequest{Name: "x", Zone: "a", Budgets: budgets})
@@ -232,8 +232,8 @@
 		t.Fatal(err)
 	}
 	want := []drain.Request{{Name: "x", Zone: "a", Budgets: map[wire.TeamName]string{"red": "4"}}}
-	if !reflect.DeepEqual(leader.started, want) {
-		t.Errorf("started %+v, want %+v", leader.started, want)
+	if !reflect.DeepEqual(leader.startRequests, want) {
+		t.Errorf("started %+v, want %+v", leader.startRequests, want)
 	}
 	response, err := client.GetDrains(t.Context(), connect.NewRequest(&operatorpb.GetDrainsRequest{}))
 	if err != nil {
@@ -250,8 +250,8 @@
 }
 
 func TestRebalancingRequests(t *testing.T) {
-	leader := &fakeController{leads: true}
-	client, closeIdle := NewRebalancingClient(new(net.Dialer).DialContext, serve(t, leader))
+	leader := &fakeController{isLeader: true}
+	client, closeIdle := NewRebalancingClient(new(net.Dialer).DialContext, serveController(t, leader))
 	defer closeIdle()
 	for _, machines := range []uint32{0, 5, 1 << 31} {
 		request := connect.NewRequest(&operatorpb.GetSpreadRequest{Machines: machines})
@@ -259,8 +259,8 @@
 			t.Fatal(err)
 		}
 	}
-	if want := []int{defaultListedMachines, 5, maxListedMachines}; fmt.Sprint(leader.listed) != fmt.Sprint(want) {
-		t.Errorf("machines %v, want %v", leader.listed, want)
+	if want := []int{defaultListedMachines, 5, maxListedMachines}; fmt.Sprint(leader.machineLimits) != fmt.Sprint(want) {
+		t.Errorf("machines %v, want %v", leader.machineLimits, want)
 	}
 	paused, err := client.PauseSpread(t.Context(), connect.NewRequest(&operatorpb.ChangeSpreadRequest{}))
 	if err != nil || !paused.Msg.Paused {
--- a/internal/operator/operatorpb/doc.go
+++ b/internal/operator/operatorpb/doc.go
@@ -1,2 +1,3 @@
-// Package operatorpb holds the messages of the operators' service; operator.pb.go is generated from operator.proto.
+// Package operatorpb contains the messages of the operators' RPC services. The file operator.pb.go is generated from
+// operator.proto.
 package operatorpb
--- a/internal/operator/operatorpb/operatorpbconnect/doc.go
+++ b/internal/operator/operatorpb/operatorpbconnect/doc.go
@@ -1,3 +1,3 @@
-// Package operatorpbconnect holds client and server of the operators' service; operator.connect.go is generated from
-// operator.proto.
+// Package operatorpbconnect contains the clients and the server handlers of the operators' RPC services. The file
+// operator.connect.go is generated from operator.proto.
 package operatorpbconnect
--- a/internal/operator/rebalancing.go
+++ b/internal/operator/rebalancing.go
@@ -13,30 +13,31 @@
 )
 
 const (
-	// defaultListedMachines is how many machines' loads are listed unless a request says otherwise.
+	// defaultListedMachines is the number of machines whose load is listed if the request does not specify one.
 	defaultListedMachines = 20
-	// maxListedMachines bounds the machines that are listed: a response must fit into a message.
+	// maxListedMachines is the maximum number of machines that are listed, because a response must fit into a message.
 	maxListedMachines = 2000
 )
 
-// RebalancingController carries out the operators' requests about rebalancing on the leader. Its errors are those of
-// this package.
+// RebalancingController executes operators' requests about rebalancing on the leader. It returns errors of this
+// package.
 type RebalancingController interface {
 	LeaderLocator
-	// RebalancingStatus returns the status, with the given number of machines that have the highest load.
+	// RebalancingStatus returns the status, including the given number of machines with the highest load.
 	RebalancingStatus(ctx context.Context, machines int) (rebalance.Status, error)
-	// PauseRebalancing pauses rebalancing or resumes it, and returns the status once that is durable.
+	// PauseRebalancing pauses rebalancing, or resumes it if paused is false. It returns the status once the change is
+	// durable.
 	PauseRebalancing(ctx context.Context, paused bool) (rebalance.Status, error)
 }
 
-// rebalancingService implements the generated interface, in which rebalancing is called spread, by a
-// RebalancingController.
+// rebalancingService implements the generated interface SpreadServiceHandler by a RebalancingController. The protocol
+// calls rebalancing "spread".
 type rebalancingService struct {
 	forwarder[operatorpbconnect.SpreadServiceClient]
 	controller RebalancingController
 }
 
-// RebalancingHandler returns the handler of the service of rebalancing, and the path below which it is served.
+// RebalancingHandler returns the HTTP handler of the rebalancing service, and the path prefix at which to register it.
 func RebalancingHandler(controller RebalancingController, dial call.Dialer) (path string, handler http.Handler) {
 	service := &rebalancingService{
 		forwarder: forwarder[operatorpbconnect.SpreadServiceClient]{
@@ -49,15 +50,15 @@
 	return operatorpbconnect.NewSpreadServiceHandler(service, connect.WithReadMaxBytes(maxMessageBytes))
 }
 
-// NewRebalancingClient returns a client for the service of rebalancing on a cluster address. The function closeIdle
-// closes its idle connections.
+// NewRebalancingClient returns a client for the rebalancing service on a cluster address. The returned function
+// closeIdle closes the client's idle connections.
 func NewRebalancingClient(
 	dial call.Dialer, addr string,
 ) (client operatorpbconnect.SpreadServiceClient, closeIdle func()) {
 	return newClient(operatorpbconnect.NewSpreadServiceClient, dial, addr)
 }
 
-// GetSpread implements the generated interface.
+// GetSpread implements SpreadServiceHandler.
 func (s *rebalancingService) GetSpread(
 	ctx context.Context, request *connect.Request[operatorpb.GetSpreadRequest],
 ) (*connect.Response[operatorpb.SpreadStatus], error) {
@@ -66,34 +67,35 @@
 		if machines == 0 {
 			machines = defaultListedMachines
 		}
-		return encodeRebalancingStatus(s.controller.RebalancingStatus(ctx, machines))
+		return rebalancingStatusResult(s.controller.RebalancingStatus(ctx, machines))
 	}
 	return serveOrForward(ctx, s.forwarder, request, local, operatorpbconnect.SpreadServiceClient.GetSpread)
 }
 
-// PauseSpread implements the generated interface.
+// PauseSpread implements SpreadServiceHandler.
 func (s *rebalancingService) PauseSpread(
 	ctx context.Context, request *connect.Request[operatorpb.ChangeSpreadRequest],
 ) (*connect.Response[operatorpb.SpreadStatus], error) {
-	return serveOrForward(ctx, s.forwarder, request, s.pause(true), operatorpbconnect.SpreadServiceClient.PauseSpread)
+	return serveOrForward(ctx, s.forwarder, request, s.setPaused(true), operatorpbconnect.SpreadServiceClient.PauseSpread)
 }
 
-// ResumeSpread implements the generated interface.
+// ResumeSpread implements SpreadServiceHandler.
 func (s *rebalancingService) ResumeSpread(
 	ctx context.Context, request *connect.Request[operatorpb.ChangeSpreadRequest],
 ) (*connect.Response[operatorpb.SpreadStatus], error) {
-	return serveOrForward(ctx, s.forwarder, request, s.pause(false), operatorpbconnect.SpreadServiceClient.ResumeSpread)
+	return serveOrForward(
+		ctx, s.forwarder, request, s.setPaused(false), operatorpbconnect.SpreadServiceClient.ResumeSpread)
 }
 
-// pause returns the function that pauses or resumes rebalancing on the leader.
-func (s *rebalancingService) pause(paused bool) func(context.Context) (*operatorpb.SpreadStatus, error) {
+// setPaused returns the function that pauses or resumes rebalancing on the leader.
+func (s *rebalancingService) setPaused(paused bool) func(context.Context) (*operatorpb.SpreadStatus, error) {
 	return func(ctx context.Context) (*operatorpb.SpreadStatus, error) {
-		return encodeRebalancingStatus(s.controller.PauseRebalancing(ctx, paused))
+		return rebalancingStatusResult(s.controller.PauseRebalancing(ctx, paused))
 	}
 }
 
-// encodeRebalancingStatus returns the message for a controller's result.
-func encodeRebalancingStatus(status rebalance.Status, err error) (*operatorpb.SpreadStatus, error) {
+// rebalancingStatusResult converts the result of a RebalancingController's method.
+func rebalancingStatusResult(status rebalance.Status, err error) (*operatorpb.SpreadStatus, error) {
 	if err != nil {
 		return nil, err
 	}
