--- a/internal/fleet/bins.go
+++ b/internal/fleet/bins.go
@@ -20,8 +20,8 @@
 	free           resources.Vector
 	used           bool // a task was packed into the bin
 	// freedLater and freedSoon are the resources of running tasks that should end before long. freedLater counts those
-	// that should end within Tuning.ScaleOutAhead; queued tasks that aren't urgent may use it. freedSoon counts those that
-	// should end well before a new machine would have booted; urgent queued tasks may use it.
+	// that should end within Tuning.ScaleOutHorizon; queued tasks that aren't urgent may use it. freedSoon counts those
+	// that should end well before a new machine would have booted; urgent queued tasks may use it.
 	freedLater, freedSoon resources.Vector
 }
 
@@ -132,7 +132,7 @@
 			if remaining < -f.cfg.Tuning.LeaseGrace {
 				continue
 			}
-			if remaining < f.cfg.Tuning.ScaleOutAhead {
+			if remaining < f.cfg.Tuning.ScaleOutHorizon {
 				b.freedLater = b.freedLater.AddTasks(leases.Vector, 1)
 			}
 			if remaining < micros.Seconds(b.machineType.BootS/2) {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -26,8 +26,8 @@
 			IdleTimeout:       30 * micros.Second,
 			BootTimeoutFactor: 3,
 			SilenceTimeout:    30 * micros.Second,
-			ScaleOutAhead:     10 * micros.Second,
-			SpareShare:        spareShare,
+			ScaleOutHorizon:   10 * micros.Second,
+			ReserveStdDevs:    spareShare,
 			LeaseGrace:        20 * micros.Second,
 		},
 	})
--- a/internal/fleet/unmet.go
+++ b/internal/fleet/unmet.go
@@ -47,7 +47,7 @@
 	slices.SortStableFunc(bins, func(a, b *bin) int {
 		return cmp.Or(cmp.Compare(a.machineType.CPUs, b.machineType.CPUs), cmp.Compare(a.free.CPUs, b.free.CPUs))
 	})
-	expected := f.forecast.expectedDemands(published.Now, f.cfg.Tuning.SpareShare)
+	expected := f.forecast.expectedDemands(published.Now, f.cfg.Tuning.ReserveStdDevs)
 	for _, d := range slices.Concat(f.currentDemands(published), expected) {
 		if d.Gang && d.SameZone {
 			f.chooseZone(published.Now, d, bins)
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -95,7 +95,7 @@
 		IdleTimeout:       10 * micros.Minute,
 		BootTimeoutFactor: 3,
 		SilenceTimeout:    80 * micros.Second,
-		ScaleOutAhead:     10 * micros.Second,
+		ScaleOutHorizon:   10 * micros.Second,
 	}
 }
 
--- a/internal/settings/capacity.go
+++ b/internal/settings/capacity.go
@@ -9,59 +9,60 @@
 	"saffronbend/wire"
 )
 
-// What a machine costs the leader.
+// The leader's resource usage per machine.
 const (
 	memoryMBPerMachine = 0.07
-	// heartbeatCostS is the processor time of a heartbeat in seconds, measured on loopback with the server's part in
-	// HTTP and all the system calls. Bursts, failovers and placement come on top, in part at other heartbeats'
-	// expense.
+	// heartbeatCostS is the processor time per heartbeat in seconds, measured on loopback. It includes the HTTP server and
+	// all system calls. It does not include bursts, failovers and placement, which take further processor time and delay
+	// some heartbeats.
 	heartbeatCostS = 120e-6
-	// listRequestPart is the part of the cloud's requests that its lists may take: one in so many.
-	listRequestPart = 4
+	// listRequestDivisor limits the requests that list the cloud's machines: they may use 1/listRequestDivisor of the
+	// cloud's request rate.
+	listRequestDivisor = 4
 )
 
-// Capacity is how many machines one of the platform's limits suffices for.
+// Capacity is the number of machines for which one of the platform's limits is sufficient.
 type Capacity struct {
-	Setting  string // name of the limit in the settings file, below "deployment"
+	Setting  string // name of the limit in the settings file, without the prefix "deployment."
 	Machines int
 }
 
-// Capacities returns for each of the platform's limits how many machines it suffices for, the tightest first.
+// Capacities returns the capacity of each of the platform's limits, in ascending order of the number of machines.
 func (s *Settings) Capacities() []Capacity {
 	capacities := []Capacity{
-		{"quota.max_connections", s.connectableMachines()},
-		{"quota.core_share", s.servableMachines()},
-		{"quota.mem_mb", s.storableMachines()},
-		{"cloud.rps", s.listableMachines()},
+		{"quota.max_connections", s.machinesByConnections()},
+		{"quota.core_share", s.machinesByProcessor()},
+		{"quota.mem_mb", s.machinesByMemory()},
+		{"cloud.rps", s.machinesByCloudRate()},
 	}
 	slices.SortStableFunc(capacities, func(a, b Capacity) int { return cmp.Compare(a.Machines, b.Machines) })
 	return capacities
 }
 
-// servableMachines returns how many machines can report as often as they should to a controller with its share of a
-// processor.
-func (s *Settings) servableMachines() int {
+// machinesByProcessor returns the number of machines whose heartbeats a controller can process, at the configured
+// interval, with its share of a processor.
+func (s *Settings) machinesByProcessor() int {
 	return int(s.Deployment.Limits.CoreShare * s.Deployment.Workers.ReportS / heartbeatCostS)
 }
 
-// connectableMachines returns how many machines can keep a connection to the leader while a quarter of all connections
-// is left for users.
-func (s *Settings) connectableMachines() int { return s.Deployment.Limits.MaxConnections * 3 / 4 }
+// machinesByConnections returns the number of machines that can each keep a connection to the leader. A quarter of the
+// connections is left for users.
+func (s *Settings) machinesByConnections() int { return s.Deployment.Limits.MaxConnections * 3 / 4 }
 
-// storableMachines returns how many machines a leader can keep in its share of the memory.
-func (s *Settings) storableMachines() int {
-	free := s.Deployment.Limits.MemoryMB*runtimeMemoryPart - minMemoryMB
+// machinesByMemory returns the number of machines whose state fits into the memory of a leader.
+func (s *Settings) machinesByMemory() int {
+	free := s.Deployment.Limits.MemoryMB*runtimeMemoryFraction - minMemoryMB
 	return max(0, int(free/memoryMBPerMachine))
 }
 
-// listableMachines returns how many machines the cloud can list within twice its own lag, when the lists take their
-// part of the requests that it allows.
-func (s *Settings) listableMachines() int {
-	pages := s.Deployment.Cloud.RPS * max(1, 2*s.Deployment.Cloud.ListLagS) / listRequestPart
+// machinesByCloudRate returns the number of machines that can be listed within twice the lag of the cloud's list, if
+// the list requests use their part of the cloud's request rate.
+func (s *Settings) machinesByCloudRate() int {
+	pages := s.Deployment.Cloud.RPS * max(1, 2*s.Deployment.Cloud.ListLagS) / listRequestDivisor
 	return wire.MachinePageSize * max(1, int(pages))
 }
 
-// Warnings returns a line for each setting that works but leaves little room.
+// Warnings returns one line for each setting that is valid but leaves too little headroom.
 func (s *Settings) Warnings() []string {
 	var warnings []string
 	for _, capacity := range s.Capacities() {
@@ -70,9 +71,10 @@
 				s.Tuning.MaxMachines, capacity.Setting, capacity.Machines))
 		}
 	}
-	// A stop may have to wait for a heartbeat, which comes up to a quarter late.
-	longestBetweenHeartbeats := micros.Seconds(1.25 * s.Deployment.Workers.ReportS)
-	if timeout, needed := s.GangPeerTimeout(), longestBetweenHeartbeats+micros.Second; timeout < needed {
+	// A stop command may have to wait for the worker's next heartbeat. The interval between two heartbeats is up to a
+	// quarter longer than report_s.
+	maxHeartbeatInterval := micros.Seconds(1.25 * s.Deployment.Workers.ReportS)
+	if timeout, needed := s.GangPeerTimeout(), maxHeartbeatInterval+micros.Second; timeout < needed {
 		warnings = append(warnings, fmt.Sprintf("workers.gang_peer_s is %g, less than the longest time between two "+
 			"heartbeats and a second (%g): a gang with a machine that pushed commands don't reach can't save a checkpoint",
 			timeout.Seconds(), needed.Seconds()))
--- a/internal/settings/capacity_test.go
+++ b/internal/settings/capacity_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// Settings that work but leave little room are accepted with a warning.
+// Valid settings that leave too little headroom are accepted with a warning.
 func TestWarnings(t *testing.T) {
 	const lowCoreShare = `core_share = 0.012`
 	for _, c := range []struct{ name, old, new, options, want string }{
-		{"enough of everything", "", "", "", ""},
+		{"all limits sufficient", "", "", "", ""},
 		{"memory", `mem_mb = 200.0`, `mem_mb = 40.0`, "", "max_machines is 375: quota.mem_mb suffices for 171"},
 		{"connections", "", "", "max_machines: 450", "max_machines is 450: quota.max_connections suffices for 375"},
 		{"processor", `core_share = 1.0`, lowCoreShare, "max_machines: 201",
 			"max_machines is 201: quota.core_share suffices for 200"},
 		{"cloud", `rps = 5.0`, `rps = 0.5`, "max_machines: 501", "max_machines is 501: cloud.rps suffices for 500"},
-		{"just enough processor", `core_share = 1.0`, lowCoreShare, "max_machines: 200", ""},
+		{"processor exactly sufficient", `core_share = 1.0`, lowCoreShare, "max_machines: 200", ""},
 		{"gang timeout", `cancel_s = 30.0`, "cancel_s = 30.0\ngang_peer_s = 3.0", "", "gang_peer_s"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// No limit of the program's own stands below 4,000 machines where the platform's settings allow them.
-func TestFourThousandMachines(t *testing.T) {
+// The program itself supports 4,000 machines without a warning if the platform's settings allow for them.
+func TestFourThousandMachinesWithoutWarning(t *testing.T) {
 	s := parse(t, "", "max_connections = 500", "max_connections = 6000", "mem_mb = 200.0", "mem_mb = 500.0",
 		"rps = 5.0", "rps = 15.0")
 	if s.Tuning.MaxMachines < 4000 || len(s.Warnings()) > 0 {
@@ -36,14 +36,14 @@
 	}
 }
 
-// Without the option there are no more machines than connections and processor allow.
+// The default of the option max_machines is the smaller of the numbers that connections and processor allow.
 func TestDefaultMaxMachines(t *testing.T) {
 	for _, c := range []struct {
 		name, coreShare string
 		want            int
 	}{
-		{"connections are fewer", "1.0", 375},
-		{"processor is less", "0.012", 200},
+		{"connections are the smaller limit", "1.0", 375},
+		{"processor is the smaller limit", "0.012", 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := parse(t, "", "core_share = 1.0", "core_share = "+c.coreShare)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -8,17 +8,17 @@
 
 // Bounds of the settings.
 const (
-	minMemoryMB      = 16 // what the program needs before it serves anybody
+	minMemoryMB      = 16 // memory of the program without any load
 	minConnections   = 64
-	minMachines      = 10 // a controller must be able to lead as many
+	minMachines      = 10 // every controller must be able to lead a cluster of this size
 	minStoreTxnOps   = 2
 	minStoreValueKB  = 1
 	minStaleness     = 3 * WatchTimeout
 	deploymentPrefix = "deployment."
 )
 
-// check returns an InvalidValueError for the first setting that is not allowed, section by section; nil if all are.
-// In each section's checker cmp.Or returns the first error of a list.
+// check returns an InvalidValueError for the first invalid setting, or nil if all settings are valid. Each method
+// checks one section; cmp.Or returns the first error of its arguments.
 func (s *Settings) check() error {
 	return cmp.Or(
 		s.checkMembers(),
@@ -31,7 +31,7 @@
 	)
 }
 
-// checkMembers checks that each controller has a name of its own.
+// checkMembers checks that each controller has a name and that the names are unique.
 func (s *Settings) checkMembers() error {
 	if s.Member == "" {
 		return &InvalidValueError{Setting: "member", Requirement: "is missing"}
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// checkAddresses checks all addresses, this controller's, the services' and the other controllers'.
+// checkAddresses checks the addresses of this controller, of the services and of the other controllers.
 func (s *Settings) checkAddresses() error {
 	err := cmp.Or(
 		requireAddress("serve_on", s.Listen),
@@ -63,7 +63,7 @@
 	return err
 }
 
-// checkTeams checks that there are teams, each with a name of its own and without negative quota.
+// checkTeams checks that there is at least one team, that the teams' names are unique, and that no quota is negative.
 func checkTeams(teams []Team) error {
 	const section = deploymentPrefix + "teams"
 	if len(teams) == 0 {
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// checkWorkers checks the times of the workers' protocol: that each is positive, and that they leave time for one
-// another.
+// checkWorkers checks the durations of the worker protocol: each must be positive, and the longer ones must leave
+// enough time for the shorter ones.
 func (s *Settings) checkWorkers() error {
 	workers := s.Deployment.Workers
 	if err := cmp.Or(
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// checkStore checks the limits of the key-value store, those that hold now and those that are announced.
+// checkStore checks the current and the upcoming limits of the key-value store.
 func (s *Settings) checkStore() error {
 	limits := s.Deployment.State
 	effective := limits.Effective()
@@ -142,7 +142,7 @@
 	)
 }
 
-// checkStoreSizes checks that the store takes values and transactions as large as the smallest that are written.
+// checkStoreSizes checks that the limits allow the smallest values and transactions that the program must write.
 func checkStoreSizes(section string, limits StoreLimits) error {
 	if limits.TxnOps < minStoreTxnOps {
 		return &InvalidValueError{Setting: deploymentPrefix + section + ".txn_ops", Value: limits.TxnOps,
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// checkCloud checks the limits of the cloud's interface.
+// checkCloud checks the limits of the cloud API.
 func checkCloud(cloud Cloud) error {
 	return cmp.Or(
 		requirePositive("cloud.rps", &cloud.RPS),
@@ -165,8 +165,8 @@
 	)
 }
 
-// checkLimits checks that the controller has enough of each resource to lead minMachines. It relies on report_s having
-// been checked.
+// checkLimits checks that the process may use enough of each resource to lead a cluster of minMachines. report_s must
+// have been checked before.
 func (s *Settings) checkLimits() error {
 	limits := s.Deployment.Limits
 	connections := float64(limits.MaxConnections)
@@ -182,7 +182,7 @@
 			Requirement: fmt.Sprintf("must be at least %d", minMemoryMB),
 			Reason:      "the program itself needs as much"}
 	}
-	if s.servableMachines() < minMachines {
+	if s.machinesByProcessor() < minMachines {
 		return &InvalidValueError{Setting: "deployment.quota.core_share", Value: limits.CoreShare,
 			Requirement: fmt.Sprintf("must be at least %.4f", minMachines*heartbeatCostS/s.Deployment.Workers.ReportS),
 			Reason:      fmt.Sprintf("less does not suffice for the heartbeats of %d machines", minMachines)}
@@ -195,7 +195,7 @@
 	return nil
 }
 
-// requireAddress checks that a setting is an IP address with a port; names are not looked up.
+// requireAddress checks that a setting is an IP address with a port. Host names are not accepted.
 func requireAddress(setting, value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		return &InvalidValueError{Setting: setting, Value: value, Requirement: "must be an IP address with a port",
@@ -204,7 +204,8 @@
 	return nil
 }
 
-// requirePositive checks a setting of the deployment's section; nil, one that was left out, is allowed. NaN is not.
+// requirePositive checks that a setting in the section "deployment" is above 0. It rejects NaN. nil stands for a
+// setting that is not given, which is allowed.
 func requirePositive(setting string, value *float64) error {
 	if value == nil || *value > 0 {
 		return nil
@@ -212,7 +213,7 @@
 	return &InvalidValueError{Setting: deploymentPrefix + setting, Value: *value, Requirement: "must be above 0"}
 }
 
-// requireNonNegative checks a setting of the deployment's section.
+// requireNonNegative checks that a setting in the section "deployment" is not negative.
 func requireNonNegative(setting string, value float64) error {
 	if value < 0 {
 		return &InvalidValueError{Setting: deploymentPrefix + setting, Value: value, Requirement: "must not be negative"}
--- a/internal/settings/drains.go
+++ b/internal/settings/drains.go
@@ -10,15 +10,15 @@
 	"saffronbend/wire"
 )
 
-// Drains are the options of stepped drains (docs/drains.md).
+// Drains holds the options of drains (docs/drains.md).
 type Drains struct {
 	Enabled bool
-	// DefaultBudget is the disruption budget of the teams that have none of their own in Budgets.
+	// DefaultBudget is the disruption budget of the teams that have no entry in Budgets.
 	DefaultBudget disruption.Budget
 	Budgets       map[wire.TeamName]disruption.Budget
-	// Step is how many machines are emptied at the same time, unless a drain says otherwise.
+	// Step is the number of machines that are emptied at the same time, unless a drain specifies a number.
 	Step int
-	// ReservationTTL is how long room is reserved for the successor of an evicted attempt.
+	// ReservationTTL is how long resources are reserved for the successor of an evicted task attempt.
 	ReservationTTL micros.Duration
 }
 
@@ -31,7 +31,8 @@
 	maxReservationS     = 3600
 )
 
-// drains returns the options of drains; nil: none is given. Each budget must be that of one of the teams.
+// drains returns the options of drains, with defaults for those that are not given. options may be nil. Each budget
+// must name one of the teams.
 func (r *optionReader) drains(options *optionspb.Drains, teams []Team) Drains {
 	if options == nil {
 		options = &optionspb.Drains{}
@@ -47,11 +48,11 @@
 	for _, budget := range options.GetBudgets() {
 		team := budget.GetTeam()
 		if !slices.ContainsFunc(teams, func(t Team) bool { return t.Name == team }) {
-			r.refuse(&InvalidValueError{Setting: "drains.budgets.team", Value: team,
+			r.addError(&InvalidValueError{Setting: "drains.budgets.team", Value: team,
 				Requirement: "must be one of the deployment's teams"})
 		}
 		if _, exists := drains.Budgets[wire.TeamName(team)]; exists {
-			r.refuse(&InvalidValueError{Setting: "drains.budgets.team", Value: team, Requirement: "must not appear twice"})
+			r.addError(&InvalidValueError{Setting: "drains.budgets.team", Value: team, Requirement: "must not appear twice"})
 		}
 		limit := budget.GetLimit()
 		drains.Budgets[wire.TeamName(team)] = r.budget("drains.budgets."+team, &limit)
@@ -59,15 +60,15 @@
 	return drains
 }
 
-// budget returns a disruption budget, such as "3" or "10%"; nil: the default.
+// budget parses a disruption budget, such as "3" or "10%". It returns the default if text is nil.
 func (r *optionReader) budget(option string, text *string) disruption.Budget {
 	if text == nil {
-		byDefault := defaultDrainBudget
-		text = &byDefault
+		defaultText := defaultDrainBudget
+		text = &defaultText
 	}
 	budget, err := disruption.ParseBudget(*text)
 	if err != nil {
-		r.refuse(&InvalidValueError{Setting: option, Value: *text, Requirement: "must be a disruption budget", Err: err})
+		r.addError(&InvalidValueError{Setting: option, Value: *text, Requirement: "must be a disruption budget", Err: err})
 	}
 	return budget
 }
--- a/internal/settings/invalid.go
+++ b/internal/settings/invalid.go
@@ -5,21 +5,23 @@
 	"strings"
 )
 
-// InvalidValueError reports a setting or an option whose value is not allowed.
+// InvalidValueError reports a setting or an option with an invalid value.
 type InvalidValueError struct {
-	// Setting is the name in the file, after those of the tables or messages that it is in: "deployment.state.rps".
+	// Setting is the name of the setting or option, with those of its enclosing tables or messages as prefix, for example
+	// "deployment.state.rps".
 	Setting string
-	// Value is what the file says; nil if it says nothing.
+	// Value is the value in the file, or nil if the file contains none.
 	Value any
-	// Requirement is what a value must be, as the rest of a sentence that begins with the setting: "must be above 0".
+	// Requirement describes valid values. It continues a sentence that begins with the setting, for example "must be
+	// above 0".
 	Requirement string
-	// Reason is why that is required; it may be empty.
+	// Reason explains the requirement; it may be empty.
 	Reason string
-	// Err is the error that the value led to; it may be nil.
+	// Err is the error of parsing the value; it may be nil.
 	Err error
 }
 
-// Error returns one line with the setting, its value and what is allowed.
+// Error returns a single line with the setting, the requirement and the value.
 func (e *InvalidValueError) Error() string {
 	var text strings.Builder
 	text.WriteString(e.Setting + " " + e.Requirement)
@@ -39,5 +41,5 @@
 	return text.String()
 }
 
-// Unwrap returns the error that the value led to.
+// Unwrap returns the error of parsing the value.
 func (e *InvalidValueError) Unwrap() error { return e.Err }
--- a/internal/settings/limits_test.go
+++ b/internal/settings/limits_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Upcoming limits hold from the first start on, and only where they are lower.
-func TestUpcomingStoreLimits(t *testing.T) {
+// An upcoming limit is effective immediately, but only if it is lower than the current one.
+func TestEffectiveStoreLimits(t *testing.T) {
 	const upcoming = "txn_ops = 8\n[deployment.state.next]\nvalue_kb = 2.0\nwrite_rps = 90.0\ntxn_ops = 4"
 	s := parse(t, "", "txn_ops = 8", upcoming)
 	got, want := s.Deployment.State.Effective(), StoreLimits{RPS: 200, WriteRPS: 50, ValueKB: 2, TxnOps: 4}
--- a/internal/settings/options.go
+++ b/internal/settings/options.go
@@ -8,58 +8,63 @@
 	"saffronbend/internal/settings/optionspb"
 )
 
-// Tuning is what the operators' options set, with defaults filled in.
+// Tuning holds the operators' options, with defaults for those that are not given.
 type Tuning struct {
-	// MinLocality is the smallest share of a job's tasks in a round that must need no fetch of their image, 0 to 1;
-	// below it the job is skipped, for MaxSkip at most.
+	// MinLocality is the minimum share of a job's tasks in a scheduling round that need no fetch of their image, 0 to 1. A
+	// job below it is skipped, for at most MaxSkip.
 	MinLocality float64
 	MaxSkip     micros.Duration
-	// RunHistory is how many of the newest run times of a job are kept for each machine.
+	// RunHistory is the number of run times, the newest ones, that are kept for each job and machine.
 	RunHistory int
-	// FirstLease is the duration of a lease where nothing has run yet; LeaseSlack is added to each estimated one.
+	// FirstLease is the duration of a task lease while no task of the job has run. LeaseSlack is added to the estimated
+	// duration of all other task leases.
 	FirstLease, LeaseSlack micros.Duration
-	// LeaseGrace is how long after a lease's expiry its place is kept for its waiter.
+	// LeaseGrace is how long after the expiry of a task lease its place is kept for the job that waits for it.
 	LeaseGrace micros.Duration
-	// RoundBudget is the processor time of one round of decisions; a round that exceeds it is continued later.
+	// RoundBudget is the processor time of one scheduling round. A round that exceeds it is continued later.
 	RoundBudget micros.Duration
 	// PreemptAfter is how long urgent work waits before it preempts other work.
 	PreemptAfter micros.Duration
-	// ReserveAfter is the wait without a start after which a job goes before all others and room is reserved for it.
+	// ReserveAfter is how long a job waits without the start of a task before it is scheduled ahead of all others and
+	// machines are reserved for it.
 	ReserveAfter micros.Duration
 
-	MaxMachines int // that are rented at once
+	// MaxMachines is the maximum number of machines that are rented at the same time.
+	MaxMachines int
 	// IdleTimeout is the idle time after which a machine is returned.
 	IdleTimeout micros.Duration
-	// BootTimeoutFactor is after how many nominal boot times a machine that has not come up is given up.
+	// BootTimeoutFactor is the time after which a machine that has not booted is given up, in multiples of its nominal
+	// boot time.
 	BootTimeoutFactor float64
-	// SilenceTimeout is how long a machine may be silent beyond its worker lease before it is returned.
+	// SilenceTimeout is how long a machine may send no heartbeat, beyond its worker lease, before it is returned.
 	SilenceTimeout micros.Duration
-	// ScaleOutAhead is how soon queued work must be able to start for no machine to be rented for it.
-	ScaleOutAhead micros.Duration
-	// SpareShare is the room that is kept free for urgent classes, in standard deviations of what they use.
-	SpareShare float64
+	// ScaleOutHorizon is the time within which queued work must be able to start on existing machines; otherwise machines
+	// are rented for it.
+	ScaleOutHorizon micros.Duration
+	// ReserveStdDevs is the room that is kept free for urgent classes, in standard deviations of their usage.
+	ReserveStdDevs float64
 
 	Drains      Drains
 	Rebalancing Rebalancing
 }
 
-// Defaults of the options. Those that the design doesn't name, of MaxMachines and SilenceTimeout, follow from the
-// platform's settings.
+// Defaults of the options. The default of MaxMachines and that of SilenceTimeout, which the design doesn't specify, are
+// derived from the platform's settings.
 const (
-	defaultMinLocality         = 0.5
-	defaultMaxSkipS            = 10
-	defaultRunHistory          = 10
-	defaultLeaseSlackS         = 5
-	defaultFirstLeaseS         = 100
-	defaultLeaseGraceS         = 20
-	defaultRoundBudgetS        = 0.02
-	defaultPreemptAfterS       = 1
-	defaultReserveAfterS       = 45
-	defaultIdleTimeoutS        = 30
-	defaultBootTimeoutFactor   = 3
-	defaultSilenceTimeoutLease = 3 // in worker leases
-	defaultScaleOutAheadS      = 10
-	defaultSpareShare          = 1.5
+	defaultMinLocality          = 0.5
+	defaultMaxSkipS             = 10
+	defaultRunHistory           = 10
+	defaultLeaseSlackS          = 5
+	defaultFirstLeaseS          = 100
+	defaultLeaseGraceS          = 20
+	defaultRoundBudgetS         = 0.02
+	defaultPreemptAfterS        = 1
+	defaultReserveAfterS        = 45
+	defaultIdleTimeoutS         = 30
+	defaultBootTimeoutFactor    = 3
+	defaultSilenceTimeoutLeases = 3 // in worker leases
+	defaultScaleOutHorizonS     = 10
+	defaultReserveStdDevs       = 1.5
 )
 
 // Bounds of the options.
@@ -67,14 +72,14 @@
 	maxRunHistory        = 1000
 	maxMachinesOption    = 100_000
 	maxBootTimeoutFactor = 100
-	maxSpareShare        = 10
-	maxOptionS           = 86_400 // of times without a bound of their own
+	maxReserveStdDevs    = 10
+	maxOptionS           = 86_400 // upper bound of durations that have no other bound, in seconds
 )
 
-// applyOptions sets Tuning from the options. Its error joins those of all options that are not allowed, one a line.
+// applyOptions sets Tuning from the options. Its error joins the errors of all invalid options, one per line.
 func (s *Settings) applyOptions(options *optionspb.Options) error {
 	lease := s.Deployment.Workers.LeaseS
-	defaultMaxMachines := uint32(max(1, min(s.connectableMachines(), s.servableMachines())))
+	defaultMaxMachines := uint32(max(1, min(s.machinesByConnections(), s.machinesByProcessor())))
 	var r optionReader
 	s.Tuning = Tuning{
 		MinLocality:  r.number("min_locality", options.MinLocality, defaultMinLocality, 0, 1),
@@ -90,47 +95,47 @@
 		MaxMachines:       r.count("max_machines", options.MaxMachines, defaultMaxMachines, maxMachinesOption),
 		IdleTimeout:       r.duration("idle_return_s", options.IdleReturnS, defaultIdleTimeoutS),
 		BootTimeoutFactor: r.number("boot_patience", options.BootPatience, defaultBootTimeoutFactor, 1, maxBootTimeoutFactor),
-		SilenceTimeout:    r.duration("silent_return_s", options.SilentReturnS, defaultSilenceTimeoutLease*lease),
-		ScaleOutAhead:     r.duration("hire_ahead_s", options.HireAheadS, defaultScaleOutAheadS),
-		SpareShare:        r.number("reserve", options.Reserve, defaultSpareShare, 0, maxSpareShare),
+		SilenceTimeout:    r.duration("silent_return_s", options.SilentReturnS, defaultSilenceTimeoutLeases*lease),
+		ScaleOutHorizon:   r.duration("hire_ahead_s", options.HireAheadS, defaultScaleOutHorizonS),
+		ReserveStdDevs:    r.number("reserve", options.Reserve, defaultReserveStdDevs, 0, maxReserveStdDevs),
 	}
 	s.Tuning.Drains = r.drains(options.GetDrains(), s.Deployment.Teams)
 	s.Tuning.Rebalancing = r.rebalancing(options.GetSpread(), s.Tuning.Drains.Enabled, s.Deployment.Workers)
 	return errors.Join(r.errs...)
 }
 
-// optionReader returns the values of options that may be left out, or their defaults, and collects an error for each
-// that is out of bounds.
+// optionReader returns the values of options, or their defaults if they are omitted. It collects an error for each
+// invalid value.
 type optionReader struct{ errs []error }
 
-// refuse collects an error.
-func (r *optionReader) refuse(err *InvalidValueError) { r.errs = append(r.errs, err) }
+func (r *optionReader) addError(err *InvalidValueError) { r.errs = append(r.errs, err) }
 
-// number returns a number between two bounds. NaN is out of bounds.
-func (r *optionReader) number(option string, value *float64, byDefault, low, high float64) float64 {
+// number returns the value of a numeric option, or the default if value is nil. A value outside the bounds, such as
+// NaN, is an error.
+func (r *optionReader) number(option string, value *float64, defaultValue, minValue, maxValue float64) float64 {
 	if value == nil {
-		return byDefault
+		return defaultValue
 	}
-	if !(*value >= low && *value <= high) {
-		r.refuse(&InvalidValueError{Setting: option, Value: *value,
-			Requirement: fmt.Sprintf("must be between %g and %g", low, high)})
+	if !(*value >= minValue && *value <= maxValue) {
+		r.addError(&InvalidValueError{Setting: option, Value: *value,
+			Requirement: fmt.Sprintf("must be between %g and %g", minValue, maxValue)})
 	}
 	return *value
 }
 
-// count returns a whole number of at least one.
-func (r *optionReader) count(option string, value *uint32, byDefault, high uint32) int {
+// count returns the value of an integer option of at least 1, or the default if value is nil.
+func (r *optionReader) count(option string, value *uint32, defaultValue, maxValue uint32) int {
 	if value == nil {
-		return int(byDefault)
+		return int(defaultValue)
 	}
-	if *value < 1 || *value > high {
-		r.refuse(&InvalidValueError{Setting: option, Value: *value,
-			Requirement: fmt.Sprintf("must be between 1 and %d", high)})
+	if *value < 1 || *value > maxValue {
+		r.addError(&InvalidValueError{Setting: option, Value: *value,
+			Requirement: fmt.Sprintf("must be between 1 and %d", maxValue)})
 	}
 	return int(*value)
 }
 
-// duration returns a time that is given in seconds, of a day at most.
-func (r *optionReader) duration(option string, seconds *float64, byDefault float64) micros.Duration {
-	return micros.Seconds(r.number(option, seconds, byDefault, 0, maxOptionS))
+// duration returns the value of an option in seconds, of maxOptionS at most, or the default if seconds is nil.
+func (r *optionReader) duration(option string, seconds *float64, defaultSeconds float64) micros.Duration {
+	return micros.Seconds(r.number(option, seconds, defaultSeconds, 0, maxOptionS))
 }
--- a/internal/settings/options_test.go
+++ b/internal/settings/options_test.go
@@ -9,26 +9,26 @@
 	"saffronbend/internal/micros"
 )
 
-// Each option that is not allowed is refused in one line that names it.
+// Each invalid option is rejected with an error of one line that names the option.
 func TestInvalidOptions(t *testing.T) {
 	const drains, spread = "drains { enabled: true } ", "spread { enabled: true moves_per_minute: 5 "
 	for _, c := range []struct{ name, options, want string }{
-		{"unknown", "mood: 1", "mood"},
-		{"not protobuf text", "skip_s", "options"},
+		{"unknown option", "mood: 1", "mood"},
+		{"malformed protobuf text", "skip_s", "options"},
 		{"number too large", "min_locality: 2", "min_locality must be between 0 and 1"},
 		{"not a number", "min_locality: nan", "min_locality must be between 0 and 1"},
-		{"count of none", "history: 0", "history must be between 1 and 1000"},
-		{"negative time", "skip_s: -1", "skip_s must be between 0 and 86400"},
+		{"count of zero", "history: 0", "history must be between 1 and 1000"},
+		{"negative duration", "skip_s: -1", "skip_s must be between 0 and 86400"},
 		{"negative budget", `drains { default_budget: "-1" }`, "drains.default_budget"},
 		{"budget without a number", `drains { default_budget: "lots" }`, "drains.default_budget"},
-		{"budget of an unknown team", `drains { budgets { team: "green" limit: "1" } }`, "drains.budgets.team"},
-		{"two budgets of one team", `drains { budgets { team: "red" limit: "1" } budgets { team: "red" limit: "2" } }`,
+		{"budget for an unknown team", `drains { budgets { team: "green" limit: "1" } }`, "drains.budgets.team"},
+		{"two budgets for the same team", `drains { budgets { team: "red" limit: "1" } budgets { team: "red" limit: "2" } }`,
 			"twice"},
 		{"budget without a limit", `drains { budgets { team: "red" } }`, "drains.budgets.red"},
-		{"step of none", "drains { step: 0 }", "drains.step"},
-		{"reservation of no time", "drains { reservation_s: 0 }", "drains.reservation_s"},
+		{"step of zero", "drains { step: 0 }", "drains.step"},
+		{"reservation of zero seconds", "drains { reservation_s: 0 }", "drains.reservation_s"},
 		{"moves not given", drains + "spread { enabled: true }", "spread.moves_per_minute must be given"},
-		{"no moves", drains + "spread { enabled: true moves_per_minute: 0 }", "spread.moves_per_minute must be given"},
+		{"zero moves", drains + "spread { enabled: true moves_per_minute: 0 }", "spread.moves_per_minute must be given"},
 		{"too many moves", drains + "spread { enabled: true moves_per_minute: 10001 }",
 			"spread.moves_per_minute must be given"},
 		{"rebalancing without drains", spread + "}", "spread needs drains"},
@@ -45,13 +45,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Parse([]byte(validSettings), []byte(c.options))
-			requireFault(t, err, c.want)
+			requireErrorLine(t, err, c.want)
 		})
 	}
 }
 
-// All options that are not allowed are reported together, each on a line, and the cause of each can be found.
-func TestInvalidOptionsTogether(t *testing.T) {
+// All invalid options are reported together, one per line, and the error wraps the cause of each.
+func TestInvalidOptionsAreReportedTogether(t *testing.T) {
 	_, err := Parse([]byte(validSettings), []byte(`history: 0 skip_s: -1 drains { default_budget: "lots" }`))
 	if err == nil || strings.Count(err.Error(), "\n") != 2 {
 		t.Fatalf("got %v, want three lines", err)
@@ -81,6 +81,6 @@
 		t.Errorf("got %+v", drains)
 	}
 	if drains = parse(t, "").Tuning.Drains; drains.Enabled || drains.DefaultBudget.String() != "10%" {
-		t.Errorf("by default: %+v", drains)
+		t.Errorf("without options: got %+v", drains)
 	}
 }
--- a/internal/settings/optionspb/doc.go
+++ b/internal/settings/optionspb/doc.go
@@ -1,2 +1,3 @@
-// Package optionspb holds the operators' options; options.pb.go is generated from options.proto.
+// Package optionspb contains the message types of the operators' options. The file options.pb.go is generated from
+// options.proto.
 package optionspb
--- a/internal/settings/rebalancing.go
+++ b/internal/settings/rebalancing.go
@@ -8,33 +8,34 @@
 	"saffronbend/internal/settings/optionspb"
 )
 
-// Rebalancing are the options of moves of running tasks between machines (docs/spread.md). In the options they are the
-// message "spread".
+// Rebalancing holds the options of rebalancing, which moves running tasks between machines (docs/spread.md). The
+// options file calls it "spread".
 type Rebalancing struct {
 	Enabled bool
 	Policy  rebalance.Config
 }
 
-// Defaults of the options of rebalancing.
+// Defaults of the rebalancing options.
 const (
-	defaultTeamCap          = 0.5
-	defaultMargin           = 3
-	defaultMinRelief        = 0.25
-	defaultTaskCooldownS    = 600
-	defaultTeamCooldownS    = 30
-	defaultMachineCooldownS = 300
-	defaultSmoothingS       = 30
+	defaultTeamCap               = 0.5
+	defaultMargin                = 3
+	defaultMinImbalanceReduction = 0.25
+	defaultTaskCooldownS         = 600
+	defaultTeamCooldownS         = 30
+	defaultMachineCooldownS      = 300
+	defaultSmoothingTimeS        = 30
 )
 
-// Bounds of the options of rebalancing.
+// Bounds of the rebalancing options.
 const (
 	minMargin         = 1
 	maxMargin         = 1000
 	maxMovesPerMinute = 10_000
 )
 
-// rebalancing returns the options of rebalancing; nil: none is given. If it is enabled, drains must be, and the
-// number of moves must be given: no number suits all fleets.
+// rebalancing returns the options of rebalancing, with defaults for those that are not given. options may be nil. If
+// rebalancing is enabled, drains must be enabled too, and moves_per_minute must be given, since no default suits fleets
+// of all sizes.
 func (r *optionReader) rebalancing(options *optionspb.Spread, drainsEnabled bool, workers Workers) Rebalancing {
 	if options == nil {
 		options = &optionspb.Spread{}
@@ -42,24 +43,24 @@
 	rebalancing := Rebalancing{Enabled: options.GetEnabled(), Policy: rebalance.Config{
 		TeamCap:               r.number("spread.cap", options.Cap, defaultTeamCap, 0, 1),
 		Margin:                r.number("spread.margin", options.Margin, defaultMargin, minMargin, maxMargin),
-		MinImbalanceReduction: r.number("spread.least_relief", options.LeastRelief, defaultMinRelief, 0, 1),
+		MinImbalanceReduction: r.number("spread.least_relief", options.LeastRelief, defaultMinImbalanceReduction, 0, 1),
 		TaskCooldown:          r.duration("spread.task_cooldown_s", options.TaskCooldownS, defaultTaskCooldownS),
 		TeamCooldown:          r.duration("spread.team_cooldown_s", options.TeamCooldownS, defaultTeamCooldownS),
 		MachineCooldown:       r.duration("spread.machine_cooldown_s", options.MachineCooldownS, defaultMachineCooldownS),
-		SmoothingTime:         r.duration("spread.smoothing_s", options.SmoothingS, defaultSmoothingS),
+		SmoothingTime:         r.duration("spread.smoothing_s", options.SmoothingS, defaultSmoothingTimeS),
 		MovesPerMinute:        int(options.GetMovesPerMinute()),
-		// The stop and the launch may both have to wait for a heartbeat.
+		// The stop and the launch may each have to wait for a heartbeat.
 		RestartTime: micros.Seconds(2 * workers.ReportS),
 	}}
 	if !rebalancing.Enabled {
 		return rebalancing
 	}
 	if moves := rebalancing.Policy.MovesPerMinute; moves < 1 || moves > maxMovesPerMinute {
-		r.refuse(&InvalidValueError{Setting: "spread.moves_per_minute", Value: moves,
+		r.addError(&InvalidValueError{Setting: "spread.moves_per_minute", Value: moves,
 			Requirement: fmt.Sprintf("must be given, between 1 and %d", maxMovesPerMinute)})
 	}
 	if !drainsEnabled {
-		r.refuse(&InvalidValueError{Setting: "spread", Requirement: "needs drains { enabled: true }",
+		r.addError(&InvalidValueError{Setting: "spread", Requirement: "needs drains { enabled: true }",
 			Reason: "moves share the disruption budgets of drains"})
 	}
 	return rebalancing
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"saffronbend/internal/micros"
 )
 
-// validSettings is a settings file in which each test replaces what it is about.
+// validSettings is a valid settings file. Tests replace parts of it.
 const validSettings = `member = "one"
 location = "here"
 serve_on = "127.0.0.1:8080"
@@ -42,7 +42,7 @@
 max_connections = 500
 `
 
-// parse returns the valid settings with pairs of old and new text replaced, and the options.
+// parse parses validSettings with pairs of old and new text replaced, and the options.
 func parse(t *testing.T, options string, oldNew ...string) *Settings {
 	t.Helper()
 	s, err := Parse([]byte(replaceSettings(t, oldNew...)), []byte(options))
@@ -52,13 +52,13 @@
 	return s
 }
 
-// replaceSettings returns the valid settings with pairs of old and new text replaced, each where it appears first.
+// replaceSettings returns validSettings with pairs of old and new text replaced, each at its first occurrence.
 func replaceSettings(t *testing.T, oldNew ...string) string {
 	t.Helper()
 	text := validSettings
 	for i := 0; i < len(oldNew); i += 2 {
 		if !strings.Contains(text, oldNew[i]) {
-			t.Fatalf("the settings have no %q to replace", oldNew[i])
+			t.Fatalf("validSettings does not contain %q", oldNew[i])
 		}
 		text = strings.Replace(text, oldNew[i], oldNew[i+1], 1)
 	}
@@ -71,7 +71,7 @@
 		t.Errorf("got options %+v", s.Tuning)
 	}
 	if got := s.PerController(100); got != 50 {
-		t.Errorf("each of two controllers may use %g of 100", got)
+		t.Errorf("each of two controllers may use %g of 100, want 50", got)
 	}
 }
 
@@ -84,6 +84,6 @@
 class = "practice"
 [deployment.workers]`)
 	if got := s.UrgentClasses(); len(got) != 1 || !got["exam"] {
-		t.Errorf("got %v", got)
+		t.Errorf("got %v, want only exam", got)
 	}
 }
--- a/internal/settings/timeouts_test.go
+++ b/internal/settings/timeouts_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// A job cancelled just after the state on which a lease was renewed is off its worker in time, when leader and worker
-// both count slowly by as much as they may.
-func TestMaxStalenessLeavesTimeForTheLease(t *testing.T) {
+// The tasks of a job that was cancelled just after the state known at the renewal of a worker lease are stopped within
+// cancel_s, even if the clocks of the leader and of the worker are both as slow as the protocol allows.
+func TestMaxStalenessLeavesTimeForLeaseExpiry(t *testing.T) {
 	for _, cancelS := range []float64{14.2, 30, 46.5, 300} {
 		t.Run(fmt.Sprint(cancelS), func(t *testing.T) {
 			s := parse(t, "", "cancel_s = 30.0", fmt.Sprintf("cancel_s = %g", cancelS))
-			const slowClock, timerSteps = 1.0005, 0.9
+			const slowClock, timerResolution = 1.0005, 0.9
 			goneAfterS := slowClock*s.MaxStaleness().Seconds() + slowClock*s.WorkerLease().Seconds()
-			if goneAfterS > cancelS-timerSteps {
-				t.Errorf("gone after %g s", goneAfterS)
+			if goneAfterS > cancelS-timerResolution {
+				t.Errorf("tasks are gone after %g s, want at most %g s", goneAfterS, cancelS-timerResolution)
 			}
 		})
 	}
