--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,8 +1,8 @@
-// Package eventloop runs functions one after another on the goroutine that owns some state, so that the state needs
-// no lock.
+// Package eventloop runs functions sequentially on the goroutine that owns some state, so that the state needs no lock.
 //
-// A Loop is owned by the goroutine that receives its events and handles them, here that of a leader's term. Any
-// goroutine may post to it and wait for an answer. It never runs a function on the caller's goroutine.
+// A Loop is owned by the goroutine that receives and handles its events; in this project that is the goroutine of a
+// leader's term. Any goroutine may post a function to the loop and wait for the result. Posted functions never run on
+// the goroutine that posted them.
 package eventloop
 
 import (
@@ -13,32 +13,33 @@
 	"saffronbend/internal/routine"
 )
 
-// ErrStopped reports that a loop ended, or that the caller's context did, before an answer came. The function that was
-// posted may still run.
-var ErrStopped = errors.New("the event loop did not answer")
+// ErrStopped reports that the loop was stopped, or that the caller's context was done, before the result was available.
+// The posted function may still run.
+var ErrStopped = errors.New("event loop stopped or context done before the call completed")
 
-// queueLength is how many events wait before the one that posts has to.
-const queueLength = 256
+// queueCapacity is the number of events that can be queued before Post blocks.
+const queueCapacity = 256
 
-// Event is a posted function, opaque to the owner of the loop.
+// Event is a posted function. The owner of the loop passes it to Handle.
 type Event func(ctx context.Context, now micros.Timestamp)
 
-// Loop is a queue of functions for one goroutine.
+// Loop is a queue of functions that run on one goroutine.
 type Loop struct {
 	events     chan Event
 	stopped    chan struct{}
 	background routine.Group
 }
 
-// New returns a loop. Its owner receives from Events, calls Handle, and calls Stop at the end.
+// New returns a loop. Its owner receives from Events, passes each event to Handle, and finally calls Stop.
 func New() *Loop {
-	return &Loop{events: make(chan Event, queueLength), stopped: make(chan struct{})}
+	return &Loop{events: make(chan Event, queueCapacity), stopped: make(chan struct{})}
 }
 
-// Events returns the channel from which the owner receives.
+// Events returns the channel from which the owner receives events.
 func (l *Loop) Events() <-chan Event { return l.events }
 
-// Handle runs an event and all that wait behind it. Only the owner calls it; ctx must be the one that ends the loop.
+// Handle runs an event and all events queued after it. Only the owner may call it; ctx must be the context that ends
+// the loop.
 func (l *Loop) Handle(ctx context.Context, first Event, clock micros.Clock) {
 	first(ctx, clock.Now())
 	for {
@@ -51,18 +52,18 @@
 	}
 }
 
-// Stop ends the loop: who waits for an answer gets ErrStopped. It returns when all goroutines started by Go and
-// Background have ended, so the context that they use must have ended.
+// Stop ends the loop: callers that wait for a result get ErrStopped. Stop returns when all goroutines started by Go and
+// Background have returned, so the context that they use must be done.
 func (l *Loop) Stop() {
 	close(l.stopped)
 	l.background.Wait()
 }
 
-// Stopped returns a channel that is closed when the loop ends.
+// Stopped returns a channel that is closed when the loop is stopped.
 func (l *Loop) Stopped() <-chan struct{} { return l.stopped }
 
-// Post queues f for the owner's goroutine. It reports whether f was queued: false means that ctx or the loop ended
-// first.
+// Post queues f to run on the owner's goroutine. It returns false if ctx was done or the loop was stopped before f
+// could be queued.
 func (l *Loop) Post(ctx context.Context, f func(now micros.Timestamp)) bool {
 	return l.post(ctx, func(_ context.Context, now micros.Timestamp) { f(now) })
 }
@@ -77,40 +78,41 @@
 	return false
 }
 
-// Go runs f in a goroutine that Stop waits for. f must end soon after the loop's context, whatever becomes of the loop.
+// Go runs f in a goroutine that Stop waits for. f must return soon after the loop's context is done, even if the loop
+// handles no more events.
 func (l *Loop) Go(f func()) { l.background.Go(f) }
 
-// Background runs f in a goroutine that Stop waits for, with the context that ends with the loop: for work that
-// outlasts the request that caused it. It must not be called on the owner's goroutine, which has that context and
-// calls Go.
+// Background runs f in a goroutine that Stop waits for. It passes f the loop's context rather than ctx, so that the
+// work can outlive the request that caused it. Background must not be called on the owner's goroutine, which has the
+// loop's context and uses Go.
 func (l *Loop) Background(ctx context.Context, f func(ctx context.Context)) {
 	l.post(context.WithoutCancel(ctx), func(ctx context.Context, _ micros.Timestamp) {
 		l.background.Go(func() { f(ctx) })
 	})
 }
 
-// Ask runs f on the owner's goroutine and returns what f returned, or ErrStopped. The result comes over a channel
-// since a call that was given up may still be carried out.
+// Ask runs f on the owner's goroutine and returns the result of f, or ErrStopped. The result is passed over a channel
+// because f may still run after the caller has stopped waiting.
 func Ask[T any](ctx context.Context, loop *Loop, f func(now micros.Timestamp) (T, error)) (T, error) {
-	type answer struct {
+	type result struct {
 		value T
 		err   error
 	}
-	answers := make(chan answer, 1)
-	var none T
+	results := make(chan result, 1)
+	var zero T
 	if !loop.Post(ctx, func(now micros.Timestamp) {
 		value, err := f(now)
-		answers <- answer{value, err}
+		results <- result{value, err}
 	}) {
-		return none, ErrStopped
+		return zero, ErrStopped
 	}
 	select {
-	case got := <-answers:
+	case got := <-results:
 		return got.value, got.err
 	case <-ctx.Done():
 	case <-loop.stopped:
 	}
-	return none, ErrStopped
+	return zero, ErrStopped
 }
 
 // Do runs f on the owner's goroutine and returns its error, or ErrStopped.
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -8,7 +8,7 @@
 	"saffronbend/internal/micros"
 )
 
-// run handles events until ctx ends, as a loop's owner does.
+// run handles events until ctx is done, like the owner of a loop.
 func run(ctx context.Context, loop *Loop) {
 	for {
 		select {
@@ -42,25 +42,25 @@
 	}
 }
 
-func TestDoOfStoppedLoop(t *testing.T) {
+func TestDoAfterStop(t *testing.T) {
 	loop := New()
 	loop.Stop()
-	for range queueLength + 1 { // the queue has room for some of them
+	for range queueCapacity + 1 { // Post may succeed until the queue is full
 		if err := loop.Do(t.Context(), func(micros.Timestamp) error { return nil }); !errors.Is(err, ErrStopped) {
-			t.Fatalf("Do of a stopped loop returned %v, want ErrStopped", err)
+			t.Fatalf("Do on a stopped loop returned %v, want ErrStopped", err)
 		}
 	}
 }
 
-func TestAskEndsWithItsContext(t *testing.T) {
+func TestDoWithCancelledContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := New().Do(ctx, func(micros.Timestamp) error { return nil }); !errors.Is(err, ErrStopped) {
-		t.Errorf("Do with an ended context returned %v, want ErrStopped", err)
+		t.Errorf("Do with a cancelled context returned %v, want ErrStopped", err)
 	}
 }
 
-func TestBackgroundEndsWithLoop(t *testing.T) {
+func TestStopWaitsForBackground(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	loop := New()
 	ended := make(chan struct{})
@@ -78,6 +78,6 @@
 	cancel()
 	<-ended
 	if !finished {
-		t.Error("the loop's owner did not wait for the goroutine")
+		t.Error("Stop returned before the background goroutine")
 	}
 }
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -128,7 +128,7 @@
 			}
 			receivedSnapshot, refusals = true, 0
 			f.recordContact()
-			f.cfg.Health.SnapshotPublished(newest)
+			f.cfg.Health.RecordSnapshot(newest)
 			f.cfg.Placer.Offer(newest, f.client)
 			return true
 		})
--- a/internal/follower/lease_renewer.go
+++ b/internal/follower/lease_renewer.go
@@ -151,7 +151,7 @@
 	}
 	r.reset()
 	ctx, stop = context.WithCancel(ctx)
-	watcher := openjobs.Watcher{Store: r.cfg.Store, Clock: r.cfg.Clock, OnServed: r.cfg.Health.StoreServed}
+	watcher := openjobs.Watcher{Store: r.cfg.Store, Clock: r.cfg.Clock, OnServed: r.cfg.Health.RecordStoreResponse}
 	group.Go(func() {
 		r.applyOpenJobs(ctx, initial)
 		watcher.Run(ctx, revision, func(update openjobs.Update) { r.applyOpenJobs(ctx, update) })
@@ -243,7 +243,7 @@
 	if resolvedAt := r.resolved.At(); resolvedAt != 0 {
 		return resolvedAt, true
 	}
-	return r.cfg.Health.LeaderStoreServed().Add(-r.cfg.LeaderLeaseTTL), r.cfg.Health.JobPublished(job)
+	return r.cfg.Health.LeaderStoreReachableAt().Add(-r.cfg.LeaderLeaseTTL), r.cfg.Health.JobInSnapshot(job)
 }
 
 // addAttempts adds the attempts in a progress record of a job to attempts. cancelledAt is the earliest time at which
--- a/internal/health/monitor.go
+++ b/internal/health/monitor.go
@@ -1,7 +1,7 @@
-// Package health holds what a controller has last learned of the cluster: when the key-value store served it, when a
-// leader that the store serves published a snapshot, and how far that leader's jobs are. The goroutines that learn it
-// report it here; the health check, the display of jobs and the lease renewer read it. Nothing here decides about
-// work.
+// Package health tracks what a controller last observed of the cluster: when the key-value store last answered it, when
+// the latest snapshot of a leader that could reach the store arrived, and the progress of the jobs in the latest
+// snapshot. The goroutines that talk to the store and to the leader record their observations here; the health check,
+// the job status API and the lease renewer read them. The package makes no scheduling decisions.
 package health
 
 import (
@@ -13,47 +13,49 @@
 )
 
 const (
-	// storeOutage is how long the store may refuse this controller before that counts.
-	storeOutage = 6 * micros.Second
-	// leaderServedWithin is how recent a snapshot shows that the leader is served.
-	leaderServedWithin = 2 * micros.Second
+	// maxStoreSilence is how long the store may fail to answer this controller before it counts as unreachable.
+	maxStoreSilence = 6 * micros.Second
+	// leaderStatusTTL is how long after a snapshot from a leader that could reach the store the leader is still assumed
+	// to reach it.
+	leaderStatusTTL = 2 * micros.Second
 )
 
-// Monitor is one controller's. It may be used by several goroutines.
+// Monitor holds the observations of one controller. It is safe for concurrent use.
 type Monitor struct {
-	clock             micros.Clock
-	storeServed       atomic.Int64 // time of the store's last answer
-	leaderStoreServed atomic.Int64 // time of the last snapshot of a leader that the store serves
-	progress          atomic.Pointer[map[wire.JobID]taskCounts]
+	clock                micros.Clock
+	lastStoreResponse    atomic.Int64 // time of the store's latest answer
+	leaderStoreReachable atomic.Int64 // arrival of the latest snapshot of a leader that could reach the store
+	progress             atomic.Pointer[map[wire.JobID]taskCounts]
 }
 
 type taskCounts struct{ done, running int }
 
-// NewMonitor returns a monitor that has learned nothing yet.
+// NewMonitor returns a monitor without observations.
 func NewMonitor(clock micros.Clock) *Monitor { return &Monitor{clock: clock} }
 
-// StoreServed reports that the store has just served this controller.
-func (m *Monitor) StoreServed() { m.storeServed.Store(int64(m.clock.Now())) }
+// RecordStoreResponse records that the store has just answered this controller successfully.
+func (m *Monitor) RecordStoreResponse() { m.lastStoreResponse.Store(int64(m.clock.Now())) }
 
-// SnapshotPublished reports the leader's newest snapshot.
-func (m *Monitor) SnapshotPublished(published *snapshot.Snapshot) {
+// RecordSnapshot records the leader's latest snapshot.
+func (m *Monitor) RecordSnapshot(published *snapshot.Snapshot) {
 	progress := make(map[wire.JobID]taskCounts, len(published.Jobs))
 	for _, job := range published.Jobs {
 		progress[job.ID] = taskCounts{job.Done, job.Running}
 	}
 	m.progress.Store(&progress)
 	if published.StoreAvailable {
-		m.leaderStoreServed.Store(int64(m.clock.Now()))
+		m.leaderStoreReachable.Store(int64(m.clock.Now()))
 	}
 }
 
-// LeaderStoreServed returns when a leader that the store served last published a snapshot, 0 for never.
-func (m *Monitor) LeaderStoreServed() micros.Timestamp {
-	return micros.Timestamp(m.leaderStoreServed.Load())
+// LeaderStoreReachableAt returns when the latest snapshot of a leader that could reach the store arrived, or 0 if none
+// has arrived.
+func (m *Monitor) LeaderStoreReachableAt() micros.Timestamp {
+	return micros.Timestamp(m.leaderStoreReachable.Load())
 }
 
-// JobPublished reports whether the newest snapshot has a job.
-func (m *Monitor) JobPublished(job wire.JobID) bool {
+// JobInSnapshot reports whether the latest snapshot contains a job.
+func (m *Monitor) JobInSnapshot(job wire.JobID) bool {
 	progress := m.progress.Load()
 	if progress == nil {
 		return false
@@ -62,7 +64,7 @@
 	return ok
 }
 
-// Progress returns how many of a job's tasks are done and how many run, by the newest snapshot.
+// Progress returns how many of a job's tasks are done and how many are running, according to the latest snapshot.
 func (m *Monitor) Progress(job wire.JobID) (done, running int) {
 	progress := m.progress.Load()
 	if progress == nil {
@@ -72,11 +74,12 @@
 	return counts.done, counts.running
 }
 
-// StoreReachable reports false if the store has refused this controller alone: for some seconds, while the leader is
-// served. A short outage doesn't count, nor one that everybody has.
+// StoreReachable returns false if only this controller cannot reach the store: the store has not answered it for longer
+// than maxStoreSilence, while the leader can reach the store. Short outages and outages that also affect the leader are
+// ignored.
 func (m *Monitor) StoreReachable() bool {
 	now := m.clock.Now()
-	refused := now.Sub(micros.Timestamp(m.storeServed.Load())) > storeOutage
-	leaderServed := now.Sub(m.LeaderStoreServed()) < leaderServedWithin
-	return !refused || !leaderServed
+	unreachableHere := now.Sub(micros.Timestamp(m.lastStoreResponse.Load())) > maxStoreSilence
+	reachableByLeader := now.Sub(m.LeaderStoreReachableAt()) < leaderStatusTTL
+	return !unreachableHere || !reachableByLeader
 }
--- a/internal/health/monitor_test.go
+++ b/internal/health/monitor_test.go
@@ -11,44 +11,44 @@
 
 func TestProgress(t *testing.T) {
 	monitor := NewMonitor(micros.NewClock())
-	if done, running := monitor.Progress("a"); done != 0 || running != 0 || monitor.JobPublished("a") {
-		t.Errorf("a new monitor knows of a job: %d done, %d running", done, running)
+	if done, running := monitor.Progress("a"); done != 0 || running != 0 || monitor.JobInSnapshot("a") {
+		t.Errorf("new monitor contains a job: %d done, %d running", done, running)
 	}
-	monitor.SnapshotPublished(&snapshot.Snapshot{Jobs: []*snapshot.Job{{ID: "a", Done: 3, Running: 2}}})
-	if done, running := monitor.Progress("a"); done != 3 || running != 2 || !monitor.JobPublished("a") {
-		t.Errorf("%d done, %d running, want 3 and 2", done, running)
+	monitor.RecordSnapshot(&snapshot.Snapshot{Jobs: []*snapshot.Job{{ID: "a", Done: 3, Running: 2}}})
+	if done, running := monitor.Progress("a"); done != 3 || running != 2 || !monitor.JobInSnapshot("a") {
+		t.Errorf("got %d done, %d running, want 3 and 2", done, running)
 	}
-	if monitor.JobPublished("b") {
-		t.Error("a job that no snapshot has counts as published")
+	if monitor.JobInSnapshot("b") {
+		t.Error("JobInSnapshot is true for a job that no snapshot contains")
 	}
-	if monitor.LeaderStoreServed() != 0 {
-		t.Error("a leader counts as served whose snapshot says that it is not")
+	if monitor.LeaderStoreReachableAt() != 0 {
+		t.Error("LeaderStoreReachableAt is set by the snapshot of a leader that could not reach the store")
 	}
 }
 
 func TestStoreReachable(t *testing.T) {
 	cases := map[string]struct {
-		sinceStore, sinceLeader time.Duration
-		leaderServed            bool
-		want                    bool
+		sinceStoreResponse, sinceSnapshot time.Duration
+		leaderReachesStore                bool
+		want                              bool
 	}{
-		"both served":                     {time.Second, time.Second, true, true},
-		"a short outage here":             {5 * time.Second, 0, true, true},
-		"refused while the leader is not": {7 * time.Second, 0, true, false},
-		"refused like the leader":         {7 * time.Second, 0, false, true},
-		"no snapshot for a while":         {7 * time.Second, 3 * time.Second, true, true},
+		"reachable from both":        {time.Second, time.Second, true, true},
+		"short outage here":          {5 * time.Second, 0, true, true},
+		"unreachable only from here": {7 * time.Second, 0, true, false},
+		"unreachable from both":      {7 * time.Second, 0, false, true},
+		"no recent snapshot":         {7 * time.Second, 3 * time.Second, true, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				monitor := NewMonitor(micros.NewClock())
 				time.Sleep(time.Minute)
-				monitor.StoreServed()
-				time.Sleep(c.sinceStore - c.sinceLeader)
-				monitor.SnapshotPublished(&snapshot.Snapshot{StoreAvailable: c.leaderServed})
-				time.Sleep(c.sinceLeader)
+				monitor.RecordStoreResponse()
+				time.Sleep(c.sinceStoreResponse - c.sinceSnapshot)
+				monitor.RecordSnapshot(&snapshot.Snapshot{StoreAvailable: c.leaderReachesStore})
+				time.Sleep(c.sinceSnapshot)
 				if got := monitor.StoreReachable(); got != c.want {
-					t.Errorf("StoreReachable is %v, want %v", got, c.want)
+					t.Errorf("StoreReachable returned %v, want %v", got, c.want)
 				}
 			})
 		})
--- a/internal/leader/publish.go
+++ b/internal/leader/publish.go
@@ -11,7 +11,7 @@
 func (t *Term) publishSnapshot(ctx context.Context, now micros.Timestamp) {
 	t.lastPublished = now
 	published := t.manager.Snapshot(now)
-	t.cfg.Health.SnapshotPublished(published)
+	t.cfg.Health.RecordSnapshot(published)
 	t.followers.notify()
 	t.scaler.ObserveSnapshot(now, published)
 	if t.leaseValid(now) && t.scaler.RoundDue(now) {
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -33,7 +33,7 @@
 		var conflict *state.ConflictError
 		switch {
 		case err == nil:
-			t.cfg.Health.StoreServed()
+			t.cfg.Health.RecordStoreResponse()
 			t.loop.Post(ctx, func(now micros.Timestamp) { t.manager.WriteCommitted(now, batch.ID, revision) })
 			return
 		case errors.As(err, &conflict):
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -131,7 +131,7 @@
 // startEventSources starts the goroutines that post events from the store and the cloud to the event loop. The open-job
 // records are watched from the given revision.
 func (t *Term) startEventSources(ctx context.Context, revision uint64) {
-	watcher := openjobs.Watcher{Store: t.cfg.Store, Clock: t.cfg.Clock, OnServed: t.cfg.Health.StoreServed}
+	watcher := openjobs.Watcher{Store: t.cfg.Store, Clock: t.cfg.Clock, OnServed: t.cfg.Health.RecordStoreResponse}
 	t.loop.Go(func() {
 		watcher.Run(ctx, revision, func(update openjobs.Update) { t.applyOpenJobs(ctx, update) })
 	})
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -278,7 +278,7 @@
 func (d *Driver) renewLease(ctx context.Context, lease uint64, sentAt micros.Timestamp) event {
 	err := d.cfg.Store.RenewLease(ctx, lease)
 	if err == nil {
-		d.cfg.Health.StoreServed()
+		d.cfg.Health.RecordStoreResponse()
 	}
 	return func(now micros.Timestamp) []election.Effect {
 		return d.election.LeaseRenewed(now, sentAt, outcome(err))
--- a/internal/leadership/watch.go
+++ b/internal/leadership/watch.go
@@ -30,7 +30,7 @@
 		d.post(ctx, func(now micros.Timestamp) []election.Effect { return d.election.LeaderReadFailed(now) })
 		return 0, false
 	}
-	d.cfg.Health.StoreServed()
+	d.cfg.Health.RecordStoreResponse()
 	var record *state.LeaderRecord
 	version := revision
 	for _, item := range items {
@@ -49,7 +49,7 @@
 		if err != nil {
 			return
 		}
-		d.cfg.Health.StoreServed()
+		d.cfg.Health.RecordStoreResponse()
 		revision = result.Revision
 		for _, change := range result.Events {
 			switch state.LeaderKey {
--- a/internal/micros/micros.go
+++ b/internal/micros/micros.go
@@ -1,8 +1,8 @@
-// Package micros is the service's notion of time: whole microseconds on the process's monotonic clock. Parts that
-// decide without I/O take a Timestamp as an argument; only the owners of their goroutines read a Clock.
+// Package micros represents time as whole microseconds on the process's monotonic clock. Components that make decisions
+// without I/O take a Timestamp as an argument; only the goroutines that own them read a Clock.
 //
-// A Timestamp means nothing to another process, nor after a restart. What is stored or sent elsewhere is a Duration, or
-// the time of day.
+// A Timestamp is meaningless to other processes and after a restart. Use a Duration or the wall-clock time in stored
+// data and messages.
 package micros
 
 import (
@@ -21,13 +21,13 @@
 	Millisecond Duration = 1000
 	Second      Duration = 1000 * Millisecond
 	Minute      Duration = 60 * Second
-	// Forever is longer than any wait of the service; sums of a few do not overflow.
+	// Forever is longer than any wait of the service. Sums of a few such durations do not overflow.
 	Forever Duration = math.MaxInt64 / 4
 )
 
 const microsecondsPerSecond = 1e6
 
-// Seconds returns the duration of a number of seconds, rounded to microseconds. What doesn't fit becomes Forever or
+// Seconds converts a number of seconds to a Duration, rounded to microseconds. Values that do not fit become Forever or
 // -Forever, and NaN becomes zero.
 func Seconds(seconds float64) Duration {
 	microseconds := math.Round(seconds * microsecondsPerSecond)
@@ -45,8 +45,8 @@
 // Seconds returns the duration as a number of seconds.
 func (d Duration) Seconds() float64 { return float64(d) / microsecondsPerSecond }
 
-// AsDuration converts to the standard library's type, which counts nanoseconds: what is too long for it becomes the
-// thousandth part of Forever, some 73 years.
+// AsDuration converts d to a time.Duration, which counts nanoseconds. Durations that are too long for it become
+// Forever/1000, about 73 years.
 func (d Duration) AsDuration() time.Duration {
 	return time.Duration(min(d, Forever/1000)) * time.Microsecond
 }
@@ -54,20 +54,20 @@
 // Scale returns the duration multiplied by a factor.
 func (d Duration) Scale(factor float64) Duration { return Seconds(d.Seconds() * factor) }
 
-// Add returns the instant that is d later.
+// Add returns the timestamp d after t.
 func (t Timestamp) Add(d Duration) Timestamp { return t + Timestamp(d) }
 
-// Sub returns the time from earlier to t.
+// Sub returns the duration from earlier to t.
 func (t Timestamp) Sub(earlier Timestamp) Duration { return Duration(t - earlier) }
 
-// Clock reads the process's monotonic clock and the time of day. It may be copied and used concurrently.
+// Clock reads the process's monotonic clock and the wall clock. It may be copied and is safe for concurrent use.
 type Clock struct{ start time.Time }
 
-// NewClock returns a clock that starts at one second: its readings are never zero.
+// NewClock returns a clock that starts at one second, since a zero Timestamp means never.
 func NewClock() Clock { return Clock{start: time.Now().Add(-time.Second)} }
 
-// Now returns the present instant on the monotonic clock.
+// Now returns the current time on the monotonic clock.
 func (c Clock) Now() Timestamp { return Timestamp(time.Since(c.start).Microseconds()) }
 
-// UnixMicro returns the time of day, in microseconds since 1970 UTC.
+// UnixMicro returns the wall-clock time, in microseconds since the Unix epoch.
 func (c Clock) UnixMicro() int64 { return time.Now().UnixMicro() }
--- a/internal/micros/micros_test.go
+++ b/internal/micros/micros_test.go
@@ -20,7 +20,7 @@
 		{"negative", -2.5, -2500 * Millisecond},
 		{"too long", 1e300, Forever},
 		{"infinite", math.Inf(1), Forever},
-		{"too long into the past", math.Inf(-1), -Forever},
+		{"negative infinity", math.Inf(-1), -Forever},
 		{"not a number", math.NaN(), 0},
 	}
 	for _, c := range cases {
@@ -47,10 +47,10 @@
 		t.Errorf("Forever overflows to %v", got)
 	}
 	if got := d.Scale(0.5); got != 750*Millisecond {
-		t.Errorf("half of it is %d", got)
+		t.Errorf("scaled by 0.5: got %d", got)
 	}
 	if got := Forever.Scale(2); got != Forever {
-		t.Errorf("twice Forever is %d", got)
+		t.Errorf("Forever scaled by 2: got %d", got)
 	}
 }
 
@@ -73,15 +73,15 @@
 		clock := NewClock()
 		first := clock.Now()
 		if first != Timestamp(Second) {
-			t.Errorf("starts at %d", first)
+			t.Errorf("clock starts at %d, want one second", first)
 		}
 		wall := clock.UnixMicro()
 		time.Sleep(3 * time.Second)
 		if got := clock.Now().Sub(first); got != 3*Second {
-			t.Errorf("3 s later it is %d later", got)
+			t.Errorf("monotonic clock advanced by %d µs in 3 s", got)
 		}
 		if got := clock.UnixMicro() - wall; got != int64(3*Second) {
-			t.Errorf("3 s later the time of day is %d later", got)
+			t.Errorf("wall clock advanced by %d µs in 3 s", got)
 		}
 	})
 }
--- a/internal/routine/routine.go
+++ b/internal/routine/routine.go
@@ -1,6 +1,6 @@
-// Package routine holds what long-lived goroutines share: a group that waits for the goroutines of one owner, a wait
-// that ends with a context, and a time budget for a round of work. Whoever starts a goroutine in the controller does
-// it through a Group and waits for it; the package itself starts nothing else and keeps no state.
+// Package routine provides helpers for long-lived goroutines: a group that waits for the goroutines of one owner, a
+// sleep that a context can interrupt, and a time budget for a round of work. All goroutines of the controller are
+// started through a Group, and their owner waits for them. The package starts no other goroutines and keeps no state.
 package routine
 
 import (
@@ -11,32 +11,32 @@
 	"saffronbend/internal/micros"
 )
 
-// Group owns goroutines. The zero Group is ready for use, by any number of goroutines.
+// Group tracks the goroutines of one owner. The zero Group is ready to use and safe for concurrent use.
 type Group struct {
-	mu     sync.Mutex
-	closed bool
-	wait   sync.WaitGroup
+	mu      sync.Mutex
+	closed  bool
+	running sync.WaitGroup
 }
 
-// Go runs f in a goroutine of the group. Once Wait has been called, Go does nothing: the owner is ending, and
-// whatever is started through the group ends with its owner.
+// Go runs f in a new goroutine of the group. After Wait has been called, Go does nothing: the owner is shutting down,
+// and no goroutine of the group may outlive it.
 func (g *Group) Go(f func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.closed {
-		g.wait.Go(f)
+		g.running.Go(f)
 	}
 }
 
-// Wait closes the group and returns when all its goroutines have ended.
+// Wait closes the group and returns when all its goroutines have returned.
 func (g *Group) Wait() {
 	g.mu.Lock()
 	g.closed = true
 	g.mu.Unlock()
-	g.wait.Wait()
+	g.running.Wait()
 }
 
-// Sleep waits for a duration and reports whether it has passed in full: false means that ctx ended first.
+// Sleep waits for a duration. It returns false if ctx was done before the duration had elapsed.
 func Sleep(ctx context.Context, duration micros.Duration) bool {
 	timer := time.NewTimer(duration.AsDuration())
 	defer timer.Stop()
@@ -48,8 +48,8 @@
 	}
 }
 
-// Budget returns a function that reports whether more than the given time has passed since the call of Budget.
-func Budget(limit micros.Duration) (spent func() bool) {
-	began := time.Now()
-	return func() bool { return time.Since(began) > limit.AsDuration() }
+// Budget returns a function that reports whether more than limit has elapsed since the call to Budget.
+func Budget(limit micros.Duration) (exceeded func() bool) {
+	start := time.Now()
+	return func() bool { return time.Since(start) > limit.AsDuration() }
 }
--- a/internal/routine/routine_test.go
+++ b/internal/routine/routine_test.go
@@ -24,7 +24,7 @@
 		synctest.Wait()
 		group.Wait()
 		if got := ended.Load(); got != 2 {
-			t.Errorf("%d goroutines had ended when Wait returned, want 2", got)
+			t.Errorf("%d goroutines had returned before Wait, want 2", got)
 		}
 	})
 }
@@ -32,7 +32,7 @@
 func TestGroupStartsNothingAfterWait(t *testing.T) {
 	var group Group
 	group.Wait()
-	group.Go(func() { t.Error("started after Wait") })
+	group.Go(func() { t.Error("Go started a goroutine after Wait") })
 	group.Wait()
 }
 
@@ -41,24 +41,24 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
 		if !Sleep(ctx, micros.Second) {
-			t.Error("Sleep was cut short though its context had not ended")
+			t.Error("Sleep returned false though its context was not done")
 		}
 		if Sleep(ctx, micros.Minute) {
-			t.Error("Sleep outlasted its context")
+			t.Error("Sleep returned true though its context was done")
 		}
 	})
 }
 
 func TestBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		spent := Budget(20 * micros.Millisecond)
+		exceeded := Budget(20 * micros.Millisecond)
 		time.Sleep(20 * time.Millisecond)
-		if spent() {
-			t.Error("spent at its limit")
+		if exceeded() {
+			t.Error("budget reported as exceeded at its limit")
 		}
 		time.Sleep(time.Millisecond)
-		if !spent() {
-			t.Error("not spent beyond its limit")
+		if !exceeded() {
+			t.Error("budget not reported as exceeded after its limit")
 		}
 	})
 }
--- a/limits.go
+++ b/limits.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	// urgentWriteShare is the share of the store's writes a second that is kept for submissions and cancellations,
-	// whichever controllers they come to. The rest is the leader's, for progress, which gives way should several need
-	// their share at once.
+	// urgentWriteShare is the share of the store's write rate that is reserved for job submissions and cancellations.
+	// Each controller may use all of it, since any controller may receive them. The leader uses the rest to write
+	// progress, and slows down when the controllers together exceed the store's limit.
 	urgentWriteShare = 0.375
-	// leaderCloudShare is the leader's share of the cloud's requests.
+	// leaderCloudShare is the leader's share of the cloud's request rate.
 	leaderCloudShare = 0.7
-	// followerCloudDivisor divides what would be a controller's part of the cloud's requests while it does not lead.
+	// followerCloudDivisor reduces a follower's request rate to the cloud: it divides the rate that the follower would
+	// have if all controllers shared the cloud's limit equally.
 	followerCloudDivisor = 3
 )
 
-// rateLimits sets what this controller may request of the store and the cloud. The leader does nearly all the writing
-// and all the scaling.
+// rateLimits adjusts this controller's rate limits for the store and the cloud. The leader gets most of both rates,
+// since it does nearly all the writing and all the scaling.
 type rateLimits struct {
 	settings *settings.Settings
 	store    *state.Client
--- a/memory.go
+++ b/memory.go
@@ -6,15 +6,16 @@
 	"saffronbend/internal/settings"
 )
 
-// memoryGuard finds out whether the process comes close to its memory limit.
+// memoryGuard detects when the process gets close to its memory limit.
 type memoryGuard struct{ settings *settings.Settings }
 
-// short reports whether nothing should be accepted that needs more memory: the platform ends a process that exceeds its
-// limit, with all the work that it has in flight.
-func (g memoryGuard) short() bool { return heldMemory() > g.settings.MemoryAdmissionLimit() }
+// nearLimit reports whether requests that need more memory should be rejected. The platform kills a process that
+// exceeds its memory limit, and all its work in flight is lost.
+func (g memoryGuard) nearLimit() bool { return runtimeMemory() > g.settings.MemoryAdmissionLimit() }
 
-// heldMemory returns how much memory the runtime holds from the system, in bytes.
-func heldMemory() uint64 {
+// runtimeMemory returns how much memory the Go runtime has obtained from the operating system and not yet released, in
+// bytes.
+func runtimeMemory() uint64 {
 	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(samples)
 	return samples[0].Value.Uint64() - samples[1].Value.Uint64()
--- a/memory_test.go
+++ b/memory_test.go
@@ -8,19 +8,20 @@
 )
 
 func TestMemoryGuard(t *testing.T) {
-	const block = 64 << 20
-	set := &settings.Settings{}
-	guard := memoryGuard{set}
-	set.Deployment.Limits.MemoryMB = float64(heldMemory()+block/2) / (1 << 20) / 0.85
-	if guard.short() {
-		t.Fatal("short of memory with half a block to spare")
+	const blockBytes, bytesPerMB = 64 << 20, 1 << 20
+	const admissionShare = 0.85 // of the memory limit, as in settings.MemoryAdmissionLimit
+	cfg := &settings.Settings{}
+	guard := memoryGuard{cfg}
+	cfg.Deployment.Limits.MemoryMB = float64(runtimeMemory()+blockBytes/2) / bytesPerMB / admissionShare
+	if guard.nearLimit() {
+		t.Fatal("nearLimit is true half a block below the limit")
 	}
-	held := make([]byte, block)
-	for i := range held {
-		held[i] = 1
+	block := make([]byte, blockBytes)
+	for i := range block {
+		block[i] = 1
 	}
-	if !guard.short() {
-		t.Fatal("not short of memory half a block beyond")
+	if !guard.nearLimit() {
+		t.Fatal("nearLimit is false half a block above the limit")
 	}
-	runtime.KeepAlive(held)
+	runtime.KeepAlive(block)
 }
--- a/node.go
+++ b/node.go
@@ -1,10 +1,10 @@
-// Package saffronbend is a cluster scheduler: controllers that place users' tasks on machines of a cloud, with a
-// consensus-backed key-value store for what must be durable.
+// Package saffronbend is a cluster scheduler. Its controllers place users' tasks on machines rented from a cloud, and
+// keep durable state in a consensus-backed key-value store.
 //
-// A Node is one controller, and what programs embed. It wires up the packages that do the work and runs them: package
-// leadership takes part in the election and runs the controller's part in a term (packages leader and follower),
-// package placement places the tasks of the teams assigned to this controller, and the servers pass requests to
-// whichever of them is concerned. Node itself decides nothing and holds no state of the cluster.
+// A Node is one controller, and the type that programs embed. It wires up the packages that do the work and runs them:
+// package leadership takes part in the election and runs the leader or the follower (packages leader and follower),
+// package placement places the tasks of the teams assigned to this controller, and the servers dispatch requests to
+// these packages. Node itself makes no decisions and holds no cluster state.
 package saffronbend
 
 import (
@@ -29,8 +29,8 @@
 	"saffronbend/internal/worker"
 )
 
-// leaderLeaseTTL is how long a leader that ends without notice keeps others waiting, if its host doesn't refuse
-// connections.
+// leaderLeaseTTL is how long the other controllers wait before they replace a leader that has crashed, if its host does
+// not refuse connections.
 const leaderLeaseTTL = 5 * micros.Second
 
 // Node is one controller.
@@ -39,7 +39,7 @@
 	network     Network
 	log         *slog.Logger
 	clock       micros.Clock
-	incarnation uint64 // distinguishes this process from others of the same controller
+	incarnation uint64 // distinguishes this process from other processes of the same controller
 	store       *state.Client
 	cloud       *cloud.Client
 	types       *machinetypes.Catalog
@@ -48,31 +48,31 @@
 	leadership  *leadership.Driver
 }
 
-// New returns a controller with checked settings; Run runs it.
-func New(set *settings.Settings, network Network, log *slog.Logger) *Node {
-	deployment := &set.Deployment
+// New returns a controller with validated settings. Call Run to run it.
+func New(cfg *settings.Settings, network Network, log *slog.Logger) *Node {
+	deployment := &cfg.Deployment
 	storeLimits := deployment.State.Effective()
 	clock := micros.NewClock()
 	node := &Node{
-		settings:    set,
+		settings:    cfg,
 		network:     network,
-		log:         log.With("controller", set.Member),
+		log:         log.With("controller", cfg.Member),
 		clock:       clock,
 		incarnation: rand.Uint64() >> 11, // JSON numbers are exact up to 53 bits
-		store: state.New(network.Dial, set.Services.State, set.PerController(storeLimits.RPS),
+		store: state.New(network.Dial, cfg.Services.State, cfg.PerController(storeLimits.RPS),
 			storeLimits.WriteRPS*urgentWriteShare),
-		cloud:  cloud.New(network.Dial, set.Services.Cloud, set.PerController(deployment.Cloud.RPS)),
+		cloud:  cloud.New(network.Dial, cfg.Services.Cloud, cfg.PerController(deployment.Cloud.RPS)),
 		types:  &machinetypes.Catalog{},
 		health: health.NewMonitor(clock),
 	}
 	node.placer = placement.New(placement.Config{
-		Controller: set.Member,
-		Tuning:     set.Tuning,
+		Controller: cfg.Member,
+		Tuning:     cfg.Tuning,
 		Clock:      clock,
 		Types:      node.types,
 		Log:        node.log,
 	})
-	limits := &rateLimits{settings: set, store: node.store, cloud: node.cloud}
+	limits := &rateLimits{settings: cfg, store: node.store, cloud: node.cloud}
 	limits.SetLeading(false)
 	node.leadership = node.newLeadership(limits)
 	return node
@@ -116,33 +116,33 @@
 	})
 }
 
-// Run serves until ctx ends or a listener fails, and waits for all that it has started. It returns why it ended, nil
-// if ctx was cancelled.
+// Run runs the controller until ctx is cancelled or a listener fails, and waits for all goroutines that it has started.
+// It returns nil if ctx was cancelled, and otherwise the error.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	front, err := n.network.Listen(n.settings.Listen)
+	userListener, err := n.network.Listen(n.settings.Listen)
 	if err != nil {
 		return fmt.Errorf("serve_on: %w", err)
 	}
-	back, err := n.network.Listen(n.settings.PeerListen)
+	peerListener, err := n.network.Listen(n.settings.PeerListen)
 	if err != nil {
-		_ = front.Close() // nothing was accepted yet
+		_ = userListener.Close() // no connection has been accepted yet
 		return fmt.Errorf("cluster_listen: %w", err)
 	}
-	n.log.Info("controller starts", "zone", n.settings.Zone, "incarnation", n.incarnation)
+	n.log.Info("starting controller", "zone", n.settings.Zone, "incarnation", n.incarnation)
 	var group routine.Group
 	group.Go(func() {
-		if err := peer.Serve(ctx, back, peerService{n.leadership}, n.operatorRoutes()...); err != nil {
+		if err := peer.Serve(ctx, peerListener, peerService{n.leadership}, n.operatorRoutes()...); err != nil {
 			cancel(err)
 		}
 	})
 	group.Go(func() {
-		if err := n.serve(ctx, front); err != nil {
+		if err := n.serve(ctx, userListener); err != nil {
 			cancel(err)
 		}
 	})
-	group.Go(func() { n.types.Learn(ctx, n.store, n.cloud, n.log) })
+	group.Go(func() { n.types.LoadInitial(ctx, n.store, n.cloud, n.log) })
 	group.Go(func() { n.placer.Run(ctx) })
 	group.Go(func() { n.leadership.Run(ctx) })
 	<-ctx.Done()
--- a/node_test.go
+++ b/node_test.go
@@ -12,33 +12,34 @@
 	"saffronbend/internal/settings"
 )
 
-var errListener = errors.New("the listener has failed")
+var errListener = errors.New("listener failed")
 
-// fakeNetwork has listeners of which one may fail, and reaches nobody.
+// fakeNetwork returns listeners, of which one can be made to fail, and fails to dial any address.
 type fakeNetwork struct {
-	refuseAddr string // can't be listened on
-	failAddr   string // its listener fails after a second
+	refuseAddr string // address on which Listen fails
+	failAddr   string // address whose listener fails after a second
 }
 
 func (n *fakeNetwork) Listen(addr string) (net.Listener, error) {
 	if addr == n.refuseAddr {
 		return nil, errListener
 	}
-	return &fakeListener{fails: addr == n.failAddr, closed: make(chan struct{})}, nil
+	return &fakeListener{failing: addr == n.failAddr, closed: make(chan struct{})}, nil
 }
 
 func (*fakeNetwork) Dial(context.Context, string, string) (net.Conn, error) {
-	return nil, errors.New("the host is not reached")
+	return nil, errors.New("host unreachable")
 }
 
-// fakeListener accepts nothing until it is closed.
+// fakeListener accepts no connections: Accept blocks until the listener is closed or, if failing is set, fails after a
+// second.
 type fakeListener struct {
-	fails  bool
-	closed chan struct{}
+	failing bool
+	closed  chan struct{}
 }
 
 func (l *fakeListener) Accept() (net.Conn, error) {
-	if l.fails {
+	if l.failing {
 		time.Sleep(time.Second)
 		return nil, errListener
 	}
@@ -57,32 +58,32 @@
 
 func (*fakeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func TestRunReportsWhyItEnded(t *testing.T) {
+func TestRunReturnsCause(t *testing.T) {
 	cases := map[string]struct {
 		network fakeNetwork
 		want    error
 	}{
-		"its context ended":             {fakeNetwork{}, nil},
-		"it can't listen for users":     {fakeNetwork{refuseAddr: "front"}, errListener},
-		"it can't listen for its peers": {fakeNetwork{refuseAddr: "back"}, errListener},
-		"the listener for users failed": {fakeNetwork{failAddr: "front"}, errListener},
-		"the listener for peers failed": {fakeNetwork{failAddr: "back"}, errListener},
+		"context cancelled":       {fakeNetwork{}, nil},
+		"cannot listen for users": {fakeNetwork{refuseAddr: "front"}, errListener},
+		"cannot listen for peers": {fakeNetwork{refuseAddr: "back"}, errListener},
+		"user listener fails":     {fakeNetwork{failAddr: "front"}, errListener},
+		"peer listener fails":     {fakeNetwork{failAddr: "back"}, errListener},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				set := &settings.Settings{Member: "c1", Listen: "front", PeerListen: "back"}
-				set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 26.5, 46.5
+				cfg := &settings.Settings{Member: "c1", Listen: "front", PeerListen: "back"}
+				cfg.Deployment.Workers.LeaseS, cfg.Deployment.Workers.CancelS = 26.5, 46.5
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				time.AfterFunc(time.Minute, cancel)
-				began := time.Now()
-				err := New(set, &c.network, slog.New(slog.DiscardHandler)).Run(ctx)
+				start := time.Now()
+				err := New(cfg, &c.network, slog.New(slog.DiscardHandler)).Run(ctx)
 				if !errors.Is(err, c.want) {
 					t.Errorf("Run returned %v, want %v", err, c.want)
 				}
-				if ranOut := time.Since(began) >= time.Minute; ranOut != (c.want == nil) {
-					t.Errorf("Run ended after %v", time.Since(began))
+				if timedOut := time.Since(start) >= time.Minute; timedOut != (c.want == nil) {
+					t.Errorf("Run returned after %v", time.Since(start))
 				}
 			})
 		})
--- a/operators.go
+++ b/operators.go
@@ -17,7 +17,7 @@
 	_ operator.RebalancingController = (*operatorService)(nil)
 )
 
-// operatorService passes operators' commands to the present term.
+// operatorService forwards operators' commands to the current leader term, if this controller leads.
 type operatorService struct {
 	settings   *settings.Settings
 	leadership *leadership.Driver
@@ -29,27 +29,27 @@
 	if role.Term != nil {
 		return "", true
 	}
-	addr, _ = follower.PeerAddr(s.settings, role.Leader) // "" if it is not known
+	addr, _ = follower.PeerAddr(s.settings, role.Leader) // "" if the leader is unknown
 	return addr, false
 }
 
-// drainTerm returns the present term, or why drains can't be managed now.
+// drainTerm returns the current term, or an error if drains are disabled or this controller does not lead.
 func (s *operatorService) drainTerm() (*leader.Term, error) {
 	if !s.settings.Tuning.Drains.Enabled {
 		return nil, operator.ErrDrainsDisabled
 	}
-	return s.term()
+	return s.currentTerm()
 }
 
-// rebalancingTerm returns the present term, or why rebalancing can't be managed now.
+// rebalancingTerm returns the current term, or an error if rebalancing is disabled or this controller does not lead.
 func (s *operatorService) rebalancingTerm() (*leader.Term, error) {
 	if !s.settings.Tuning.Rebalancing.Enabled {
 		return nil, operator.ErrRebalancingDisabled
 	}
-	return s.term()
+	return s.currentTerm()
 }
 
-func (s *operatorService) term() (*leader.Term, error) {
+func (s *operatorService) currentTerm() (*leader.Term, error) {
 	if term := s.leadership.Role().Term; term != nil {
 		return term, nil
 	}
--- a/server.go
+++ b/server.go
@@ -21,17 +21,21 @@
 )
 
 const (
-	// heartbeatBatch is how many heartbeats are admitted together for each processor, heartbeatPatience how long others
-	// wait: a worker gives up after 4 s. In smaller batches, or with less patience, more workers lose their leases in a
-	// flood; in larger ones the controller's own duties wait for longer, and more leaders lose their term.
-	heartbeatBatch    = 32
-	heartbeatPatience = 3800 * time.Millisecond
+	// heartbeatBatchPerCPU is the number of heartbeats per CPU that are admitted together. Smaller batches cause more
+	// workers to lose their leases when heartbeats flood in; larger ones delay the controller's own work, and more
+	// leaders lose their term.
+	//
+	// maxHeartbeatWait is how long the other heartbeats may wait for admission. Workers time out after 4 s. With a
+	// shorter wait, more workers lose their leases when heartbeats flood in.
+	heartbeatBatchPerCPU = 32
+	maxHeartbeatWait     = 3800 * time.Millisecond
 
-	// The connections that a controller opens itself count against the same limit as those it accepts: some for the store,
-	// the cloud and the other controllers, and one in so many for command pushes. At least minConnections are accepted.
-	serviceConnections     = 40
-	connectionsPerOutgoing = 8
-	minConnections         = 16
+	// Outgoing connections count against the same limit as accepted ones. reservedConnections are reserved for the store,
+	// the cloud and the other controllers, and one in connectionsPerCommandPush of the limit for command pushes to
+	// workers. At least minConnections are accepted.
+	reservedConnections       = 40
+	connectionsPerCommandPush = 8
+	minConnections            = 16
 
 	readHeaderTimeout = 10 * time.Second
 	readTimeout       = 20 * time.Second
@@ -40,23 +44,23 @@
 	shutdownTimeout   = time.Second
 )
 
-// serve serves users, workers and health checks until ctx ends. Heartbeats are many and regular; everything else goes
-// before them.
+// serve serves users, workers and health checks until ctx is done. Heartbeats have a lower priority than all other
+// requests, since they are numerous and repeated regularly.
 func (n *Node) serve(ctx context.Context, listener net.Listener) error {
 	router := httprouter.New()
-	// Users' clients do not follow redirects.
+	// Users' clients do not follow redirects, so none are sent.
 	router.RedirectTrailingSlash, router.RedirectFixedPath = false, false
-	api.New(n.store, n.newInfo(), n.settings, n.log, n.clock.UnixMicro).Register(router)
+	api.New(n.store, n.newControllerInfo(), n.settings, n.log, n.clock.UnixMicro).Register(router)
 	worker.Register(router, workerService{n.leadership})
 
 	maxConnections := n.settings.Deployment.Limits.MaxConnections
-	outgoing := serviceConnections + maxConnections/connectionsPerOutgoing
+	outgoing := reservedConnections + maxConnections/connectionsPerCommandPush
 	limiter := ingress.NewConnLimiter(max(minConnections, maxConnections-outgoing))
-	admission := ingress.NewAdmission(heartbeatBatch*runtime.GOMAXPROCS(0), heartbeatPatience)
+	admission := ingress.NewAdmission(heartbeatBatchPerCPU*runtime.GOMAXPROCS(0), maxHeartbeatWait)
 	var group routine.Group
 	defer group.Wait()
 	admissionCtx, stopAdmission := context.WithCancel(ctx)
-	defer stopAdmission() // also when the listener fails while ctx goes on
+	defer stopAdmission() // also if the listener fails before ctx is done
 	group.Go(func() { admission.Run(admissionCtx) })
 
 	server := &http.Server{
@@ -80,16 +84,16 @@
 	return nil
 }
 
-// shutDown ends a server once ctx has ended, and leaves requests that are being served a moment.
+// shutDown shuts the server down after ctx is done. Requests in flight have shutdownTimeout to complete.
 func shutDown(ctx context.Context, server *http.Server) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
 	if server.Shutdown(ctx) != nil {
-		_ = server.Close() // its connections end with the process
+		_ = server.Close() // the remaining connections end with the process
 	}
 }
 
-// operatorRoutes returns the operators' services, which are served beside that for the other controllers.
+// operatorRoutes returns the routes of the operators' services, which share the listener for the other controllers.
 func (n *Node) operatorRoutes() []peer.Route {
 	service := &operatorService{settings: n.settings, leadership: n.leadership}
 	drainPath, drainHandler := operator.DrainHandler(service, n.network.Dial)
--- a/services.go
+++ b/services.go
@@ -14,15 +14,15 @@
 	"saffronbend/wire"
 )
 
-// This file holds the services that pass requests to the term or the following that this controller is in.
+// This file holds the services that forward requests to the leader term or the follower that this controller runs.
 
 var (
 	_ worker.HeartbeatHandler = workerService{}
 	_ peer.Controller         = peerService{}
-	_ api.ControllerStatus    = (*info)(nil)
+	_ api.ControllerStatus    = (*controllerInfo)(nil)
 )
 
-// workerService serves the heartbeats of workers.
+// workerService handles the heartbeats of workers.
 type workerService struct{ leadership *leadership.Driver }
 
 // Heartbeat implements worker.HeartbeatHandler.
@@ -39,10 +39,10 @@
 	return nil, role.Leader
 }
 
-// peerService serves the other controllers.
+// peerService handles the requests of the other controllers.
 type peerService struct{ leadership *leadership.Driver }
 
-// term returns the present term if it has a fencing token, or nil.
+// term returns the current term if it has the given fencing token, or else nil.
 func (s peerService) term(token wire.FencingToken) *leader.Term {
 	if term := s.leadership.Role().Term; term != nil && term.FencingToken() == token {
 		return term
@@ -83,25 +83,26 @@
 	s.leadership.LeaderAnnounced(ctx, announcement)
 }
 
-// info is what the users' interface reads of a controller.
-type info struct {
+// controllerInfo provides the user API with the state of this controller.
+type controllerInfo struct {
 	*machinetypes.Catalog
 	health     *health.Monitor
 	leadership *leadership.Driver
 	memory     memoryGuard
 }
 
-func (n *Node) newInfo() *info {
-	return &info{Catalog: n.types, health: n.health, leadership: n.leadership, memory: memoryGuard{n.settings}}
+func (n *Node) newControllerInfo() *controllerInfo {
+	return &controllerInfo{Catalog: n.types, health: n.health, leadership: n.leadership, memory: memoryGuard{n.settings}}
 }
 
 // Progress implements api.ControllerStatus.
-func (i *info) Progress(job wire.JobID) (done, running int) { return i.health.Progress(job) }
+func (i *controllerInfo) Progress(job wire.JobID) (done, running int) { return i.health.Progress(job) }
 
-// Healthy implements api.ControllerStatus. A controller that the store refuses alone is unhealthy, unless it leads.
-func (i *info) Healthy() bool {
+// Healthy implements api.ControllerStatus. A controller is unhealthy if it alone cannot reach the store, unless it
+// leads.
+func (i *controllerInfo) Healthy() bool {
 	return i.Types() != nil && (i.health.StoreReachable() || i.leadership.Role().Term != nil)
 }
 
 // UnderMemoryPressure implements api.ControllerStatus.
-func (i *info) UnderMemoryPressure() bool { return i.memory.short() }
+func (i *controllerInfo) UnderMemoryPressure() bool { return i.memory.nearLimit() }
