--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,6 @@
-// Package client is the client of saffronbend's interface for users: it submits, polls and cancels jobs. Command-line
-// users reach the service through it, and other programs may. It repeats requests that could not be served for as long
-// as the protocol demands, but decides nothing about jobs.
+// Package client is a client of saffronbend's user API: it submits, polls and cancels jobs. The command line uses it,
+// and other programs may import it. It retries requests that could not be served for as long as the protocol requires,
+// but makes no decisions about jobs.
 package client
 
 import (
@@ -18,7 +18,7 @@
 	"saffronbend/wire"
 )
 
-// How long the service may take to answer one request, by the protocol.
+// The protocol's time limits for the response to a single request.
 const (
 	changeTimeout = 5 * time.Second
 	pollTimeout   = 2 * time.Second
@@ -31,54 +31,54 @@
 	maxResponseBytes    = 1 << 20
 )
 
-// Client makes requests of one service. It must not be used concurrently.
+// Client sends requests to one service. It is not safe for concurrent use.
 type Client struct {
-	// Servers are the service's addresses, with a port. A request that could not be served goes to the next one.
+	// Servers are the service's addresses, with ports. Each retry goes to the next address.
 	Servers []string
-	// RetryTimeout is how long a request is repeated; a minute if it is zero.
+	// RetryTimeout is how long a request is retried; zero means one minute.
 	RetryTimeout time.Duration
-	// OnRetry, if set, is called before each wait with the reason and the length of it.
+	// OnRetry, if set, is called before each retry with the reason and the delay until the retry.
 	OnRetry func(reason string, delay time.Duration)
 
-	http http.Client
-	next int // index of the server to ask next, not yet reduced by the number of servers
+	http       http.Client
+	nextServer int // index of the server for the next attempt, modulo the number of servers
 }
 
-// RefusedError is the service's final answer that it won't serve a request.
+// RefusedError reports that a request was rejected and must not be retried.
 type RefusedError struct {
-	Status int // of HTTP; 0 if the request could not be formed
+	Status int // HTTP status code; 0 if the request could not be built
 	Reason string
 }
 
 // Error returns the reason.
 func (e *RefusedError) Error() string { return e.Reason }
 
-// Submit submits a job, in the protocol's JSON, and returns its state; repeating it is safe. The error is that of
-// wire.ParseJob, a *RefusedError, or says why the request was given up.
+// Submit submits a job, encoded as the protocol's JSON, and returns its state. It is idempotent. The error is that of
+// wire.ParseJob, a *RefusedError, or the reason why the retries were abandoned.
 func (c *Client) Submit(ctx context.Context, job []byte) (*wire.JobStatus, error) {
 	if _, err := wire.ParseJob(job); err != nil {
 		return nil, err
 	}
-	return c.retry(ctx, request{http.MethodPost, wire.PathJobs, job, changeTimeout})
+	return c.doWithRetry(ctx, request{http.MethodPost, wire.PathJobs, job, changeTimeout})
 }
 
-// Status returns a job's state. The error is a *RefusedError, or says why the request was given up.
+// Status returns a job's state. The error is a *RefusedError, or the reason why the retries were abandoned.
 func (c *Client) Status(ctx context.Context, id wire.JobID) (*wire.JobStatus, error) {
 	path, err := jobPath(id)
 	if err != nil {
 		return nil, err
 	}
-	return c.retry(ctx, request{http.MethodGet, path, nil, pollTimeout})
+	return c.doWithRetry(ctx, request{http.MethodGet, path, nil, pollTimeout})
 }
 
-// Cancel cancels a job; the state returned says whether it was done before. Repeating it is safe. The error is a
-// *RefusedError, or says why the request was given up.
+// Cancel cancels a job and returns its state, which tells whether the job had already completed. It is idempotent. The
+// error is a *RefusedError, or the reason why the retries were abandoned.
 func (c *Client) Cancel(ctx context.Context, id wire.JobID) (*wire.JobStatus, error) {
 	path, err := jobPath(id)
 	if err != nil {
 		return nil, err
 	}
-	return c.retry(ctx, request{http.MethodPost, path + "/" + wire.ActionCancel, nil, changeTimeout})
+	return c.doWithRetry(ctx, request{http.MethodPost, path + "/" + wire.ActionCancel, nil, changeTimeout})
 }
 
 func jobPath(id wire.JobID) (string, error) {
@@ -88,16 +88,16 @@
 	return wire.PathJobs + "/" + string(id), nil
 }
 
-// request is what is repeated until it has a final answer.
+// request is an HTTP request that is retried until it has a final response.
 type request struct {
 	method  string
 	path    string
 	body    []byte
-	timeout time.Duration // of one attempt
+	timeout time.Duration // for a single attempt
 }
 
-// retry repeats a request until it has a final answer or the next attempt would begin after the retry timeout.
-func (c *Client) retry(ctx context.Context, req request) (*wire.JobStatus, error) {
+// doWithRetry retries a request until it has a final response or the next attempt would begin after the retry timeout.
+func (c *Client) doWithRetry(ctx context.Context, req request) (*wire.JobStatus, error) {
 	if len(c.Servers) == 0 {
 		return nil, errors.New("no server is given")
 	}
@@ -118,7 +118,7 @@
 		if c.OnRetry != nil {
 			c.OnRetry(err.Error(), delay)
 		}
-		c.next++
+		c.nextServer++
 		select {
 		case <-ctx.Done():
 			return nil, fmt.Errorf("given up: %w", err)
@@ -127,13 +127,13 @@
 	}
 }
 
-// attempt makes a request once. After an error other than a *RefusedError it may be repeated after the delay.
+// attempt makes a request once. After an error other than a *RefusedError, the request may be retried after the delay.
 func (c *Client) attempt(
 	ctx context.Context, req request,
 ) (status *wire.JobStatus, retryDelay time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, req.timeout)
 	defer cancel()
-	server := c.Servers[c.next%len(c.Servers)]
+	server := c.Servers[c.nextServer%len(c.Servers)]
 	url := "http://" + server + req.path
 	httpRequest, err := http.NewRequestWithContext(ctx, req.method, url, bytes.NewReader(req.body))
 	if err != nil {
@@ -143,7 +143,7 @@
 	if err != nil {
 		return nil, minRetryDelay, fmt.Errorf("%s does not answer: %w", server, err)
 	}
-	defer func() { _ = resp.Body.Close() }() // it was read, or the read's error is returned
+	defer func() { _ = resp.Body.Close() }() // an error of Close is irrelevant once the body has been read
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, minRetryDelay, fmt.Errorf("%s does not answer: %w", server, err)
@@ -156,14 +156,14 @@
 		}
 		return status, 0, nil
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusUnprocessableEntity:
-		return nil, 0, &RefusedError{resp.StatusCode, refusalReason(body, resp.Status)}
+		return nil, 0, &RefusedError{resp.StatusCode, errorReason(body, resp.Status)}
 	}
 	retryDelay = parseRetryAfter(resp.Header.Get("Retry-After"))
-	return nil, retryDelay, fmt.Errorf("%s: %s", server, refusalReason(body, resp.Status))
+	return nil, retryDelay, fmt.Errorf("%s: %s", server, errorReason(body, resp.Status))
 }
 
-// refusalReason returns the reason that a response states, or else its status line.
-func refusalReason(body []byte, statusLine string) string {
+// errorReason returns the error message in a response body or, if there is none, the lower-case status line.
+func errorReason(body []byte, statusLine string) string {
 	var response wire.ErrorResponse
 	if json.Unmarshal(body, &response) == nil && response.Error != "" {
 		return response.Error
@@ -171,7 +171,8 @@
 	return strings.ToLower(statusLine)
 }
 
-// parseRetryAfter returns the delay that a Retry-After header of whole seconds asks for, within the protocol's bounds.
+// parseRetryAfter returns the delay in a Retry-After header of whole seconds, clamped to the protocol's bounds. An
+// invalid or missing header means the minimum delay.
 func parseRetryAfter(header string) time.Duration {
 	seconds, err := strconv.Atoi(header)
 	if err != nil {
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -23,13 +23,13 @@
 	body   string
 }
 
-// servers answers the requests of a client one after the other with the given responses, and records them.
-type servers struct {
-	responses []response // none left: the connection is refused
+// fakeServers is a transport that answers requests with the given responses, in order, and records the requests.
+type fakeServers struct {
+	responses []response // once used up, connections are refused
 	requests  []string
 }
 
-func (s *servers) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *fakeServers) RoundTrip(r *http.Request) (*http.Response, error) {
 	s.requests = append(s.requests, r.Method+" "+r.URL.Host+r.URL.Path)
 	if len(s.responses) == 0 {
 		return nil, &net.OpError{Op: "dial", Err: errors.New("connection refused")}
@@ -44,15 +44,15 @@
 	}, nil
 }
 
-// newClient returns a client of two servers that give these responses.
-func newClient(responses ...response) (*Client, *servers) {
-	servers := &servers{responses: responses}
+// newClient returns a client of two servers that give the responses in order.
+func newClient(responses ...response) (*Client, *fakeServers) {
+	servers := &fakeServers{responses: responses}
 	client := &Client{Servers: []string{"a:1", "b:2"}}
 	client.http.Transport = servers
 	return client, servers
 }
 
-func TestRepeatsWhatCouldNotBeServed(t *testing.T) {
+func TestRetriesUnservedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, servers := newClient(
 			response{503, `{"error":"busy"}`}, response{429, `{}`},
@@ -66,30 +66,30 @@
 		if err != nil || status.State != "pending" {
 			t.Fatal(status, err)
 		}
-		if took := time.Since(start); took != 14*time.Second {
-			t.Errorf("it took %v, Retry-After says twice 7 s", took)
+		if elapsed := time.Since(start); elapsed != 14*time.Second {
+			t.Errorf("retries took %v, want twice the Retry-After delay of 7 s", elapsed)
 		}
 		want := []string{"POST a:1/v1/jobs", "POST b:2/v1/jobs", "POST a:1/v1/jobs"}
 		if !slices.Equal(servers.requests, want) {
 			t.Errorf("requested %v, want %v", servers.requests, want)
 		}
 		if want := []string{"a:1: busy, 7s", "b:2: 429, 7s"}; !slices.Equal(reasons, want) {
-			t.Errorf("reported %q, want %q", reasons, want)
+			t.Errorf("OnRetry got %q, want %q", reasons, want)
 		}
 	})
 }
 
-func TestGivesUp(t *testing.T) {
+func TestRetryLimits(t *testing.T) {
 	cases := []struct {
 		name         string
 		retryTimeout time.Duration
 		cancelAfter  time.Duration // 0: never
-		longest      time.Duration
+		maxElapsed   time.Duration
 		minAttempts  int
 	}{
 		{"after a minute", 0, 0, time.Minute, 30},
 		{"after the retry timeout", 5 * time.Second, 0, 5 * time.Second, 3},
-		{"when its context ends", 0, 2500 * time.Millisecond, 2500 * time.Millisecond, 2},
+		{"when its context is cancelled", 0, 2500 * time.Millisecond, 2500 * time.Millisecond, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -103,9 +103,9 @@
 				}
 				start := time.Now()
 				_, err := client.Status(ctx, "run-000412")
-				took, attempts := time.Since(start), len(servers.requests)
-				if attempts < c.minAttempts || took > c.longest {
-					t.Fatalf("%d attempts in %v", attempts, took)
+				elapsed, attempts := time.Since(start), len(servers.requests)
+				if attempts < c.minAttempts || elapsed > c.maxElapsed {
+					t.Fatalf("%d attempts in %v", attempts, elapsed)
 				}
 				lastServer := []string{"a:1", "b:2"}[(attempts-1)%2]
 				want := "given up: " + lastServer + " does not answer"
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestRepeatsAfterAResponseThatCannotBeRead(t *testing.T) {
+func TestRetriesAfterMalformedResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client, servers := newClient(response{200, `{"id":`}, response{200, `{"id":"run-1","status":"done"}`})
 		status, err := client.Status(t.Context(), "run-1")
@@ -127,20 +127,20 @@
 	})
 }
 
-func TestFinalRefusals(t *testing.T) {
+func TestRefusedErrors(t *testing.T) {
 	client, servers := newClient(
 		response{422, `{"error":"unknown team"}`}, response{404, `{"error":"no such job"}`}, response{400, ``})
 	ctx := t.Context()
 	_, err := client.Submit(ctx, []byte(job))
 	var refused *RefusedError
 	if !errors.As(err, &refused) || refused.Status != 422 || err.Error() != "unknown team" {
-		t.Errorf("submission: got %v", err)
+		t.Errorf("Submit: got error %v", err)
 	}
 	if _, err = client.Cancel(ctx, "run-1"); err == nil || err.Error() != "no such job" {
-		t.Errorf("cancellation: got %v", err)
+		t.Errorf("Cancel: got error %v", err)
 	}
 	if _, err = client.Status(ctx, "run-1"); !errors.As(err, &refused) || refused.Status != 400 || err.Error() != "400" {
-		t.Errorf("poll: got %v", err)
+		t.Errorf("Status: got error %v", err)
 	}
 	want := []string{"POST a:1/v1/jobs", "POST a:1/v1/jobs/run-1/withdraw", "GET a:1/v1/jobs/run-1"}
 	if !slices.Equal(servers.requests, want) {
@@ -148,24 +148,24 @@
 	}
 }
 
-func TestRefusesWithoutARequest(t *testing.T) {
+func TestInvalidRequestsAreNotSent(t *testing.T) {
 	client, servers := newClient()
 	ctx := t.Context()
 	_, err := client.Submit(ctx, []byte(`{"id":"run-1"}`))
 	if err == nil || err.Error() != `field "lane" is missing` {
-		t.Errorf("invalid submission: got %v", err)
+		t.Errorf("Submit of an invalid job: got error %v", err)
 	}
 	if _, err = client.Status(ctx, "412"); err == nil {
-		t.Error("polled for an ID that is none")
+		t.Error("Status accepted an invalid job ID")
 	}
 	if _, err = client.Cancel(ctx, "412"); err == nil {
-		t.Error("cancelled an ID that is none")
+		t.Error("Cancel accepted an invalid job ID")
 	}
 	if _, err = new(Client).Status(ctx, "run-1"); err == nil {
-		t.Error("polled without a server")
+		t.Error("Status succeeded without a server")
 	}
 	if len(servers.requests) != 0 {
-		t.Errorf("requested %v", servers.requests)
+		t.Errorf("invalid requests were sent: %v", servers.requests)
 	}
 }
 
--- a/cmd/saffronbend/drain.go
+++ b/cmd/saffronbend/drain.go
@@ -14,7 +14,7 @@
 	"saffronbend/internal/operator/operatorpb/operatorpbconnect"
 )
 
-// drainCmd is the operators' side of drains.
+// drainCmd is the group of operators' commands that start, show and change drains.
 type drainCmd struct {
 	clusterFlag
 
@@ -48,28 +48,28 @@
 	drainCancelCmd struct{ drainName }
 )
 
-// drainCall is a call that is answered with the status of a drain.
-type drainCall func(
+// drainRPC is a remote call that returns the status of a drain.
+type drainRPC func(
 	ctx context.Context, client operatorpbconnect.DrainServiceClient,
 ) (*connect.Response[operatorpb.DrainStatus], error)
 
-// ask asks one controller after another, until one can be reached.
-func (d *drainCmd) ask(f func(context.Context, operatorpbconnect.DrainServiceClient) error) error {
-	return askControllers(d.Cluster, operator.NewDrainClient, f)
+// withClient calls f with a client of each controller in turn, until one can be reached.
+func (d *drainCmd) withClient(f func(context.Context, operatorpbconnect.DrainServiceClient) error) error {
+	return tryControllers(d.Cluster, operator.NewDrainClient, f)
 }
 
-// change asks for a change of a drain and prints the status that it is answered with.
-func (d *drainCmd) change(call drainCall) error {
-	return d.ask(func(ctx context.Context, client operatorpbconnect.DrainServiceClient) error {
-		response, err := call(ctx, client)
+// change makes a call that changes a drain, and prints the status that it returns.
+func (d *drainCmd) change(rpc drainRPC) error {
+	return d.withClient(func(ctx context.Context, client operatorpbconnect.DrainServiceClient) error {
+		response, err := rpc(ctx, client)
 		if err == nil {
-			fmt.Print(drainLine(response.Msg))
+			fmt.Print(formatDrain(response.Msg))
 		}
 		return err
 	})
 }
 
-// changeNamed asks for a change of the drain of a name with one of the client's methods.
+// changeNamed changes the drain with the given name through one of the client's methods.
 func (d *drainCmd) changeNamed(name string, method func(
 	operatorpbconnect.DrainServiceClient, context.Context, *connect.Request[operatorpb.NamedDrainRequest],
 ) (*connect.Response[operatorpb.DrainStatus], error)) error {
@@ -98,15 +98,15 @@
 	})
 }
 
-// Run prints the status of a drain, or of all, and what they wait for.
+// Run prints the status of one drain or of all drains, and what each is waiting for.
 func (s drainStatusCmd) Run(c *cli) error {
-	return c.Drain.ask(func(ctx context.Context, client operatorpbconnect.DrainServiceClient) error {
+	return c.Drain.withClient(func(ctx context.Context, client operatorpbconnect.DrainServiceClient) error {
 		response, err := client.GetDrains(ctx, connect.NewRequest(&operatorpb.GetDrainsRequest{Name: s.Name}))
 		if err != nil {
 			return err
 		}
 		for _, status := range response.Msg.Drains {
-			fmt.Print(drainLine(status), drainDetails(status))
+			fmt.Print(formatDrain(status), formatDrainDetails(status))
 		}
 		return nil
 	})
@@ -127,8 +127,8 @@
 	return c.Drain.changeNamed(s.Name, operatorpbconnect.DrainServiceClient.CancelDrain)
 }
 
-// drainLine describes a drain in one line.
-func drainLine(status *operatorpb.DrainStatus) string {
+// formatDrain returns a one-line summary of a drain.
+func formatDrain(status *operatorpb.DrainStatus) string {
 	overdue := ""
 	if status.Overdue {
 		overdue = ", overdue"
@@ -137,8 +137,8 @@
 		status.Name, status.State, status.Gone, status.Machines, status.Emptying, status.TasksLeft, overdue)
 }
 
-// drainDetails describes what a drain waits for, a line for each budget and each task that blocks it.
-func drainDetails(status *operatorpb.DrainStatus) string {
+// formatDrainDetails returns what a drain is waiting for: one line for each budget and for each task that blocks it.
+func formatDrainDetails(status *operatorpb.DrainStatus) string {
 	var text strings.Builder
 	for _, budget := range status.Budgets {
 		fmt.Fprintf(&text, "  team %s: %d tasks disturbed, %d may be\n", budget.Team, budget.Disturbed, budget.Allowed)
--- a/cmd/saffronbend/job.go
+++ b/cmd/saffronbend/job.go
@@ -14,14 +14,14 @@
 	"saffronbend/wire"
 )
 
-// jobCmd is the users' side of jobs.
+// jobCmd is the group of commands for users: it submits, queries and cancels jobs.
 type jobCmd struct {
-	Server   []string      `help:"Addresses of the service, with ports." default:"127.0.0.1:8080" env:"SAFFRONBEND_SERVER" placeholder:"ADDR,..."` //nolint:lll // a struct tag cannot be broken
-	Patience time.Duration `help:"How long a request that can't be served is repeated." default:"60s"`
+	Server       []string      `help:"Addresses of the service, with ports." default:"127.0.0.1:8080" env:"SAFFRONBEND_SERVER" placeholder:"ADDR,..."` //nolint:lll // a struct tag cannot be broken
+	RetryTimeout time.Duration `name:"patience" help:"How long a request that can't be served is repeated." default:"60s"`
 
-	Submit   submitCmd   `cmd:"" help:"Submit a job."`
-	Status   statusCmd   `cmd:"" help:"Ask about a job."`
-	Withdraw withdrawCmd `cmd:"" help:"Cancel a job."`
+	Submit submitCmd `cmd:"" help:"Submit a job."`
+	Status statusCmd `cmd:"" help:"Ask about a job."`
+	Cancel cancelCmd `cmd:"" name:"withdraw" help:"Cancel a job."`
 }
 
 type (
@@ -31,19 +31,19 @@
 	statusCmd struct {
 		ID string `arg:"" help:"The job's id, such as run-000412."`
 	}
-	withdrawCmd struct {
+	cancelCmd struct {
 		ID string `arg:"" help:"The job's id, such as run-000412."`
 	}
 )
 
-// client returns a client that repeats requests, and says so on standard error.
+// client returns an API client that reports each retry on standard error.
 func (j *jobCmd) client() *client.Client {
-	return &client.Client{Servers: j.Server, RetryTimeout: j.Patience, OnRetry: func(why string, after time.Duration) {
+	return &client.Client{Servers: j.Server, RetryTimeout: j.RetryTimeout, OnRetry: func(why string, after time.Duration) {
 		fmt.Fprintf(os.Stderr, "saffronbend: %s; again in %v\n", why, after)
 	}}
 }
 
-// errJobTooLong is the error of a job that no controller accepts for its length.
+// errJobTooLong is returned for a job that exceeds the controllers' limit for request bodies.
 var errJobTooLong = fmt.Errorf("the job is longer than %d bytes", wire.MaxBodyBytes)
 
 // Run submits a job and prints its state.
@@ -63,10 +63,10 @@
 		if err != nil {
 			return nil, fmt.Errorf("the job can't be read: %w", err)
 		}
-		defer func() { _ = file.Close() }() // it is only read
+		defer func() { _ = file.Close() }() // opened for reading only
 		input = file
 	}
-	// One byte more than is allowed tells a job that is too long.
+	// Reading one byte more than the limit shows whether the job exceeds it.
 	job, err := io.ReadAll(io.LimitReader(input, wire.MaxBodyBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("the job can't be read: %w", err)
@@ -77,7 +77,7 @@
 	return job, nil
 }
 
-// Run asks for a job and prints its state.
+// Run queries a job and prints its state.
 func (s statusCmd) Run(c *cli) error {
 	return printStatus(func(ctx context.Context) (*wire.JobStatus, error) {
 		return c.Job.client().Status(ctx, wire.JobID(s.ID))
@@ -85,17 +85,17 @@
 }
 
 // Run cancels a job and prints its state.
-func (w withdrawCmd) Run(c *cli) error {
+func (s cancelCmd) Run(c *cli) error {
 	return printStatus(func(ctx context.Context) (*wire.JobStatus, error) {
-		return c.Job.client().Cancel(ctx, wire.JobID(w.ID))
+		return c.Job.client().Cancel(ctx, wire.JobID(s.ID))
 	})
 }
 
-// printStatus asks for a job's state and prints it in one line.
-func printStatus(ask func(context.Context) (*wire.JobStatus, error)) error {
+// printStatus makes a request and prints the job status that it returns in one line.
+func printStatus(request func(context.Context) (*wire.JobStatus, error)) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	status, err := ask(ctx)
+	status, err := request(ctx)
 	if err != nil {
 		return err
 	}
--- a/cmd/saffronbend/job_test.go
+++ b/cmd/saffronbend/job_test.go
@@ -22,20 +22,20 @@
 	"saffronbend/wire"
 )
 
-// serve serves a fake on this machine and returns its address.
-func serve(t *testing.T, h http.Handler) string {
+// startServer starts an HTTP server on the loopback interface and returns its address.
+func startServer(t *testing.T, handler http.Handler) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := &http.Server{Handler: h}
+	srv := &http.Server{Handler: handler}
 	go func() { _ = srv.Serve(l) }()
 	t.Cleanup(func() { _ = srv.Close() })
 	return l.Addr().String()
 }
 
-// freeAddr returns an address that nobody listens on.
+// freeAddr returns a loopback address on which no process listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,20 +46,21 @@
 	return l.Addr().String()
 }
 
-// controller starts a controller over fakes, in this process but on real sockets, and returns the users' address.
-func controller(t *testing.T) string {
+// startController starts a controller in this process, with fake services but real sockets, and returns its address for
+// users.
+func startController(t *testing.T) string {
 	t.Helper()
-	front, _ := controllerWith(t, nil)
-	return front
+	userAddr, _ := startControllerWith(t, nil)
+	return userAddr
 }
 
-// controllerWith is controller with the operators' options; it returns the cluster address, too.
-func controllerWith(t *testing.T, options []byte) (front, cluster string) {
+// startControllerWith is like startController, with the given operators' options. It also returns the cluster address.
+func startControllerWith(t *testing.T, options []byte) (userAddr, clusterAddr string) {
 	t.Helper()
 	cloud := fake.NewCloud([]wire.MachineType{{Name: "small", CPUs: 8, MemoryGB: 16, BootS: 30, Price: 1, SpotPrice: 0.3,
 		FetchGBPS: 1, Zones: []string{"a"}}}, time.Second, nil)
-	front, cluster = freeAddr(t), freeAddr(t)
-	set, err := settings.Parse(fmt.Appendf(nil, `member = "one"
+	userAddr, clusterAddr = freeAddr(t), freeAddr(t)
+	cfg, err := settings.Parse(fmt.Appendf(nil, `member = "one"
 location = "a"
 serve_on = %q
 cluster_listen = %q
@@ -87,14 +88,14 @@
 core_share = 1.0
 mem_mb = 200.0
 max_connections = 200
-`, front, cluster, serve(t, cloud), serve(t, fake.NewStore())), options)
+`, userAddr, clusterAddr, startServer(t, cloud), startServer(t, fake.NewStore())), options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- saffronbend.New(set, saffronbend.NewTCP(), slog.New(slog.NewTextHandler(io.Discard, nil))).Run(ctx)
+		ended <- saffronbend.New(cfg, saffronbend.NewTCP(), slog.New(slog.NewTextHandler(io.Discard, nil))).Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
@@ -102,29 +103,29 @@
 			t.Error(err)
 		}
 	})
-	awaitListener(t, cluster)
-	return front, cluster
+	awaitListener(t, clusterAddr)
+	return userAddr, clusterAddr
 }
 
-// awaitListener waits until connections to an address are accepted.
+// awaitListener waits until an address accepts connections.
 func awaitListener(t *testing.T, addr string) {
 	t.Helper()
-	const pause, tries = 20 * time.Millisecond, 500
-	for range tries {
+	const retryInterval, maxAttempts = 20 * time.Millisecond, 500
+	for range maxAttempts {
 		if c, err := net.Dial("tcp", addr); err == nil {
 			_ = c.Close()
 			return
 		}
-		time.Sleep(pause)
+		time.Sleep(retryInterval)
 	}
-	t.Fatalf("nobody listens on %s", addr)
+	t.Fatalf("no listener on %s", addr)
 }
 
-// command runs the command line and returns what it prints, or how it fails.
-func command(t *testing.T, args ...string) (string, error) {
+// runCommand runs a command line and returns its trimmed standard output and its error.
+func runCommand(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var c cli
-	exit := func(int) { t.Fatal("the command line ended the process") }
+	exit := func(int) { t.Fatal("the command line exited the process") }
 	p, err := kong.New(&c, kong.Name("saffronbend"), kong.Vars{"version": "x"}, kong.Exit(exit))
 	if err != nil {
 		t.Fatal(err)
@@ -147,11 +148,11 @@
 	return strings.TrimSpace(out.String()), err
 }
 
-// A user's way through a job's life, against a controller that is only just starting: what
-// it can't serve yet is repeated.
-func TestJobsLife(t *testing.T) {
-	server := "--server=" + controller(t)
-	job := func(id, team string) string {
+// Users can submit, query and cancel jobs. The controller has only just started, so requests that it cannot serve yet
+// are retried.
+func TestJobLifecycle(t *testing.T) {
+	server := "--server=" + startController(t)
+	writeJob := func(id, team string) string {
 		path := filepath.Join(t.TempDir(), "job.json")
 		body := fmt.Sprintf(`{"id":%q,"lane":"work","owner":%q,"shape":"batch","urgency":"normal",
 "pieces":3,"cores":1,"cards":0,"memory_gb":1,"bundle":"img","size_gb":1,"together":false,"scatter":false,"loaners":true,
@@ -161,22 +162,23 @@
 		}
 		return path
 	}
-	for _, step := range []struct{ want, fails string }{
-		{want: "job submit " + job("run-1", "red") + " => run-1 pending 0 done 0 running"},
-		{want: "job submit " + job("run-1", "red") + " => run-1 pending 0 done 0 running"},
-		{want: "job status run-1 => run-1 pending 0 done 0 running"},
-		{want: "job withdraw run-1 => run-1 aborted"},
-		{want: "job status run-1 => run-1 aborted"},
-		{want: "job submit " + job("run-2", "blue"), fails: "unknown team"},
-		{want: "job status run-3", fails: "no such job"},
-		{want: "job status three", fails: `"three" is no job id: they are of the form run-000412`},
-		{want: "job submit /no/such/file", fails: "the job can't be read: open /no/such/file: no such file or directory"},
-		{want: "job status", fails: `expected "<id>"`},
+	for _, step := range []struct{ session, wantErr string }{
+		{session: "job submit " + writeJob("run-1", "red") + " => run-1 pending 0 done 0 running"},
+		{session: "job submit " + writeJob("run-1", "red") + " => run-1 pending 0 done 0 running"},
+		{session: "job status run-1 => run-1 pending 0 done 0 running"},
+		{session: "job withdraw run-1 => run-1 aborted"},
+		{session: "job status run-1 => run-1 aborted"},
+		{session: "job submit " + writeJob("run-2", "blue"), wantErr: "unknown team"},
+		{session: "job status run-3", wantErr: "no such job"},
+		{session: "job status three", wantErr: `"three" is no job id: they are of the form run-000412`},
+		{session: "job submit /no/such/file",
+			wantErr: "the job can't be read: open /no/such/file: no such file or directory"},
+		{session: "job status", wantErr: `expected "<id>"`},
 	} {
-		line, want, _ := strings.Cut(step.want, " => ")
-		got, err := command(t, append(strings.Fields(line), server)...)
-		if got != want || (err == nil) != (step.fails == "") || err != nil && err.Error() != step.fails {
-			t.Errorf("%s: %q, %v", line, got, err)
+		command, want, _ := strings.Cut(step.session, " => ")
+		got, err := runCommand(t, append(strings.Fields(command), server)...)
+		if got != want || (err == nil) != (step.wantErr == "") || err != nil && err.Error() != step.wantErr {
+			t.Errorf("%s: got output %q and error %v, want %q and error %q", command, got, err, want, step.wantErr)
 		}
 	}
 }
--- a/cmd/saffronbend/main.go
+++ b/cmd/saffronbend/main.go
@@ -1,10 +1,10 @@
-// Command saffronbend runs a controller of the saffronbend cluster scheduler. It is also the client of the
-// scheduler's users (job) and operators (drain, spread).
+// Command saffronbend runs a controller of the saffronbend cluster scheduler. It is also the command-line client for
+// the scheduler's users (job) and operators (drain, spread).
 //
-// A command is a type with a Run method, which the library of the command line (kong) calls; there is a file for each
-// group of commands. The package owns nothing but the command line: a controller is saffronbend.Node, a user's client
-// client.Client, and the operators' calls are those of internal/operator. It prints results to standard output, and
-// errors and logs to standard error.
+// Each command is a type with a Run method, which the command-line library (kong) calls; there is one file for each
+// group of commands. The package implements only the command line: the controller is saffronbend.Node, the users'
+// client is client.Client, and the operators' clients are those of internal/operator. Results are printed to standard
+// output, and errors and logs to standard error.
 package main
 
 import (
@@ -15,13 +15,13 @@
 	"saffronbend/internal/settings"
 )
 
-// version is the release's number.
 const version = "0.2.0"
 
-// errNoConfig is the error when a command needs the settings and is not told where they are.
+// errNoConfig is returned when a command needs the settings file and --config is not given.
 var errNoConfig = errors.New("--config FILE is missing")
 
-// cli is the command line. The names of fields and of types are part of it, as are the tags.
+// cli is the root of the command line. kong derives commands, flags and arguments from the field names and the struct
+// tags of this type and of the command types, and uses the type names in error messages.
 type cli struct {
 	Config  string           `help:"The platform's settings file (TOML)." placeholder:"FILE"`
 	Options string           `help:"The operators' options (protobuf text format)." placeholder:"FILE"`
@@ -35,7 +35,7 @@
 	Rebalance rebalanceCmd `cmd:"" name:"spread" help:"Watch, pause and resume moves of running work between machines."`
 }
 
-// load reads the settings and the options that the command line names.
+// load reads the settings file and the options file that the command line specifies.
 func (c *cli) load() (*settings.Settings, error) {
 	if c.Config == "" {
 		return nil, errNoConfig
--- a/cmd/saffronbend/rebalancing.go
+++ b/cmd/saffronbend/rebalancing.go
@@ -12,7 +12,8 @@
 	"saffronbend/internal/operator/operatorpb/operatorpbconnect"
 )
 
-// rebalanceCmd is the operators' side of moves of running work between machines. On the command line it is spread.
+// rebalanceCmd is the group of operators' commands for rebalancing, which moves running tasks between machines. On the
+// command line the group is called spread.
 type rebalanceCmd struct {
 	clusterFlag
 
@@ -29,53 +30,54 @@
 	rebalanceResumeCmd struct{}
 )
 
-// rebalancingCall is a call that is answered with the status of rebalancing.
-type rebalancingCall func(
+// rebalancingRPC is a remote call that returns the status of rebalancing.
+type rebalancingRPC func(
 	ctx context.Context, client operatorpbconnect.SpreadServiceClient,
 ) (*connect.Response[operatorpb.SpreadStatus], error)
 
-// ask asks one controller after another, until one can be reached, and prints the status that it answers with.
-func (s *rebalanceCmd) ask(call rebalancingCall) error {
-	ask := func(ctx context.Context, client operatorpbconnect.SpreadServiceClient) error {
-		response, err := call(ctx, client)
+// call makes a call to one controller after another until one is available, and prints the status that it returns.
+func (c *rebalanceCmd) call(rpc rebalancingRPC) error {
+	printStatus := func(ctx context.Context, client operatorpbconnect.SpreadServiceClient) error {
+		response, err := rpc(ctx, client)
 		if err == nil {
-			fmt.Print(rebalancingText(response.Msg))
+			fmt.Print(formatRebalancing(response.Msg))
 		}
 		return err
 	}
-	return askControllers(s.Cluster, operator.NewRebalancingClient, ask)
+	return tryControllers(c.Cluster, operator.NewRebalancingClient, printStatus)
 }
 
-// Run prints the load of the machines and the last moves.
+// Run prints the load of the machines, the latest moves and the tasks that are held back.
 func (s rebalanceStatusCmd) Run(c *cli) error {
 	request := connect.NewRequest(&operatorpb.GetSpreadRequest{Machines: s.Machines})
-	return c.Rebalance.ask(func(
+	return c.Rebalance.call(func(
 		ctx context.Context, client operatorpbconnect.SpreadServiceClient,
 	) (*connect.Response[operatorpb.SpreadStatus], error) {
 		return client.GetSpread(ctx, request)
 	})
 }
 
-// Run pauses moves and prints the status.
+// Run pauses rebalancing and prints its status.
 func (rebalancePauseCmd) Run(c *cli) error {
-	return c.Rebalance.ask(func(
+	return c.Rebalance.call(func(
 		ctx context.Context, client operatorpbconnect.SpreadServiceClient,
 	) (*connect.Response[operatorpb.SpreadStatus], error) {
 		return client.PauseSpread(ctx, connect.NewRequest(&operatorpb.ChangeSpreadRequest{}))
 	})
 }
 
-// Run resumes moves and prints the status.
+// Run resumes rebalancing and prints its status.
 func (rebalanceResumeCmd) Run(c *cli) error {
-	return c.Rebalance.ask(func(
+	return c.Rebalance.call(func(
 		ctx context.Context, client operatorpbconnect.SpreadServiceClient,
 	) (*connect.Response[operatorpb.SpreadStatus], error) {
 		return client.ResumeSpread(ctx, connect.NewRequest(&operatorpb.ChangeSpreadRequest{}))
 	})
 }
 
-// rebalancingText describes load, moves and what is held back, a line each.
-func rebalancingText(status *operatorpb.SpreadStatus) string {
+// formatRebalancing returns the status of rebalancing as text, with one line for each machine, each move and each task
+// that is held back.
+func formatRebalancing(status *operatorpb.SpreadStatus) string {
 	var text strings.Builder
 	switch {
 	case status.Paused:
--- a/cmd/saffronbend/rebalancing_test.go
+++ b/cmd/saffronbend/rebalancing_test.go
@@ -5,21 +5,24 @@
 	"testing"
 )
 
-// An operator's way through moves of running work: what can't be done says why in one line, and a pause is shown.
+// The rebalancing commands reject invalid requests with a one-line reason, and the status shows whether rebalancing is
+// paused.
 func TestRebalancingCommands(t *testing.T) {
-	_, cluster := controllerWith(t, []byte("drains { enabled: true } spread { enabled: true moves_per_minute: 5 }"))
+	_, cluster := startControllerWith(t, []byte("drains { enabled: true } spread { enabled: true moves_per_minute: 5 }"))
 	flag := "--cluster=" + cluster
-	const paused = "moves are paused\nload is known of 0 machines"
-	expect(t, "spread pause", flag, paused, "")
-	expect(t, "spread pause", flag, paused, "")
-	expect(t, "spread status", flag, paused, "")
-	expect(t, "spread resume now", flag, "", "unexpected argument now")
-	got, err := command(t, "spread", flag, "resume")
+	const pausedStatus = "moves are paused\nload is known of 0 machines"
+	checkCommand(t, "spread pause", flag, pausedStatus, "")
+	checkCommand(t, "spread pause", flag, pausedStatus, "")
+	checkCommand(t, "spread status", flag, pausedStatus, "")
+	checkCommand(t, "spread resume now", flag, "", "unexpected argument now")
+	got, err := runCommand(t, "spread", flag, "resume")
 	if err != nil || !strings.HasPrefix(got, "nothing is moved: ") || strings.Contains(got, "paused") {
-		t.Errorf("spread resume: %q, %v", got, err)
+		t.Errorf("spread resume: got output %q and error %v", got, err)
 	}
-	_, off := controllerWith(t, []byte("drains { enabled: true }"))
-	expect(t, "spread status", "--cluster="+off, "", "moves are switched off: set spread { enabled: true } in the options")
-	expect(t, "spread pause", "--cluster="+off, "", "moves are switched off: set spread { enabled: true } in the options")
-	expect(t, "spread status", "--cluster="+freeAddr(t), "", "connection refused")
+	_, disabled := startControllerWith(t, []byte("drains { enabled: true }"))
+	checkCommand(t, "spread status", "--cluster="+disabled, "",
+		"moves are switched off: set spread { enabled: true } in the options")
+	checkCommand(t, "spread pause", "--cluster="+disabled, "",
+		"moves are switched off: set spread { enabled: true } in the options")
+	checkCommand(t, "spread status", "--cluster="+freeAddr(t), "", "connection refused")
 }
--- a/cmd/saffronbend/run.go
+++ b/cmd/saffronbend/run.go
@@ -14,15 +14,15 @@
 	"saffronbend"
 )
 
-// garbagePercent is the growth of the heap after which garbage is collected. The process is ended when it holds more
-// memory than its limit, which the collector heeds by itself; little of that is used, and processor time is dearer.
-// Garbage may therefore pile up further than usual.
-const garbagePercent = 400
+// gcPercent is the heap growth, in percent, that triggers a garbage collection. It is higher than Go's default because
+// the controller uses little of its memory limit and CPU time is scarcer. Near the memory limit, beyond which the
+// process is killed, the runtime collects more often regardless of this value.
+const gcPercent = 400
 
 // runCmd runs a controller.
 type runCmd struct{}
 
-// Run runs a controller until the process is told to end, or until the controller fails.
+// Run runs a controller until the process receives SIGINT or SIGTERM, or the controller fails.
 func (runCmd) Run(c *cli) error {
 	level, err := logLevel()
 	if err != nil {
@@ -32,23 +32,23 @@
 	if err != nil {
 		return err
 	}
-	debug.SetGCPercent(garbagePercent)
+	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(loaded.RuntimeMemoryLimit())
 	runtime.GOMAXPROCS(int(math.Ceil(loaded.Deployment.Limits.CoreShare)))
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 	for _, warning := range loaded.Warnings() {
-		log.Warn("the settings are tight", "what", warning)
+		log.Warn("a setting leaves little headroom", "what", warning)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	return saffronbend.New(loaded, saffronbend.NewTCP(), log).Run(ctx)
 }
 
-// checkCmd checks the settings and the options.
+// checkCmd validates the settings and the options.
 type checkCmd struct{}
 
-// Run prints for how many machines each setting suffices, and what is tight. It fails if the settings or the options
-// are not sound.
+// Run prints the number of machines that each setting suffices for, and the settings that leave little headroom. It
+// fails if the settings or the options are invalid.
 func (checkCmd) Run(c *cli) error {
 	if _, err := logLevel(); err != nil {
 		return err
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// logLevel returns the level that the environment asks for.
+// logLevel returns the log level that the environment variable LOG_LEVEL specifies.
 func logLevel() (slog.Level, error) {
 	switch level := os.Getenv("LOG_LEVEL"); level {
 	case "error":
