--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -7,26 +7,26 @@
 	"strings"
 )
 
-// maxKnownFailures bounds the lines of the list.
+// maxKnownFailures is the maximum number of known failures in the list.
 const maxKnownFailures = 3
 
-// knownFailure is a line of the list: a test that fails for a known fault.
+// knownFailure is a line of the list: a test that fails because of a known bug.
 type knownFailure struct {
 	pkg   string // import path
-	test  string // as go test -v prints it
+	test  string // spelled as in the output of go test -v
 	cause string
 	issue string
 }
 
-// String returns the line as the command prints it.
+// String returns the failure in the form in which the command prints it.
 func (f knownFailure) String() string {
 	return fmt.Sprintf("%s %s: %s (%s)", f.pkg, f.test, f.cause, f.issue)
 }
 
-// errTooMany is the error of a list that is too long.
+// errTooMany is returned for a list with too many known failures.
 var errTooMany = fmt.Errorf("more than %d lines", maxKnownFailures)
 
-// parseList parses the list. Empty lines do not count.
+// parseList parses the list of known failures. It ignores empty lines.
 func parseList(text string) ([]knownFailure, error) {
 	var failures []knownFailure
 	for line := range strings.Lines(text) {
@@ -51,14 +51,14 @@
 	return failures, nil
 }
 
-// errForm is the error of a line that does not have the form of the list.
-var errForm = errors.New("not of the form PACKAGE TestName | cause | issue")
+// errMalformedLine is returned for a line that does not have the required form.
+var errMalformedLine = errors.New("not of the form PACKAGE TestName | cause | issue")
 
 func parseLine(line string) (knownFailure, error) {
 	const columns = 3
 	fields := strings.Split(line, "|")
 	if len(fields) != columns {
-		return knownFailure{}, errForm
+		return knownFailure{}, errMalformedLine
 	}
 	pkg, test, found := strings.Cut(strings.TrimSpace(fields[0]), " ")
 	failure := knownFailure{
@@ -69,12 +69,13 @@
 	}
 	isTest := strings.HasPrefix(failure.test, "Test") && !strings.ContainsAny(failure.test, " \t")
 	if !found || !isTest || failure.cause == "" || failure.issue == "" {
-		return knownFailure{}, errForm
+		return knownFailure{}, errMalformedLine
 	}
 	return failure, nil
 }
 
-// exactPattern returns the argument of go test -skip, -run or -list that matches just these tests (and their subtests).
+// exactPattern returns an argument for go test -skip, -run or -list that matches exactly these tests and their
+// subtests.
 func exactPattern(tests []string) string {
 	var patterns []string
 	for _, test := range tests {
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,16 +1,16 @@
-// Command knownred runs go test and skips the tests that KNOWN-RED.txt lists. The test command calls it; it is no
-// part of the scheduler.
+// Command knownred runs go test without the known failures, that is, the tests listed in KNOWN-RED.txt. test.sh calls
+// it; it is not part of the scheduler.
 //
 //	go run ./internal/knownred [FLAG...] -- PACKAGE...
 //
-// Flags and packages are those of go test. KNOWN-RED.txt, in the working directory, need not exist. Each of its lines
-// names one test that fails for a known fault:
+// FLAG and PACKAGE are passed to go test. KNOWN-RED.txt in the working directory is optional. Each of its lines names
+// one test that fails because of a known bug:
 //
 //	PACKAGE TestName | cause | issue
 //
-// TestName may name a subtest, as go test -v prints it (TestParse/empty_file). The command prints the tests that it
-// skips. It fails, before any other test runs, on more than three lines, on a line of another form, and on a test
-// that does not exist.
+// TestName may be a subtest, spelled as in the output of go test -v (TestParse/empty_file). The command prints the
+// tests that it skips. It fails before it runs any other test if the list has more than three lines, a malformed line,
+// or a test that does not exist.
 package main
 
 import (
@@ -27,10 +27,10 @@
 	"strings"
 )
 
-// listFile is the file that names the known failures.
+// listFile is the file that lists the known failures.
 const listFile = "KNOWN-RED.txt"
 
-// errUsage is the error of a command line of another form.
+// errUsage is returned for invalid command-line arguments.
 var errUsage = errors.New("the arguments must be [FLAG...] -- PACKAGE [PACKAGE...]")
 
 func main() {
@@ -43,7 +43,7 @@
 	}
 }
 
-// run runs the tests of a module, whose root is dir, and writes what go test prints to out.
+// run runs the tests of the module with the root dir, and writes the output of go test to out.
 func run(ctx context.Context, dir string, args []string, out io.Writer) error {
 	separator := slices.Index(args, "--")
 	if separator < 0 || separator == len(args)-1 {
@@ -71,20 +71,20 @@
 			return err
 		}
 	}
-	return tests.runWithout(ctx, packages, failures)
+	return tests.runExcluding(ctx, packages, failures)
 }
 
-// testCommand runs go test with the same flags for some packages after others.
+// testCommand runs go test, possibly several times, with the same flags for different packages.
 type testCommand struct {
 	dir   string
 	flags []string
 	out   io.Writer
 }
 
-// runWithout runs the tests of the packages but the known failures. A test of the same name in another package is
-// run: go test applies -skip to all the packages that it is given, so those with known failures are tested one by
-// one.
-func (c testCommand) runWithout(ctx context.Context, patterns []string, failures []knownFailure) error {
+// runExcluding runs the tests of the packages except the known failures. Packages with known failures are tested one by
+// one: go test applies -skip to all packages that it is given, and would also skip tests of the same name in other
+// packages.
+func (c testCommand) runExcluding(ctx context.Context, patterns []string, failures []knownFailure) error {
 	packages, err := c.listPackages(ctx, patterns)
 	if err != nil {
 		return err
@@ -111,7 +111,7 @@
 	return errors.Join(errs...)
 }
 
-// run runs the tests of the packages but those that match the pattern, which may be empty.
+// run runs the tests of the packages except those that match the pattern skip. An empty pattern skips no tests.
 func (c testCommand) run(ctx context.Context, packages []string, skip string) error {
 	args := append([]string{"test"}, c.flags...)
 	if skip != "" {
@@ -134,12 +134,12 @@
 	return strings.Fields(string(output)), nil
 }
 
-// checkExists returns an error unless the test exists. go test lists top-level tests only: whether a subtest exists
-// is known when its parent has run, so the subtest alone is run, and its result is ignored.
+// checkExists returns an error if a test does not exist. go test -list shows only top-level tests, and subtests are
+// created when their parent test runs. So a subtest is run on its own, and its result is ignored.
 func (c testCommand) checkExists(ctx context.Context, failure knownFailure) error {
 	packages, err := c.listPackages(ctx, []string{failure.pkg})
 	if err != nil || !slices.Equal(packages, []string{failure.pkg}) {
-		return fmt.Errorf("there is no package %s: name it by its import path", failure.pkg)
+		return fmt.Errorf("there is no package %s: packages must be listed by import path", failure.pkg)
 	}
 	args := append([]string{"test"}, c.flags...)
 	topLevel, _, isSubtest := strings.Cut(failure.test, "/")
--- a/internal/knownred/main_test.go
+++ b/internal/knownred/main_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// writeModule writes a module of two packages, each with a failing test of the same name, and returns its root.
+// writeModule writes a module with three packages and returns its root directory. Packages one, two and three each have
+// a test TestBad, which passes in two and fails in the others. A non-empty list is written to KNOWN-RED.txt.
 func writeModule(t *testing.T, list string) string {
 	t.Helper()
 	const tests = `package PACKAGE
@@ -50,126 +51,126 @@
 	return dir
 }
 
-// The lines of the list that cover every failure of the package one.
+// List entries that together cover all failures of package one.
 const (
-	badLine      = "example/one TestBad | not mended yet | issue 1\n"
-	badCaseLine  = "example/one TestTable/bad_case | not mended yet | issue 2\n"
-	otherBadLine = "example/one TestTable/other_bad_case | not mended yet | issue 3\n"
+	badLine      = "example/one TestBad | not fixed yet | issue 1\n"
+	badCaseLine  = "example/one TestTable/bad_case | not fixed yet | issue 2\n"
+	otherBadLine = "example/one TestTable/other_bad_case | not fixed yet | issue 3\n"
 )
 
-// runCase is a list, and what comes of running tests with it.
-type runCase struct {
-	name     string
-	list     string
-	packages []string
-	err      string // part of the error; empty: none
-	output   []string
-	absent   []string // parts that the output must not have
+// runTest is a list of known failures, and the expected result of a run with it.
+type runTest struct {
+	name           string
+	list           string
+	packages       []string
+	wantErr        string // substring of the error; empty if no error is expected
+	wantOutput     []string
+	unwantedOutput []string // substrings that the output must not contain
 }
 
-var runCases = []runCase{
+var runTests = []runTest{
 	{
-		name:     "no list, tests pass",
-		packages: []string{"./two"},
-		output:   []string{"ok  \texample/two"},
+		name:       "no list, tests pass",
+		packages:   []string{"./two"},
+		wantOutput: []string{"ok  \texample/two"},
 	},
 	{
-		name:     "no list, a test fails",
-		packages: []string{"./..."},
-		err:      "go test",
-		output:   []string{"--- FAIL: TestBad", "--- FAIL: TestTable/bad_case", "ok  \texample/two"},
+		name:       "no list, a test fails",
+		packages:   []string{"./..."},
+		wantErr:    "go test",
+		wantOutput: []string{"--- FAIL: TestBad", "--- FAIL: TestTable/bad_case", "ok  \texample/two"},
 	},
 	{
 		name:     "all failures listed",
 		list:     badLine + badCaseLine + otherBadLine,
 		packages: []string{"./one", "./two"},
-		output: []string{"known failure, skipped: example/one TestTable/bad_case: not mended yet (issue 2)",
+		wantOutput: []string{"known failure, skipped: example/one TestTable/bad_case: not fixed yet (issue 2)",
 			"known failure, skipped: example/one TestBad", "--- PASS: TestTable/good_case", "--- PASS: TestGood",
 			"ok  \texample/one", "ok  \texample/two"},
-		absent: []string{"=== RUN   TestTable/bad_case", "=== RUN   TestTable/other_bad_case"},
+		unwantedOutput: []string{"=== RUN   TestTable/bad_case", "=== RUN   TestTable/other_bad_case"},
 	},
 	{
-		name:     "a subtest beside those listed fails",
-		list:     badLine + badCaseLine,
-		packages: []string{"./one", "./two"},
-		err:      "go test",
-		output:   []string{"--- FAIL: TestTable/other_bad_case", "ok  \texample/two"},
-		absent:   []string{"=== RUN   TestTable/bad_case"},
+		name:           "a subtest that is not listed fails",
+		list:           badLine + badCaseLine,
+		packages:       []string{"./one", "./two"},
+		wantErr:        "go test",
+		wantOutput:     []string{"--- FAIL: TestTable/other_bad_case", "ok  \texample/two"},
+		unwantedOutput: []string{"=== RUN   TestTable/bad_case"},
 	},
 	{
-		name:     "a test of the same name in another package fails",
-		list:     badLine + badCaseLine + otherBadLine,
-		packages: []string{"./..."},
-		err:      "go test",
-		output:   []string{"--- FAIL: TestBad", "FAIL\texample/three", "ok  \texample/one"},
+		name:       "a test of the same name in another package fails",
+		list:       badLine + badCaseLine + otherBadLine,
+		packages:   []string{"./..."},
+		wantErr:    "go test",
+		wantOutput: []string{"--- FAIL: TestBad", "FAIL\texample/three", "ok  \texample/one"},
 	},
 	{
-		name:     "a test of the same name in another package runs",
-		list:     "example/three TestBad | not mended yet | issue 1\n",
-		packages: []string{"./two", "./three"},
-		output:   []string{"--- PASS: TestBad", "ok  \texample/two", "ok  \texample/three"},
-		absent:   []string{"--- FAIL"},
+		name:           "a test of the same name in another package runs",
+		list:           "example/three TestBad | not fixed yet | issue 1\n",
+		packages:       []string{"./two", "./three"},
+		wantOutput:     []string{"--- PASS: TestBad", "ok  \texample/two", "ok  \texample/three"},
+		unwantedOutput: []string{"--- FAIL"},
 	},
 	{
-		name:     "four lines",
-		list:     badLine + badCaseLine + otherBadLine + "example/three TestBad | not mended yet | issue 4\n",
-		packages: []string{"./..."},
-		err:      errTooMany.Error(),
-		absent:   []string{"example/two"},
+		name:           "four lines",
+		list:           badLine + badCaseLine + otherBadLine + "example/three TestBad | not fixed yet | issue 4\n",
+		packages:       []string{"./..."},
+		wantErr:        errTooMany.Error(),
+		unwantedOutput: []string{"example/two"},
 	},
 	{
-		name:     "a test that does not exist",
-		list:     "example/one TestBa | not mended yet | issue 1\n",
-		packages: []string{"./two"},
-		err:      "there is no test TestBa in example/one",
-		absent:   []string{"example/two"},
+		name:           "a test that does not exist",
+		list:           "example/one TestBa | not fixed yet | issue 1\n",
+		packages:       []string{"./two"},
+		wantErr:        "there is no test TestBa in example/one",
+		unwantedOutput: []string{"example/two"},
 	},
 	{
 		name:     "a subtest that does not exist",
-		list:     "example/one TestTable/case | not mended yet | issue 1\n",
+		list:     "example/one TestTable/case | not fixed yet | issue 1\n",
 		packages: []string{"./two"},
-		err:      "there is no test TestTable/case in example/one",
+		wantErr:  "there is no test TestTable/case in example/one",
 	},
 	{
 		name:     "a package that does not exist",
-		list:     "example/four TestBad | not mended yet | issue 1\n",
+		list:     "example/four TestBad | not fixed yet | issue 1\n",
 		packages: []string{"./two"},
-		err:      "there is no package example/four",
+		wantErr:  "there is no package example/four",
 	},
 	{
-		name:     "a package by its directory",
-		list:     "./one TestBad | not mended yet | issue 1\n",
+		name:     "a package listed by its directory",
+		list:     "./one TestBad | not fixed yet | issue 1\n",
 		packages: []string{"./two"},
-		err:      "there is no package ./one",
+		wantErr:  "there is no package ./one",
 	},
 	{
-		name:     "a line of another form",
-		list:     "example/one TestBad | not mended yet\n",
+		name:     "a malformed line",
+		list:     "example/one TestBad | not fixed yet\n",
 		packages: []string{"./two"},
-		err:      errForm.Error(),
+		wantErr:  errMalformedLine.Error(),
 	},
 }
 
 func TestRun(t *testing.T) {
 	t.Setenv("GOFLAGS", "")
-	for _, c := range runCases {
+	for _, c := range runTests {
 		t.Run(c.name, func(t *testing.T) { testRun(t, c) })
 	}
 }
 
-func testRun(t *testing.T, c runCase) {
+func testRun(t *testing.T, c runTest) {
 	t.Helper()
 	var out bytes.Buffer
 	err := run(t.Context(), writeModule(t, c.list), append([]string{"-v", "--"}, c.packages...), &out)
-	if err == nil && c.err != "" || err != nil && (c.err == "" || !strings.Contains(err.Error(), c.err)) {
-		t.Errorf("error %v, want %q", err, c.err)
+	if err == nil && c.wantErr != "" || err != nil && (c.wantErr == "" || !strings.Contains(err.Error(), c.wantErr)) {
+		t.Errorf("error %v, want %q", err, c.wantErr)
 	}
-	for _, part := range c.output {
+	for _, part := range c.wantOutput {
 		if !strings.Contains(out.String(), part) {
 			t.Errorf("output lacks %q", part)
 		}
 	}
-	for _, part := range c.absent {
+	for _, part := range c.unwantedOutput {
 		if strings.Contains(out.String(), part) {
 			t.Errorf("output has %q", part)
 		}
@@ -179,7 +180,7 @@
 	}
 }
 
-func TestRunWithoutPackages(t *testing.T) {
+func TestRunUsageErrors(t *testing.T) {
 	for _, args := range [][]string{nil, {"./..."}, {"-v", "--"}} {
 		if err := run(t.Context(), t.TempDir(), args, &bytes.Buffer{}); err == nil {
 			t.Errorf("%q: no error", args)
@@ -196,12 +197,12 @@
 	}{
 		{"empty", "", 0, nil},
 		{"empty lines", "\n" + line + "\n", 1, nil},
-		{"no test", "example/one | cause | issue\n", 0, errForm},
-		{"not a test", "example/one BenchmarkA | cause | issue\n", 0, errForm},
-		{"no cause", "example/one TestA | | issue\n", 0, errForm},
-		{"no issue", "example/one TestA | cause |\n", 0, errForm},
-		{"spaces in the test", "example/one TestA b | cause | issue\n", 0, errForm},
-		{"too many columns", "example/one TestA | cause | issue | more\n", 0, errForm},
+		{"no test", "example/one | cause | issue\n", 0, errMalformedLine},
+		{"not a test", "example/one BenchmarkA | cause | issue\n", 0, errMalformedLine},
+		{"no cause", "example/one TestA | | issue\n", 0, errMalformedLine},
+		{"no issue", "example/one TestA | cause |\n", 0, errMalformedLine},
+		{"spaces in the test", "example/one TestA b | cause | issue\n", 0, errMalformedLine},
+		{"too many columns", "example/one TestA | cause | issue | more\n", 0, errMalformedLine},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			failures, err := parseList(c.text)
--- a/test.sh
+++ b/test.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Checks the whole tree: formatting, go.mod, vet, the linters of .golangci.yml, the tests with the race detector but for
-# those that KNOWN-RED.txt lists, and the build that deploy/service.toml names.
+# Checks the whole tree: formatting, go.mod, go vet, the linters configured in .golangci.yml, all tests with the race
+# detector except the known failures listed in KNOWN-RED.txt, and the build command from deploy/service.toml.
 set -euo pipefail
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l .)
 if [ -n "$unformatted" ]; then
-  echo "not formatted: $unformatted" >&2
+  echo "files not formatted with gofmt: $unformatted" >&2
   exit 1
 fi
 go mod tidy -diff
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs golangci-lint over the packages given, or over all, with the settings of .golangci.yml. The version is pinned in
-# tools/go.mod; the first run on a machine builds it, which takes a minute or two.
+# Runs golangci-lint on the given packages, or on all packages, with the settings in .golangci.yml. The version is
+# pinned in tools/go.mod. The first run on a machine builds golangci-lint, which takes a minute or two.
 #
 #   ./tools/lint.sh                      all packages
 #   ./tools/lint.sh ./internal/manager   one package
