--- a/internal/scale/doc.go
+++ b/internal/scale/doc.go
@@ -1,3 +1,3 @@
-// Package scale tests the deciding parts of a controller (Resource Manager, scheduler and fleet) together at the size
-// of the largest fleets, without I/O and on a simulated clock.
+// Package scale tests the decision-making components of a controller (resource manager, scheduler and fleet) together,
+// with up to 4,000 machines, without I/O and on a simulated clock.
 package scale
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	machines    = 4000
-	reportEvery = 5 * micros.Second
-	workerLease = 26 * micros.Second
-	listLag     = 6 * micros.Second
-	step        = 500 * micros.Millisecond
-	taskRun     = 20 * micros.Second
-	member      = "c0"
+	fleetSize           = 4000
+	heartbeatInterval   = 5 * micros.Second
+	workerLeaseTTL      = 26 * micros.Second
+	listLag             = 6 * micros.Second
+	stepDuration        = 500 * micros.Millisecond
+	defaultTaskDuration = 20 * micros.Second
+	controllerName      = "c0"
 )
 
-// worker is a machine's worker as the protocol describes it, without I/O.
+// worker simulates a worker as specified by the protocol, without I/O.
 type worker struct {
-	id         wire.MachineID
-	session    wire.AgentIncarnation
-	seq        wire.HeartbeatSeq
-	token      wire.FencingToken
-	nextReport micros.Timestamp
-	renewed    micros.Timestamp
-	running    map[taskAttempt]micros.Timestamp // until when
-	ended      map[taskAttempt]wire.ExitReason  // why
-	gone       bool
+	id             wire.MachineID
+	incarnation    wire.AgentIncarnation
+	sequence       wire.HeartbeatSeq
+	token          wire.FencingToken
+	nextHeartbeat  micros.Timestamp
+	leaseRenewedAt micros.Timestamp
+	running        map[taskAttempt]micros.Timestamp // time of completion
+	exited         map[taskAttempt]wire.ExitReason  // reason
+	deleted        bool
 }
 
 type taskAttempt struct {
@@ -43,24 +43,24 @@
 	attempt wire.AttemptID
 }
 
-// cluster is one leader with its fleet, and the records that survive it.
+// cluster is a leader with its fleet, and the stored records, which outlive the leader.
 type cluster struct {
-	tb        testing.TB
-	now       micros.Timestamp
-	revision  uint64
-	records   map[string]wire.KeyValue
-	token     wire.FencingToken
-	manager   *manager.Manager
-	scheduler *scheduler.Scheduler
-	fleet     *fleet.Fleet
-	workers   []*worker
-	on        map[string]wire.MachineID // the machine that each running task is on
-	starts    map[string]int
-	taskRun   micros.Duration
-	// disturbed is the account of disturbed work as the workers show it, nil: none is kept. decide is called in each
-	// step.
-	disturbed *disturbances
-	decide    func()
+	tb           testing.TB
+	now          micros.Timestamp
+	revision     uint64
+	records      map[string]wire.KeyValue
+	token        wire.FencingToken
+	manager      *manager.Manager
+	scheduler    *scheduler.Scheduler
+	fleet        *fleet.Fleet
+	workers      []*worker
+	machineOf    map[string]wire.MachineID // the machine on which each running task runs
+	startCounts  map[string]int            // by task
+	taskDuration micros.Duration
+	// disruptions records the disruptions of tasks, unless it is nil.
+	disruptions *disruptionStats
+	// planRound, if set, is called in each step.
+	planRound func()
 }
 
 var machineType = wire.MachineType{
@@ -71,12 +71,14 @@
 func newCluster(tb testing.TB, machines int) *cluster {
 	tb.Helper()
 	c := &cluster{
-		tb: tb, now: 1_000_000, revision: 10, taskRun: taskRun,
-		records: map[string]wire.KeyValue{}, on: map[string]wire.MachineID{}, starts: map[string]int{},
+		tb: tb, now: 1_000_000, revision: 10, taskDuration: defaultTaskDuration,
+		records: map[string]wire.KeyValue{}, machineOf: map[string]wire.MachineID{}, startCounts: map[string]int{},
 	}
 	for i := range machines {
-		c.workers = append(c.workers, &worker{id: wire.MachineID(fmt.Sprintf("n-%06d", i)), session: 1, renewed: c.now,
-			running: map[taskAttempt]micros.Timestamp{}, ended: map[taskAttempt]wire.ExitReason{}})
+		c.workers = append(c.workers, &worker{
+			id: wire.MachineID(fmt.Sprintf("n-%06d", i)), incarnation: 1, leaseRenewedAt: c.now,
+			running: map[taskAttempt]micros.Timestamp{}, exited: map[taskAttempt]wire.ExitReason{},
+		})
 	}
 	return c
 }
@@ -91,7 +93,7 @@
 		LeaseGrace:        20 * micros.Second,
 		PreemptAfter:      micros.Second,
 		ReserveAfter:      45 * micros.Second,
-		MaxMachines:       machines,
+		MaxMachines:       fleetSize,
 		IdleTimeout:       10 * micros.Minute,
 		BootTimeoutFactor: 3,
 		SilenceTimeout:    80 * micros.Second,
@@ -99,25 +101,26 @@
 	}
 }
 
-// lead begins a term from the records; the workers come back at moments spread over a report's time.
-func (c *cluster) lead() {
+// startTerm starts a leader's term from the stored records. The workers' first heartbeats to the new leader are spread
+// evenly over a heartbeat interval.
+func (c *cluster) startTerm() {
 	c.revision++
 	c.token = wire.FencingToken(c.revision)
-	var open, chunks []wire.KeyValue
+	var open, progress []wire.KeyValue
 	for key, item := range c.records {
 		switch {
 		case strings.HasPrefix(key, state.OpenJobPrefix):
 			open = append(open, item)
 		case strings.HasPrefix(key, state.ProgressPrefix):
-			chunks = append(chunks, item)
+			progress = append(progress, item)
 		}
 	}
 	config := manager.Config{
 		FencingToken:      c.token,
 		Teams:             []settings.Team{{Name: "red"}},
-		WorkerLease:       workerLease,
-		HeartbeatInterval: reportEvery,
-		TrackDisruptions:  c.disturbed != nil,
+		WorkerLease:       workerLeaseTTL,
+		HeartbeatInterval: heartbeatInterval,
+		TrackDisruptions:  c.disruptions != nil,
 		ReservationTTL:    2 * micros.Minute,
 		LeaseMargin:       micros.Second,
 		CancelTimeout:     56 * micros.Second,
@@ -126,23 +129,23 @@
 		MaxCommandPushes:  300,
 		StoreLimits:       settings.StoreLimits{TxnOps: 32, ValueKB: 8},
 	}
-	m, err := manager.New(c.now, config, int64(c.now), open, chunks)
+	m, err := manager.New(c.now, config, int64(c.now), open, progress)
 	if err != nil {
 		c.tb.Fatal(err)
 	}
 	types := []wire.MachineType{machineType}
 	c.manager = m
 	c.manager.SetTypes(types)
-	c.manager.SetTeamAssignments(map[wire.TeamName]string{"red": member})
-	c.scheduler = scheduler.New(member, c.tuning())
+	c.manager.SetTeamAssignments(map[wire.TeamName]string{"red": controllerName})
+	c.scheduler = scheduler.New(controllerName, c.tuning())
 	c.scheduler.SetTypes(types)
 	c.fleet = fleet.New(c.now, fleet.Config{
-		FencingToken: c.token, LeaseDuration: workerLease, HeartbeatInterval: reportEvery,
+		FencingToken: c.token, LeaseDuration: workerLeaseTTL, HeartbeatInterval: heartbeatInterval,
 		ListLag: listLag, Tuning: c.tuning(),
 	})
 	c.fleet.SetTypes(types)
 	for i, w := range c.workers {
-		w.nextReport = c.now.Add(reportEvery * micros.Duration(i) / micros.Duration(len(c.workers)))
+		w.nextHeartbeat = c.now.Add(heartbeatInterval * micros.Duration(i) / micros.Duration(len(c.workers)))
 	}
 }
 
@@ -151,15 +154,15 @@
 	job := wire.Job{
 		ID: id, Class: "work", Team: "red", Kind: wire.KindArray, PriorityName: "normal",
 		Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 1, AllowSpot: true,
-		CheckpointIntervalS: 5, CheckpointSaveS: 1, EstimateS: c.taskRun.Seconds(),
+		CheckpointIntervalS: 5, CheckpointSaveS: 1, EstimateS: c.taskDuration.Seconds(),
 	}
 	rec := state.OpenJobRecord{ShardSize: 90, AcceptedAt: int64(c.now), Job: job}
-	c.put(state.JobStatusKey(id), state.JobStatusRecord{State: wire.JobPending})
-	c.put(state.OpenJobKey(id), rec)
+	c.putRecord(state.JobStatusKey(id), state.JobStatusRecord{State: wire.JobPending})
+	c.putRecord(state.OpenJobKey(id), rec)
 	c.manager.OpenRecordChanged(c.now, c.now, int64(c.now), rec, c.revision)
 }
 
-func (c *cluster) put(key string, value any) {
+func (c *cluster) putRecord(key string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
 		c.tb.Fatal(err)
@@ -167,8 +170,8 @@
 	c.records[key] = wire.KeyValue{Key: key, Value: data, Version: c.revision}
 }
 
-// write carries out what the manager has to write.
-func (c *cluster) write() {
+// applyWrites applies the manager's pending writes to the stored records.
+func (c *cluster) applyWrites() {
 	for w := c.manager.NextWrite(c.now); w != nil; w = c.manager.NextWrite(c.now) {
 		c.revision++
 		for _, change := range w.Changes {
@@ -178,53 +181,53 @@
 			if change.Value == nil {
 				delete(c.records, change.Key)
 			} else {
-				c.put(change.Key, change.Value)
+				c.putRecord(change.Key, change.Value)
 			}
 		}
 		c.manager.WriteCommitted(c.now, w.ID, c.revision)
 	}
 }
 
-// step lets half a second pass.
+// step advances the simulated time by stepDuration.
 func (c *cluster) step() {
-	c.now = c.now.Add(step)
+	c.now = c.now.Add(stepDuration)
 	for _, w := range c.workers {
-		if w.gone {
+		if w.deleted {
 			continue
 		}
-		c.advance(w)
-		if c.now >= w.nextReport {
-			c.report(w)
+		c.completeTasks(w)
+		if c.now >= w.nextHeartbeat {
+			c.sendHeartbeat(w)
 		}
 	}
 	c.manager.Tick(c.now)
 	c.manager.ReserveForWaitingJobs(c.now)
 	c.manager.Preempt(c.now, func() bool { return false })
-	if c.decide != nil {
-		c.decide()
+	if c.planRound != nil {
+		c.planRound()
 	}
-	view := c.manager.Snapshot(c.now)
-	c.scheduler.ApplySnapshot(view)
+	snapshot := c.manager.Snapshot(c.now)
+	c.scheduler.ApplySnapshot(snapshot)
 	for _, r := range c.scheduler.Round(c.now, func() bool { return false }) {
 		c.manager.Grant(c.now, r)
 	}
-	c.write()
-	if acts := c.fleet.Decide(c.now, view); len(acts.ScaleIn) > 0 {
-		c.tb.Fatalf("the fleet returns %v", acts.ScaleIn)
+	c.applyWrites()
+	if actions := c.fleet.Decide(c.now, snapshot); len(actions.ScaleIn) > 0 {
+		c.tb.Fatalf("the fleet scales in %v", actions.ScaleIn)
 	}
-	for _, d := range c.manager.CommandPushes(c.now, true) {
-		w := c.workers[machineNumber(c.tb, d.Machine)]
+	for _, push := range c.manager.CommandPushes(c.now, true) {
+		w := c.workers[machineIndex(c.tb, push.Machine)]
 		outcome := manager.PushRefused
-		if d.Body.FencingToken >= w.token && d.Body.Incarnation == w.session {
-			w.token = d.Body.FencingToken
-			c.execute(w, d.Body.Commands)
+		if push.Body.FencingToken >= w.token && push.Body.Incarnation == w.incarnation {
+			w.token = push.Body.FencingToken
+			c.execute(w, push.Body.Commands)
 			outcome = manager.PushExecuted
 		}
-		c.manager.CommandPushDone(c.now, d, outcome, c.describe(w))
+		c.manager.CommandPushDone(c.now, push, outcome, c.heartbeat(w))
 	}
 }
 
-func machineNumber(tb testing.TB, id wire.MachineID) (n int) {
+func machineIndex(tb testing.TB, id wire.MachineID) (n int) {
 	tb.Helper()
 	if _, err := fmt.Sscanf(string(id), "n-%d", &n); err != nil {
 		tb.Fatal(err)
@@ -232,104 +235,104 @@
 	return n
 }
 
-func (c *cluster) advance(w *worker) {
+func (c *cluster) completeTasks(w *worker) {
 	for a, until := range w.running {
 		if c.now >= until {
 			delete(w.running, a)
-			delete(c.on, a.task)
-			w.ended[a] = wire.ExitCompleted
-			w.nextReport = min(w.nextReport, c.now)
+			delete(c.machineOf, a.task)
+			w.exited[a] = wire.ExitCompleted
+			w.nextHeartbeat = min(w.nextHeartbeat, c.now)
 		}
 	}
-	if c.now.Sub(w.renewed) > workerLease {
+	if c.now.Sub(w.leaseRenewedAt) > workerLeaseTTL {
 		c.tb.Fatalf("%s has lost its lease", w.id)
 	}
 }
 
-func (c *cluster) describe(w *worker) *wire.Heartbeat {
-	w.seq++
-	r := &wire.Heartbeat{
+func (c *cluster) heartbeat(w *worker) *wire.Heartbeat {
+	w.sequence++
+	heartbeat := &wire.Heartbeat{
 		Machine: w.id, Addr: "10.1.0.1:9000", Type: machineType.Name, Zone: "a", Spot: true,
-		Incarnation: w.session, Sequence: w.seq, FencingToken: w.token,
+		Incarnation: w.incarnation, Sequence: w.sequence, FencingToken: w.token,
 	}
 	for a := range w.running {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: a.task, Attempt: a.attempt, State: wire.TaskRunning})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: a.task, Attempt: a.attempt, State: wire.TaskRunning})
 	}
-	for a, why := range w.ended {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{
+	for a, reason := range w.exited {
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{
 			Task: a.task, Attempt: a.attempt, State: wire.TaskExited,
-			ExitReason: why, CheckpointSaved: why == wire.ExitStopped,
+			ExitReason: reason, CheckpointSaved: reason == wire.ExitStopped,
 		})
 	}
-	return r
+	return heartbeat
 }
 
-func (c *cluster) report(w *worker) {
-	w.nextReport = c.now.Add(reportEvery)
-	answer, stepsDown := c.manager.Heartbeat(c.now, c.describe(w), "", true)
-	if stepsDown {
-		c.tb.Fatal("the leader steps down")
+func (c *cluster) sendHeartbeat(w *worker) {
+	w.nextHeartbeat = c.now.Add(heartbeatInterval)
+	response, stepDown := c.manager.Heartbeat(c.now, c.heartbeat(w), "", true)
+	if stepDown {
+		c.tb.Fatal("the leader stepped down")
 	}
-	if answer == nil || answer.FencingToken < w.token {
+	if response == nil || response.FencingToken < w.token {
 		return
 	}
-	w.token, w.renewed = answer.FencingToken, c.now
-	c.execute(w, answer.Commands)
+	w.token, w.leaseRenewedAt = response.FencingToken, c.now
+	c.execute(w, response.Commands)
 }
 
 func (c *cluster) execute(w *worker, commands []wire.Command) {
 	for _, cmd := range commands {
 		a := taskAttempt{cmd.Task, cmd.Attempt}
 		_, runs := w.running[a]
-		ended := w.ended[a] != ""
+		ended := w.exited[a] != ""
 		switch {
 		case cmd.Op == wire.OpStart && !runs && !ended:
-			if other, on := c.on[cmd.Task]; on {
-				c.tb.Fatalf("%s starts on %s while it is on %s", cmd.Task, w.id, other)
+			if other, running := c.machineOf[cmd.Task]; running {
+				c.tb.Fatalf("%s starts on %s while it runs on %s", cmd.Task, w.id, other)
 			}
-			c.on[cmd.Task] = w.id
-			c.starts[cmd.Task]++
-			w.running[a] = c.now.Add(c.taskRun)
+			c.machineOf[cmd.Task] = w.id
+			c.startCounts[cmd.Task]++
+			w.running[a] = c.now.Add(c.taskDuration)
 		case cmd.Op == wire.OpStop && runs:
-			c.stopped(w, a)
+			c.stopTask(w, a)
 		case cmd.Op == wire.OpClear:
-			delete(w.ended, a)
+			delete(w.exited, a)
 		}
 	}
 }
 
-// until lets time pass until a condition holds.
-func (c *cluster) until(most micros.Duration, what string, holds func() bool) {
+// runUntil advances the simulated time until holds returns true, and fails the test after the timeout.
+func (c *cluster) runUntil(timeout micros.Duration, condition string, holds func() bool) {
 	c.tb.Helper()
-	for end := c.now.Add(most); !holds(); c.step() {
-		if c.now > end {
-			c.tb.Fatalf("not within %v s: %s (%d tasks on machines)", most.Seconds(), what, len(c.on))
+	for deadline := c.now.Add(timeout); !holds(); c.step() {
+		if c.now > deadline {
+			c.tb.Fatalf("not within %v s: %s (%d tasks running)", timeout.Seconds(), condition, len(c.machineOf))
 		}
 	}
 }
 
-// A fleet of 4,000 machines reports to a first leader, takes a burst that fills it twice over, and changes its leader
-// in the middle of that: all machines come back to the next one within a report's time. No task is lost or starts
-// twice.
-func TestFourThousandMachines(t *testing.T) {
-	const jobs, each = 60, 1000
-	c := newCluster(t, machines)
-	c.lead()
+// The leader of a fleet of 4,000 machines changes while the fleet works on a burst of jobs that would fill it almost
+// twice. All workers send heartbeats to the new leader within one heartbeat interval. No task is lost or started twice.
+func TestFailoverWith4000Machines(t *testing.T) {
+	const jobs, tasksPerJob = 60, 1000
+	c := newCluster(t, fleetSize)
+	c.startTerm()
 	for range 12 {
 		c.step()
 	}
 	for j := range jobs {
-		c.submit(wire.JobID(fmt.Sprintf("run-%06d", j+1)), each)
+		c.submit(wire.JobID(fmt.Sprintf("run-%06d", j+1)), tasksPerJob)
 	}
-	c.until(30*micros.Second, "the burst fills the machines", func() bool { return len(c.on) == machines*8 })
-	c.lead()
-	c.until(3*micros.Minute, "all is done", func() bool { return len(c.records) == jobs }) // their states
-	for task, n := range c.starts {
+	c.runUntil(30*micros.Second, "the burst fills all machines", func() bool { return len(c.machineOf) == fleetSize*8 })
+	c.startTerm()
+	// A completed job leaves only its status record.
+	c.runUntil(3*micros.Minute, "all jobs completed", func() bool { return len(c.records) == jobs })
+	for task, n := range c.startCounts {
 		if n != 1 {
 			t.Errorf("%s was started %d times", task, n)
 		}
 	}
-	if len(c.starts) != jobs*each {
-		t.Errorf("%d tasks were started, want %d", len(c.starts), jobs*each)
+	if len(c.startCounts) != jobs*tasksPerJob {
+		t.Errorf("%d tasks were started, want %d", len(c.startCounts), jobs*tasksPerJob)
 	}
 }
