--- a/internal/upgrade/frozen_test.go
+++ b/internal/upgrade/frozen_test.go
@@ -4,10 +4,10 @@
 	"saffronbend/wire"
 )
 
-// The types of the production version (the commit is named in testdata/production.jsonl),
-// stated here as they were: what it does not name it drops when it rewrites a record. They
-// are never changed. The formats of users, workers, cloud and state service are the
-// protocol's, so those of package wire serve for both.
+// These are copies of the types of the production version, that is, of the commit given in testdata/production.jsonl.
+// They must never be changed: the production version drops every field that they lack when it rewrites a record. The
+// protocols of the users, the workers, the cloud and the key-value store are the same in both versions, so both use the
+// types of package wire.
 type (
 	oldLeader struct {
 		Member string `json:"member"`
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -1,6 +1,6 @@
-// Package upgrade checks that the production version and this one work on each other's data
-// while controllers are upgraded one by one. testdata/production.jsonl was written by the
-// production version: a record or a message a line, as it would have stored or sent it.
+// Package upgrade tests that this version and the production version can work with each other's records and messages
+// during a rolling upgrade. testdata/production.jsonl was written by the production version: each line is a record or a
+// message, encoded as that version stores or sends it.
 package upgrade
 
 import (
@@ -22,33 +22,34 @@
 	"saffronbend/wire"
 )
 
-// example is a record or a message.
+// example is an encoded record or message.
 type example struct {
 	Kind  string          `json:"kind"`
-	Key   string          `json:"key"`
+	Key   string          `json:"key"` // empty for messages
 	Value json.RawMessage `json:"value"`
 }
 
-func production(t *testing.T) []example {
+// productionExamples returns the records and messages that the production version has written.
+func productionExamples(t *testing.T) []example {
 	t.Helper()
 	f, err := os.Open("testdata/production.jsonl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = f.Close() }() // it is only read
-	var out []example
-	for s := bufio.NewScanner(f); s.Scan(); {
+	defer func() { _ = f.Close() }() // opened for reading only
+	var examples []example
+	for scanner := bufio.NewScanner(f); scanner.Scan(); {
 		var e example
-		if err := json.Unmarshal(s.Bytes(), &e); err != nil {
+		if err := json.Unmarshal(scanner.Bytes(), &e); err != nil {
 			t.Fatal(err)
 		}
-		out = append(out, e)
+		examples = append(examples, e)
 	}
-	return out
+	return examples
 }
 
-// kinds gives, for each kind of record or message, this version's type and production's.
-var kinds = map[string]struct{ now, old func() any }{
+// formats maps each kind of record or message to the types that this version and the production version use for it.
+var formats = map[string]struct{ current, production func() any }{
 	"leader":       {func() any { return new(state.LeaderRecord) }, func() any { return new(oldLeader) }},
 	"care":         {func() any { return new(state.LeaderRecord) }, func() any { return new(oldLeader) }},
 	"status":       {func() any { return new(state.JobStatusRecord) }, func() any { return new(oldStatus) }},
@@ -64,11 +65,11 @@
 	"hire":         {func() any { return new(wire.ScaleOutRequest) }, func() any { return new(wire.ScaleOutRequest) }},
 }
 
-// strictly decodes, knowing every field.
-func strictly(data []byte, into any) error {
+// decodeStrict decodes JSON and returns an error for unknown fields.
+func decodeStrict(data []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
-	return d.Decode(into)
+	return d.Decode(v)
 }
 
 func encode(t *testing.T, v any) []byte {
@@ -80,20 +81,20 @@
 	return data
 }
 
-// same fails the test unless two texts say the same.
-func same(t *testing.T, what string, a, b []byte) {
+// checkSameJSON reports a test failure unless two JSON texts are equivalent.
+func checkSameJSON(t *testing.T, what string, got, want []byte) {
 	t.Helper()
 	var x, y any
-	if json.Unmarshal(a, &x) != nil || json.Unmarshal(b, &y) != nil || !reflect.DeepEqual(x, y) {
-		t.Errorf("%s:\n%s\nis not\n%s", what, a, b)
+	if json.Unmarshal(got, &x) != nil || json.Unmarshal(want, &y) != nil || !reflect.DeepEqual(x, y) {
+		t.Errorf("%s:\ngot  %s\nwant %s", what, got, want)
 	}
 }
 
-// This version knows every field that production writes, and loses none.
-func TestReadsProduction(t *testing.T) {
+// This version preserves every field that the production version writes.
+func TestReadsProductionFormats(t *testing.T) {
 	seen := map[string]bool{}
-	for _, e := range production(t) {
-		k, ok := kinds[e.Kind]
+	for _, e := range productionExamples(t) {
+		format, ok := formats[e.Kind]
 		if !ok {
 			if e.Kind != "commit" {
 				t.Errorf("unknown kind %q", e.Kind)
@@ -101,30 +102,30 @@
 			continue
 		}
 		seen[e.Kind] = true
-		v := k.now()
-		if err := strictly(e.Value, v); err != nil {
+		v := format.current()
+		if err := decodeStrict(e.Value, v); err != nil {
 			t.Errorf("%s %s: %v", e.Kind, e.Key, err)
 			continue
 		}
-		same(t, "rewritten "+e.Kind, encode(t, v), e.Value)
-		// The frozen statement is production's own.
-		o := k.old()
-		if err := strictly(e.Value, o); err != nil {
-			t.Errorf("frozen %s: %v", e.Kind, err)
+		checkSameJSON(t, e.Kind+" rewritten by this version", encode(t, v), e.Value)
+		// The frozen copy of the production type must also preserve every field.
+		frozen := format.production()
+		if err := decodeStrict(e.Value, frozen); err != nil {
+			t.Errorf("%s with the frozen type: %v", e.Kind, err)
 		}
-		same(t, "frozen "+e.Kind, encode(t, o), e.Value)
+		checkSameJSON(t, e.Kind+" rewritten with the frozen type", encode(t, frozen), e.Value)
 	}
-	for kind := range kinds {
+	for kind := range formats {
 		if !seen[kind] {
 			t.Errorf("no example of %s", kind)
 		}
 	}
 }
 
-// The keys that production uses are ours.
-func TestKeys(t *testing.T) {
+// This version stores records under the same keys as the production version.
+func TestStorageKeys(t *testing.T) {
 	want := map[string]string{"leader": state.LeaderKey, "types": state.MachineTypesKey}
-	for _, e := range production(t) {
+	for _, e := range productionExamples(t) {
 		switch e.Kind {
 		case "status", "open", "chunk":
 			var id wire.JobID
@@ -140,7 +141,7 @@
 				"chunk":  state.ProgressKey(id, n),
 			}[e.Kind]
 			if e.Key != want {
-				t.Errorf("%s has the key %s, ours is %s", e.Kind, e.Key, want)
+				t.Errorf("%s: production key is %s, key of this version is %s", e.Kind, e.Key, want)
 			}
 		case "care":
 			want := state.LastRenewerKey("c2")
@@ -148,11 +149,11 @@
 				want = state.ActiveRenewerKey("c2")
 			}
 			if e.Key != want {
-				t.Errorf("care has the key %s", e.Key)
+				t.Errorf("%s: production key is %s, key of this version is %s", e.Kind, e.Key, want)
 			}
 		case "leader", "types":
 			if e.Key != want[e.Kind] {
-				t.Errorf("%s has the key %s", e.Kind, e.Key)
+				t.Errorf("%s: production key is %s, key of this version is %s", e.Kind, e.Key, want[e.Kind])
 			}
 		}
 	}
@@ -160,13 +161,13 @@
 
 const (
 	token = 52
-	// now is the time of this version's leader.
+	// now is the time on the monotonic clock of this version's leader.
 	now = micros.Timestamp(1000)
-	// acceptedAt is the time of day at now, in microseconds.
+	// acceptedAt is the wall-clock time at now, in microseconds since the Unix epoch.
 	acceptedAt = 1764600000000000
 )
 
-// heartbeat returns a machine's heartbeat.
+// heartbeat returns a heartbeat of a machine of the type small.
 func heartbeat(
 	machine wire.MachineID, zone string, sequence wire.HeartbeatSeq, tasks ...wire.TaskStatus,
 ) *wire.Heartbeat {
@@ -176,7 +177,7 @@
 	}
 }
 
-func newManager(t *testing.T, limits settings.StoreLimits, open, chunks []wire.KeyValue) *manager.Manager {
+func newManager(t *testing.T, limits settings.StoreLimits, open, progress []wire.KeyValue) *manager.Manager {
 	t.Helper()
 	config := manager.Config{
 		FencingToken:      token,
@@ -190,7 +191,7 @@
 		MaxCommandPushes:  20,
 		StoreLimits:       limits,
 	}
-	m, err := manager.New(now, config, acceptedAt, open, chunks)
+	m, err := manager.New(now, config, acceptedAt, open, progress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,128 +199,130 @@
 	return m
 }
 
-// currentExamples has this version write what it can, from production's jobs and a gang of its own that
-// takes two records.
+// currentExamples returns records and messages that this version writes for a gang of 12 tasks whose progress takes two
+// records.
 func currentExamples(t *testing.T) []example {
 	t.Helper()
-	var out []example
-	put := func(kind, key string, v any) { out = append(out, example{kind, key, encode(t, v)}) }
+	var examples []example
+	put := func(kind, key string, v any) { examples = append(examples, example{kind, key, encode(t, v)}) }
 	m := newManager(t, settings.StoreLimits{TxnOps: 4, ValueKB: 2}, nil, nil)
 	gang := wire.Job{
 		ID: "run-000002", Class: "sync", Team: "red", Kind: wire.KindGang, PriorityName: "normal",
 		Tasks: 12, CPUs: 1, MemoryGB: 1, Image: "y", ImageGB: 1, SameZone: true,
 		EstimateS: 30, CheckpointIntervalS: 20, CheckpointSaveS: 3,
 	}
-	rec := state.OpenJobRecord{Job: gang, AcceptedAt: acceptedAt, ShardSize: state.ProgressShardSize(gang.Kind, 2)}
-	put("open", state.OpenJobKey(gang.ID), rec)
-	put("open", state.OpenJobKey(gang.ID), rec.Finalized(wire.JobCancelled))
-	m.OpenRecordChanged(now, now, acceptedAt, rec, 60)
+	record := state.OpenJobRecord{Job: gang, AcceptedAt: acceptedAt, ShardSize: state.ProgressShardSize(gang.Kind, 2)}
+	put("open", state.OpenJobKey(gang.ID), record)
+	put("open", state.OpenJobKey(gang.ID), record.Finalized(wire.JobCancelled))
+	m.OpenRecordChanged(now, now, acceptedAt, record, 60)
 	seq := wire.HeartbeatSeq(0)
-	report := func(id wire.MachineID, tasks ...wire.TaskStatus) {
+	sendHeartbeat := func(id wire.MachineID, tasks ...wire.TaskStatus) {
 		seq++
-		r := heartbeat(id, "a", seq, tasks...)
-		m.Heartbeat(now, r, "", true)
-		put("relay", "", peer.RelayedHeartbeat{Member: "c2", FencingToken: token, Heartbeat: r})
+		request := heartbeat(id, "a", seq, tasks...)
+		m.Heartbeat(now, request, "", true)
+		put("relay", "", peer.RelayedHeartbeat{Member: "c2", FencingToken: token, Heartbeat: request})
 	}
-	report("n-000001")
-	report("n-000002")
-	whole := lease.Transaction{AllOrNothing: true, Requests: []lease.Request{
+	sendHeartbeat("n-000001")
+	sendHeartbeat("n-000002")
+	gangRequest := lease.Transaction{AllOrNothing: true, Requests: []lease.Request{
 		{Job: gang.ID, Machine: "n-000001", Count: 8, Duration: 30 * micros.Second},
 		{Job: gang.ID, Machine: "n-000002", Count: 4, Duration: 30 * micros.Second},
 	}}
-	leaseRequests := peer.LeaseRequests{Member: "c2", FencingToken: token, Requests: []lease.Transaction{whole}}
+	leaseRequests := peer.LeaseRequests{Member: "c2", FencingToken: token, Requests: []lease.Transaction{gangRequest}}
 	put("asks", "", leaseRequests)
-	answers := peer.LeaseResponses{SnapshotVersion: 2, Results: []lease.Result{m.Grant(now, leaseRequests.Requests[0])}}
-	if answers.Results[0].Granted[1] != 4 {
-		t.Fatalf("the gang was granted %v", answers.Results[0].Granted)
+	responses := peer.LeaseResponses{SnapshotVersion: 2, Results: []lease.Result{m.Grant(now, leaseRequests.Requests[0])}}
+	if responses.Results[0].Granted[1] != 4 {
+		t.Fatalf("leases granted to the gang: %v", responses.Results[0].Granted)
 	}
-	put("answers", "", answers)
+	put("answers", "", responses)
 	m.Snapshot(now)
 	put("update", "", m.SnapshotUpdate(now, 0))
-	w := m.NextWrite(now)
-	for _, c := range w.Changes {
+	batch := m.NextWrite(now)
+	for _, c := range batch.Changes {
 		put("chunk", c.Key, c.Value)
 	}
-	return out
+	return examples
 }
 
-// Production knows every field of our records, so none is lost when it rewrites one; of our
-// messages it may not know some, and understands what it knows as we do.
+// The production version knows every field of this version's records, so it loses none when it rewrites a record. It
+// may ignore fields of this version's messages, but decodes the others correctly.
 func TestProductionReadsCurrentFormats(t *testing.T) {
 	for _, e := range currentExamples(t) {
-		k := kinds[e.Kind]
-		old := k.old()
+		format := formats[e.Kind]
+		decoded := format.production()
 		stored := e.Key != ""
-		err := json.Unmarshal(e.Value, old)
+		err := json.Unmarshal(e.Value, decoded)
 		if stored {
-			old = k.old()
-			err = strictly(e.Value, old)
+			decoded = format.production()
+			err = decodeStrict(e.Value, decoded)
 		}
 		if err != nil {
 			t.Errorf("%s %s: %v", e.Kind, e.Key, err)
 			continue
 		}
-		rewritten := encode(t, old)
+		rewritten := encode(t, decoded)
 		if stored {
-			same(t, "rewritten by production: "+e.Kind, rewritten, e.Value)
+			checkSameJSON(t, e.Kind+" rewritten by the production version", rewritten, e.Value)
 		}
-		if err := json.Unmarshal(rewritten, k.now()); err != nil {
-			t.Errorf("%s read back: %v", e.Kind, err)
+		if err := json.Unmarshal(rewritten, format.current()); err != nil {
+			t.Errorf("%s rewritten by the production version and read by this one: %v", e.Kind, err)
 		}
 	}
 }
 
-// items gives production's records of a kind as the state service would list them.
-func items(t *testing.T, kind string) []wire.KeyValue {
+// productionRecords returns the production version's records of a kind, as the key-value store would list them.
+func productionRecords(t *testing.T, kind string) []wire.KeyValue {
 	t.Helper()
 	newest := map[string]wire.KeyValue{}
-	for i, e := range production(t) {
+	for i, e := range productionExamples(t) {
 		if e.Kind == kind {
 			newest[e.Key] = wire.KeyValue{Key: e.Key, Value: e.Value, Version: uint64(i + 1)}
 		}
 	}
-	var out []wire.KeyValue
-	for _, it := range newest {
-		out = append(out, it)
+	var records []wire.KeyValue
+	for _, record := range newest {
+		records = append(records, record)
 	}
-	return out
+	return records
 }
 
-// takeover is a leader of this version that has taken over from production.
+// takeover is a leader of this version that has taken over from a leader of the production version.
 type takeover struct {
 	manager  *manager.Manager
 	sequence wire.HeartbeatSeq // of the last heartbeat
 }
 
-// grant requests leases on a machine and returns how many are granted.
-func (o *takeover) grant(job wire.JobID, machine wire.MachineID, n int) int {
-	request := lease.Request{Job: job, Machine: machine, Count: n}
-	return o.manager.Grant(now, lease.Transaction{Requests: []lease.Request{request}}).Granted[0]
+// grant requests count leases on a machine and returns the number of leases granted.
+func (l *takeover) grant(job wire.JobID, machine wire.MachineID, count int) int {
+	request := lease.Request{Job: job, Machine: machine, Count: count}
+	return l.manager.Grant(now, lease.Transaction{Requests: []lease.Request{request}}).Granted[0]
 }
 
-// report sends a heartbeat and returns the commands that it is answered with. A machine's name ends with its zone.
-func (o *takeover) report(machine wire.MachineID, tasks ...wire.TaskStatus) []wire.Command {
-	o.sequence++
+// sendHeartbeat sends a heartbeat of a machine, whose ID ends with the name of its zone, and returns the commands in
+// the response.
+func (l *takeover) sendHeartbeat(machine wire.MachineID, tasks ...wire.TaskStatus) []wire.Command {
+	l.sequence++
 	zone := string(machine[len(machine)-1:])
-	response, _ := o.manager.Heartbeat(now, heartbeat(machine, zone, o.sequence, tasks...), "", true)
+	response, _ := l.manager.Heartbeat(now, heartbeat(machine, zone, l.sequence, tasks...), "", true)
 	return response.Commands
 }
 
-// A leader of this version takes over what production has left, under lower limits: the placements that may exist are
-// kept until they are proven gone, done tasks stay done, a cancelled job is not placed.
+// A leader of this version takes over the records of the production version, under lower store limits. It keeps each
+// placement until heartbeats show that the task no longer runs, does not repeat completed tasks, and does not place a
+// cancelled job.
 func TestFailoverFromProduction(t *testing.T) {
 	limits := settings.StoreLimits{TxnOps: 4, ValueKB: 1}
 	leader := &takeover{
-		manager:  newManager(t, limits, items(t, "open"), items(t, "chunk")),
+		manager:  newManager(t, limits, productionRecords(t, "open"), productionRecords(t, "chunk")),
 		sequence: 100,
 	}
-	leader.report("n-000009a")
+	leader.sendHeartbeat("n-000009a")
 	checkJobs(t, leader)
 	checkArray(t, leader)
 	checkGang(t, leader)
 }
 
-// checkJobs checks the jobs that the new leader knows.
+// checkJobs checks the state of the jobs after the takeover.
 func checkJobs(t *testing.T, leader *takeover) {
 	t.Helper()
 	jobs := map[wire.JobID]*snapshot.Job{}
@@ -333,15 +336,15 @@
 		t.Errorf("gang: %+v", j)
 	}
 	if jobs["run-000009"] != nil || leader.grant("run-000009", "n-000009a", 1) != 0 {
-		t.Error("a cancelled job is shown, or placed")
+		t.Error("a cancelled job is in the snapshot or was placed")
 	}
 }
 
-// checkArray checks that the array goes on once it is known where its tasks are.
+// checkArray checks that more tasks of the array are placed only after the machine of its running tasks is known.
 func checkArray(t *testing.T, leader *takeover) {
 	t.Helper()
 	if got := leader.grant("run-000001", "n-000009a", 1); got != 0 {
-		t.Error("placed while it is not known in which zone its other tasks are")
+		t.Error("a task was placed before the zone of the array's other tasks was known")
 	}
 	var running []wire.TaskStatus
 	for i := range 4 {
@@ -349,75 +352,75 @@
 			Task: wire.TaskName("run-000001", i+1), Attempt: 41<<20 | wire.AttemptID(i+2), State: wire.TaskRunning,
 		})
 	}
-	leader.report("n-000001a", running...)
+	leader.sendHeartbeat("n-000001a", running...)
 	if got := leader.grant("run-000001", "n-000009a", 4); got != 4 {
-		t.Errorf("%d of the array's waiting tasks placed", got)
+		t.Errorf("%d waiting tasks of the array were placed, want 4", got)
 	}
 }
 
-// checkGang checks a gang of which a machine has lost its task: the rest is stopped, and begins anew only when the
-// other machine has reported.
+// checkGang checks a gang after one of its machines has lost its tasks: the task on the other machine is stopped, and
+// the gang is placed again only after the other machine has reported that this task has exited.
 func checkGang(t *testing.T, leader *takeover) {
 	t.Helper()
-	if cmds := leader.report("n-000002b"); len(cmds) != 0 {
+	if cmds := leader.sendHeartbeat("n-000002b"); len(cmds) != 0 {
 		t.Errorf("commands %v", cmds)
 	}
 	attempt := wire.AttemptID(41<<20 | 6)
-	whole := lease.Transaction{AllOrNothing: true, Requests: []lease.Request{
+	gangRequest := lease.Transaction{AllOrNothing: true, Requests: []lease.Request{
 		{Job: "run-000002", Machine: "n-000002b", Count: 2},
 		{Job: "run-000002", Machine: "n-000003a", Count: 1},
 	}}
-	if g := leader.manager.Grant(now, whole).Granted[0]; g != 0 {
-		t.Error("the gang is granted while a task of it may run")
+	if granted := leader.manager.Grant(now, gangRequest).Granted[0]; granted != 0 {
+		t.Error("leases were granted to the gang while one of its tasks may still run")
 	}
 	waiting := wire.TaskStatus{Task: "run-000002/2", Attempt: attempt, State: wire.TaskWaitingForGang}
-	cmds := leader.report("n-000003a", waiting)
+	cmds := leader.sendHeartbeat("n-000003a", waiting)
 	if len(cmds) != 1 || cmds[0].Op != wire.OpStop {
 		t.Errorf("commands %v", cmds)
 	}
-	leader.report("n-000003a", wire.TaskStatus{
+	leader.sendHeartbeat("n-000003a", wire.TaskStatus{
 		Task: "run-000002/2", Attempt: attempt, State: wire.TaskExited, ExitReason: wire.ExitStopped,
 	})
-	if g := leader.manager.Grant(now, whole).Granted; g[0]+g[1] != 3 {
-		t.Errorf("granted %v of the gang", g)
+	if granted := leader.manager.Grant(now, gangRequest).Granted; granted[0]+granted[1] != 3 {
+		t.Errorf("leases granted to the gang: %v, want 3 in total", granted)
 	}
 }
 
-// Production's scheduler asks this version's leader for a gang as it always has.
-func TestServesLeaseRequestsOfProduction(t *testing.T) {
-	m := newManager(t, settings.StoreLimits{TxnOps: 8, ValueKB: 4}, items(t, "open"), nil)
+// A leader of this version grants the lease requests of the production version's scheduler, including one for a gang.
+func TestGrantsProductionLeaseRequests(t *testing.T) {
+	m := newManager(t, settings.StoreLimits{TxnOps: 8, ValueKB: 4}, productionRecords(t, "open"), nil)
 	for i, id := range []wire.MachineID{"n-000001a", "n-000002b", "n-000003a"} {
 		m.Heartbeat(now, heartbeat(id, string(id[len(id)-1:]), wire.HeartbeatSeq(i+1)), "", true)
 	}
-	for _, e := range production(t) {
+	for _, e := range productionExamples(t) {
 		if e.Kind != "asks" {
 			continue
 		}
-		var a peer.LeaseRequests
-		if err := json.Unmarshal(e.Value, &a); err != nil {
+		var leaseRequests peer.LeaseRequests
+		if err := json.Unmarshal(e.Value, &leaseRequests); err != nil {
 			t.Fatal(err)
 		}
 		granted := 0
-		for _, r := range a.Requests {
-			for _, n := range m.Grant(now, r).Granted {
+		for _, request := range leaseRequests.Requests {
+			for _, n := range m.Grant(now, request).Granted {
 				granted += n
 			}
 		}
 		if granted != 8 {
-			t.Errorf("%d leases granted, want 5 of the array and 3 of the gang", granted)
+			t.Errorf("%d leases granted, want 5 for the array and 3 for the gang", granted)
 		}
 	}
 }
 
-// Production lists and watches these prefixes. What it does not know must not be among them: it would take it for
-// something else, or delete it.
-func TestRecordsOfDrainsAreOutOfProductionsWay(t *testing.T) {
-	known := []string{"leader", "types", "open/", "job/", "tasks/", "care/"}
+// Records that the production version does not know must not have a prefix that it lists or watches: it would
+// misinterpret or delete them.
+func TestProductionIgnoresDrainRecords(t *testing.T) {
+	prefixes := []string{"leader", "types", "open/", "job/", "tasks/", "care/"}
 	keys := []string{state.DrainKey("old"), state.DrainMachinesKey("7.1", 0), state.DisruptionKey("run-000001", 0)}
 	for _, key := range keys {
-		for _, prefix := range known {
+		for _, prefix := range prefixes {
 			if strings.HasPrefix(key, prefix) {
-				t.Errorf("%s is listed with %s", key, prefix)
+				t.Errorf("the production version would list %s with the prefix %s", key, prefix)
 			}
 		}
 	}
