--- a/internal/fake/worker_task.go
+++ b/internal/fake/worker_task.go
@@ -106,7 +106,7 @@
 	if task.inGang() {
 		w.config.Gangs.leave(task)
 	}
-	w.config.Checker.TaskLeft(w.machine.Machine, task.id, completed)
+	w.config.Checker.TaskEnded(w.machine.Machine, task.id, completed)
 }
 
 // killTasks ends all tasks; nothing is left of them to report.
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -1,10 +1,10 @@
-// Package invariant checks the protocol's rules while a scenario is played. It owns what users have submitted and
-// been answered, and on which machine each task is; every violation is recorded with the name of its rule.
+// Package invariant checks the protocol's rules while a scenario runs. It keeps the history of the users' requests and
+// the responses to them, and the machine that each task is on. It records every violation with the name of the rule.
 //
-// The scenario runner reports what users do and see, the fake workers report what tasks do; at the end the runner
-// asks for the violations. There is one function for each rule, in rules.go; the disruption budgets are checked
-// afterwards, from the workers' logs (AuditDisruptions). The package never asks a controller, and never reads what
-// controllers store.
+// The scenario runner reports requests and responses, and the fake workers report what happens to tasks; at the end
+// the runner reads the violations. The functions that check the rules are in rules.go; the disruption budgets are
+// checked afterwards, from the workers' event log (AuditDisruptions). The package never queries a controller and never
+// reads what controllers store.
 package invariant
 
 import (
@@ -19,97 +19,96 @@
 	"saffronbend/wire"
 )
 
-// Machine is a machine as the rules see it. Its ID is never given to another machine.
+// Machine has the properties of a machine that the rules depend on. IDs of machines are never reused.
 type Machine struct {
 	ID         wire.MachineID
 	Type, Zone string
-	// Spot machines can be reclaimed by the cloud.
+	// Spot is set if the cloud can reclaim the machine.
 	Spot bool
 }
 
-// Task names a task of a job.
+// Task identifies a task by its job and its index in the job.
 type Task struct {
 	Job   wire.JobID
 	Index int
 }
 
-// String returns the name of the task.
+// String returns the task's name in the protocol.
 func (t Task) String() string { return wire.TaskName(t.Job, t.Index) }
 
-// Workload is a job, and what the workers do with its tasks.
+// Workload is a job, and how its tasks behave on the workers.
 type Workload struct {
 	Job wire.Job
-	// RunTime is how long a task, or a gang, runs until it is complete.
+	// RunTime is how long a task, or a gang as a whole, runs until it completes.
 	RunTime time.Duration
 	// Fails makes every task exit with an error as soon as it starts.
 	Fails bool
 }
 
-// Checker follows jobs and tasks and records each violation of a rule. Its methods may be called from several
-// goroutines, except for those that set it up (SetTeamLimit, SetCancelDeadline, AddMachineType), which are called
-// first.
+// Checker tracks jobs and tasks and records each violation of a rule. SetTeamLimit, SetCancelDeadline and
+// AddMachineType must be called before all other methods; the others are safe for concurrent use.
 type Checker struct {
 	cancelDeadline time.Duration
-	cpuLimits      map[wire.TeamName]float64 // by team; 0: none
+	cpuLimits      map[wire.TeamName]float64 // by team; 0: no limit
 	machineTypes   map[string]*wire.MachineType
 
 	mu         sync.Mutex
 	jobs       map[wire.JobID]*jobRecord
 	taskStarts map[wire.JobID]int // by job
-	gangRuns   map[wire.JobID]int // by job
+	gangStarts map[wire.JobID]int // by job
 	gangTasks  map[gangAttempt]map[int]bool
 	cpusInUse  map[wire.TeamName]float64 // by team
-	reclaimed  map[wire.MachineID]bool   // machines whose reclaim is announced
+	reclaimed  map[wire.MachineID]bool   // machines whose reclamation the cloud has announced
 	violations []Violation
 	events     []worklog.Event
-	// startsAfterCancel counts the starts of tasks after their user has seen that the job is cancelled.
+	// startsAfterCancel counts the starts of tasks after a user saw that their job is cancelled.
 	startsAfterCancel int
 }
 
-// gangAttempt is one attempt of a gang; all of its tasks have the same attempt number.
+// gangAttempt identifies one attempt of a gang. All tasks of the attempt have the same attempt number.
 type gangAttempt struct {
 	job     wire.JobID
 	attempt wire.AttemptID
 }
 
-// jobRecord is what is known of one job.
+// jobRecord is the state that the checker keeps for one job.
 type jobRecord struct {
 	Workload
-	answer          wire.JobState // the last that its user has seen; empty: none
-	answeredAt      time.Time     // when answer was seen first
-	acceptedAt      time.Time     // when its user has seen the first answer
+	observedState   wire.JobState // the last state that a user has seen; empty: none
+	observedAt      time.Time     // when observedState was first seen
+	acceptedAt      time.Time     // when a user first saw a state of the job
 	cancelRequested bool
 	placements      map[int]Machine // by index of the task
 	completed       map[int]bool    // by index of the task
-	besideRoomSince time.Time       // since when none of its tasks runs though a machine has room
+	starvedSince    time.Time       // when the job first had no running task although a machine had room; zero: not now
 }
 
-// NewChecker returns a checker that knows of no job.
+// NewChecker returns a checker without jobs, team limits and machine types.
 func NewChecker() *Checker {
 	return &Checker{
 		cpuLimits:    map[wire.TeamName]float64{},
 		machineTypes: map[string]*wire.MachineType{},
 		jobs:         map[wire.JobID]*jobRecord{},
 		taskStarts:   map[wire.JobID]int{},
-		gangRuns:     map[wire.JobID]int{},
+		gangStarts:   map[wire.JobID]int{},
 		gangTasks:    map[gangAttempt]map[int]bool{},
 		cpusInUse:    map[wire.TeamName]float64{},
 		reclaimed:    map[wire.MachineID]bool{},
 	}
 }
 
-// SetTeamLimit sets the processors that a team's tasks may use at once; 0: any number.
+// SetTeamLimit sets the number of processors that a team's tasks may use at once; 0 means no limit.
 func (c *Checker) SetTeamLimit(team wire.TeamName, cpus float64) { c.cpuLimits[team] = cpus }
 
-// SetCancelDeadline sets how long after the confirmation of a cancellation all tasks of the job must be gone.
+// SetCancelDeadline sets how long tasks may still be on machines after a user saw that their job is cancelled.
 func (c *Checker) SetCancelDeadline(deadline time.Duration) { c.cancelDeadline = deadline }
 
-// AddMachineType makes a machine type known.
+// AddMachineType adds a machine type that machines and jobs can refer to.
 func (c *Checker) AddMachineType(machineType wire.MachineType) {
 	c.machineTypes[machineType.Name] = &machineType
 }
 
-// JobSubmitted notes that a user has begun to submit a job. Repeated submissions change nothing.
+// JobSubmitted records that a user sends a request to submit a job. Later calls for the same job have no effect.
 func (c *Checker) JobSubmitted(job wire.Job, runTime time.Duration, fails bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,7 +118,7 @@
 	}
 }
 
-// CancelRequested notes that a user asks to cancel a job.
+// CancelRequested records that a user asks to cancel a job.
 func (c *Checker) CancelRequested(id wire.JobID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,88 +130,89 @@
 	c.logJob(job, worklog.CancelRequested)
 }
 
-// AnswerSeen notes the answer that a user has seen to a request about a job, sent at the given time. An answer that
-// was sent for before the user saw a final state may be older than that state, and is not held against it.
-func (c *Checker) AnswerSeen(id wire.JobID, asked time.Time, code int, state wire.JobState) {
+// ResponseReceived records the response that a user received to a request about a job, and checks it. sentAt is when
+// the request was sent. The response to a request that was sent before the user saw a final state may be older than
+// that state, so it is no violation if the two differ.
+func (c *Checker) ResponseReceived(id wire.JobID, sentAt time.Time, code int, state wire.JobState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	job := c.jobs[id]
 	if job == nil {
-		c.checkInvented(id, code)
+		c.checkUnexpectedRead(id, code)
 		return
 	}
-	c.checkForgotten(job, asked, code)
+	c.checkLostWrite(job, sentAt, code)
 	if code != http.StatusOK && code != http.StatusCreated {
 		return
 	}
-	if contradictsFinal(job, state) && !asked.After(job.answeredAt) {
+	if contradictsFinalState(job, state) && !sentAt.After(job.observedAt) {
 		return
 	}
-	c.checkWentBack(job, state)
-	c.checkNotDone(job, state)
-	if job.answer == "" {
+	c.checkNonMonotonicRead(job, state)
+	c.checkPrematureCompletion(job, state)
+	if job.observedState == "" {
 		job.acceptedAt = time.Now()
 		c.logJob(job, worklog.JobAccepted)
 	}
-	if job.answer != state {
-		job.answer, job.answeredAt = state, time.Now()
+	if job.observedState != state {
+		job.observedState, job.observedAt = state, time.Now()
 	}
 }
 
-// ReclaimAnnounced notes that the cloud has announced that it reclaims a machine: what stops on it from then on is
-// exempt.
+// ReclaimAnnounced records that the cloud has announced that it reclaims a machine. Later events on the machine are
+// exempt from the disruption budgets.
 func (c *Checker) ReclaimAnnounced(machine Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reclaimed[machine.ID] = true
 }
 
-// TaskStarted notes that a task of a submitted job is on a machine from now on.
+// TaskStarted records that a task of a submitted job is on a machine from now on.
 func (c *Checker) TaskStarted(machine Machine, task Task) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	job := c.jobs[task.Job]
 	c.taskStarts[task.Job]++
-	c.checkRanTwice(job, machine, task)
+	c.checkDuplicateExecution(job, machine, task)
 	c.logTask(machine, worklog.TaskStarted, task)
-	c.checkRanCancelled(job, "starts")
-	if job.answer == wire.JobCancelled {
+	c.checkExecutionAfterCancel(job, "starts")
+	if job.observedState == wire.JobCancelled {
 		c.startsAfterCancel++
 	}
-	c.checkWrongPlace(job, machine, task)
+	c.checkPlacement(job, machine, task)
 	job.placements[task.Index] = machine
 	c.cpusInUse[job.Job.Team] += job.Job.CPUs
 	c.checkQuota(job.Job.Team)
 }
 
-// GangTaskRunning notes that a task of a gang runs, rather than waits for its peers.
+// GangTaskRunning records that a task of a gang has stopped waiting for its peers and runs.
 func (c *Checker) GangTaskRunning(task Task, attempt wire.AttemptID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	key := gangAttempt{task.Job, attempt}
 	if c.gangTasks[key] == nil {
 		c.gangTasks[key] = map[int]bool{}
-		c.gangRuns[task.Job]++
-		c.checkHalfGang(c.jobs[task.Job])
+		c.gangStarts[task.Job]++
+		c.checkPartialGang(c.jobs[task.Job])
 	}
-	c.checkGangTaskOnce(task, attempt)
+	c.checkDuplicateGangTask(task, attempt)
 	c.gangTasks[key][task.Index] = true
 }
 
-// StopCommanded notes that a machine carries out a command to stop a task that is on it.
+// StopCommanded records that a machine executes a command to stop a task that is on it.
 func (c *Checker) StopCommanded(machine Machine, task Task) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.logTask(machine, worklog.StopCommanded, task)
 }
 
-// TaskLeft notes that a task is no longer on a machine, and whether it has completed.
-func (c *Checker) TaskLeft(machine Machine, task Task, completed bool) {
+// TaskEnded records that a task is no longer on a machine, and whether it has completed.
+func (c *Checker) TaskEnded(machine Machine, task Task, completed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	job := c.jobs[task.Job]
-	c.checkRanCancelled(job, "leaves")
-	kind := worklog.TaskVanished
+	c.checkExecutionAfterCancel(job, "ends")
+	kind := worklog.TaskTerminated
 	if completed {
 		kind = worklog.TaskCompleted
 	}
@@ -226,7 +226,7 @@
 	}
 }
 
-// complete notes that a task has completed. The tasks of a gang complete together.
+// complete records that a task has completed. The tasks of a gang complete together.
 func (j *jobRecord) complete(index int) {
 	j.completed[index] = true
 	if j.Job.Kind != wire.KindGang {
@@ -237,36 +237,37 @@
 	}
 }
 
-// CheckAtEnd checks the rules on what is left at the end of a scenario.
-func (c *Checker) CheckAtEnd() {
+// CheckFinalState checks, at the end of a scenario, that no task is still on a machine after its job's cancellation
+// deadline.
+func (c *Checker) CheckFinalState() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		if job := c.jobs[id]; len(job.placements) > 0 {
-			c.checkRanCancelled(job, "is still there")
+			c.checkExecutionAfterCancel(job, "is still on a machine")
 		}
 	}
 }
 
-// CheckLeftWaiting is called again and again while nothing fails, with the machines that run. It checks the rule
-// left_waiting.
-func (c *Checker) CheckLeftWaiting(machines []Machine) {
+// CheckStarvation checks the rule Starvation. The scenario runner calls it periodically while no fault is active, with
+// the machines that are running.
+func (c *Checker) CheckStarvation(machines []Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	used := c.resourcesInUse()
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
-		c.checkLeftWaiting(c.jobs[id], machines, used)
+		c.checkStarvation(c.jobs[id], machines, used)
 	}
 }
 
-// Violations returns the violations so far, in order of time.
+// Violations returns the violations so far, in the order in which they were recorded.
 func (c *Checker) Violations() []Violation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.violations)
 }
 
-// Workload returns a submitted job and what its tasks do, or false if nobody has submitted it.
+// Workload returns the workload of a submitted job, or false if nobody has submitted the job.
 func (c *Checker) Workload(id wire.JobID) (Workload, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -277,19 +278,19 @@
 	return job.Workload, true
 }
 
-// Job returns a submitted job, or false if nobody has submitted it.
+// Job returns a submitted job, or false if nobody has submitted the job.
 func (c *Checker) Job(id wire.JobID) (wire.Job, bool) {
 	workload, known := c.Workload(id)
 	return workload.Job, known
 }
 
-// AcceptedJobs returns the IDs, in order, of the jobs that were answered to their users as known.
+// AcceptedJobs returns the sorted IDs of the jobs whose acceptance a user has seen.
 func (c *Checker) AcceptedJobs() []wire.JobID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var ids []wire.JobID
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
-		if c.jobs[id].answer != "" {
+		if c.jobs[id].observedState != "" {
 			ids = append(ids, id)
 		}
 	}
@@ -303,14 +304,14 @@
 	return c.taskStarts[job]
 }
 
-// GangRuns returns how many times a gang has begun to run as a whole.
-func (c *Checker) GangRuns(job wire.JobID) int {
+// GangStarts returns how many attempts of a gang have started to run.
+func (c *Checker) GangStarts(job wire.JobID) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.gangRuns[job]
+	return c.gangStarts[job]
 }
 
-// Placements returns the IDs of the machines that a job's tasks are on, by index of the task.
+// Placements returns the IDs of the machines that a job's tasks are on, by task index.
 func (c *Checker) Placements(job wire.JobID) map[int]wire.MachineID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -323,28 +324,30 @@
 	return placements
 }
 
-// StartsAfterCancel returns how many tasks have started after their user has seen that the job is cancelled.
+// StartsAfterCancel returns how many tasks have started after a user saw that their job is cancelled.
 func (c *Checker) StartsAfterCancel() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.startsAfterCancel
 }
 
-// Events returns the workers' logs so far, in order of time.
+// Events returns the workers' event log so far, in order of time.
 func (c *Checker) Events() []worklog.Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.events)
 }
 
-// logTask appends what happens to a task on a machine to the workers' logs.
+// logTask appends an event about a task on a machine to the workers' event log. The event is exempt if the job's
+// cancellation is requested or the machine's reclamation is announced. The caller holds the lock.
 func (c *Checker) logTask(machine Machine, kind worklog.EventKind, task Task) {
 	job := c.jobs[task.Job]
 	c.events = append(c.events, worklog.Event{At: time.Now(), Kind: kind, Team: job.Job.Team, Task: task.String(),
 		Machine: machine.ID, Exempt: job.cancelRequested || c.reclaimed[machine.ID]})
 }
 
-// logJob appends what concerns all tasks of a job to the workers' logs.
+// logJob appends an event about a job to the workers' event log, once for each task of the job. The caller holds the
+// lock.
 func (c *Checker) logJob(job *jobRecord, kind worklog.EventKind) {
 	for index := range job.Job.Tasks {
 		c.events = append(c.events, worklog.Event{At: time.Now(), Kind: kind, Team: job.Job.Team,
@@ -352,7 +355,7 @@
 	}
 }
 
-// violate records a violation.
-func (c *Checker) violate(rule Rule, format string, args ...any) {
+// recordViolation records a violation with a formatted detail. The caller holds the lock.
+func (c *Checker) recordViolation(rule Rule, format string, args ...any) {
 	c.violations = append(c.violations, Violation{Rule: rule, Detail: fmt.Sprintf(format, args...)})
 }
--- a/internal/invariant/disruption.go
+++ b/internal/invariant/disruption.go
@@ -8,23 +8,23 @@
 	"saffronbend/wire"
 )
 
-// Disruption is a time in which a task that had run did not, as the workers' logs show it.
+// Disruption is a period in which a task that had been running did not run, as the workers' event log shows it.
 type Disruption struct {
 	Team wire.TeamName
 	Task string
-	// Begin and End bound it; End is zero while it lasts.
+	// Begin and End bound the period; End is zero while the disruption lasts.
 	Begin, End time.Time
-	// Commanded disruptions began with a command to stop the task; in others the task was lost.
+	// Commanded is set if the disruption began with a command to stop the task, and not with the loss of the task.
 	Commanded bool
 }
 
-// AuditDisruptions returns all disruptions that the workers' logs show, and a violation for each command to stop a
-// task by which more of its team's tasks were disrupted at once than its budget allows. A team without an entry in
-// budgets has no bound. A commanded disruption counts at once; a loss counts after the detection time, when the
-// controllers can know of it.
+// AuditDisruptions returns all disruptions that the workers' event log shows. It also returns a violation for each
+// command to stop a task that exceeds the disruption budget of the task's team, which is the number of tasks that may
+// be disrupted at once. A team without an entry in budgets has no limit. A commanded disruption counts immediately; the
+// loss of a task counts after detectionDelay, when the controllers can have detected it.
 func AuditDisruptions(
-	events []worklog.Event, budgets map[wire.TeamName]int, detection time.Duration,
-) (all []Disruption, violations []Violation) {
+	events []worklog.Event, budgets map[wire.TeamName]int, detectionDelay time.Duration,
+) (disruptions []Disruption, violations []Violation) {
 	audit := disruptionAudit{open: map[string]*Disruption{}, running: map[string]bool{}}
 	for _, event := range events {
 		switch event.Kind {
@@ -34,18 +34,18 @@
 		case worklog.TaskCompleted, worklog.CancelRequested:
 			audit.end(event)
 			delete(audit.running, event.Task)
-		case worklog.TaskVanished:
+		case worklog.TaskTerminated:
 			audit.begin(event, false)
 			delete(audit.running, event.Task)
 		case worklog.StopCommanded:
 			if !audit.begin(event, true) {
 				continue
 			}
-			count := audit.countKnown(event, detection)
+			count := audit.countDetected(event, detectionDelay)
 			if budget, ok := budgets[event.Team]; ok && count > budget {
-				violations = append(violations, exceedsBudget(event, count-1, budget))
+				violations = append(violations, budgetViolation(event, count-1, budget))
 			}
-		case worklog.JobAccepted: // disrupts nothing
+		case worklog.JobAccepted: // does not concern a running task
 		}
 	}
 	for _, disruption := range audit.open {
@@ -54,21 +54,21 @@
 	return audit.ended, violations
 }
 
-func exceedsBudget(event worklog.Event, disrupted, budget int) Violation {
-	return Violation{Rule: DisruptionBudget, Detail: fmt.Sprintf(
-		"%s: %s on %s is stopped while %d of %s's tasks are disrupted, at most %d may be",
+func budgetViolation(event worklog.Event, disrupted, budget int) Violation {
+	return Violation{Rule: DisruptionBudgetExceeded, Detail: fmt.Sprintf(
+		"%s: %s on %s is stopped while %d tasks of team %s are disrupted, its budget is %d",
 		event.At.Format(time.TimeOnly), event.Task, event.Machine, disrupted, event.Team, budget)}
 }
 
-// disruptionAudit follows the tasks through the workers' logs.
+// disruptionAudit tracks which tasks run and which are disrupted while the workers' event log is read in order.
 type disruptionAudit struct {
-	running map[string]bool        // by task
+	running map[string]bool        // by task; true for disrupted tasks until they are off their machine
 	open    map[string]*Disruption // by task
 	ended   []Disruption
 }
 
-// begin opens a disruption of a task that runs, and reports whether it did: it does not if one is open, or if the
-// event is exempt.
+// begin opens a disruption of the event's task and reports whether it did. It opens none if the task does not run, if a
+// disruption of the task is already open, or if the event is exempt.
 func (a *disruptionAudit) begin(event worklog.Event, commanded bool) bool {
 	if !a.running[event.Task] || a.open[event.Task] != nil || event.Exempt {
 		return false
@@ -86,12 +86,12 @@
 	}
 }
 
-// countKnown returns how many open disruptions of the event's team the controllers can know of.
-func (a *disruptionAudit) countKnown(event worklog.Event, detection time.Duration) int {
+// countDetected returns the number of open disruptions of the event's team that the controllers can have detected.
+func (a *disruptionAudit) countDetected(event worklog.Event, detectionDelay time.Duration) int {
 	count := 0
 	for _, disruption := range a.open {
-		known := disruption.Commanded || event.At.Sub(disruption.Begin) > detection
-		if disruption.Team == event.Team && known {
+		detected := disruption.Commanded || event.At.Sub(disruption.Begin) > detectionDelay
+		if disruption.Team == event.Team && detected {
 			count++
 		}
 	}
--- a/internal/invariant/disruption_test.go
+++ b/internal/invariant/disruption_test.go
@@ -9,17 +9,17 @@
 	"saffronbend/wire"
 )
 
-// eventKinds are the words for kinds of events in the tests' logs.
+// eventKinds maps the words that the tests' event logs are written in to kinds of events.
 var eventKinds = map[string]worklog.EventKind{
 	"begin":     worklog.TaskStarted,
 	"stop":      worklog.StopCommanded,
-	"gone":      worklog.TaskVanished,
+	"gone":      worklog.TaskTerminated,
 	"done":      worklog.TaskCompleted,
 	"withdrawn": worklog.CancelRequested,
 }
 
-// parseEvents parses events such as "12 stop a", at a second after the beginning, separated by semicolons. A word
-// after the task makes an event exempt.
+// parseEvents parses a log of events separated by semicolons. An event such as "12 stop a" has the time in seconds
+// since the start of the log, the kind and the task. A further word after the task makes the event exempt.
 func parseEvents(t *testing.T, lines string) []worklog.Event {
 	t.Helper()
 	var events []worklog.Event
@@ -39,43 +39,46 @@
 	return events
 }
 
-// The audit finds what is wrong in logs, and nothing in those that are right.
+// TestAuditDisruptions checks that the audit reports every disruption, and a violation if and only if a stop command
+// exceeds the team's budget.
 func TestAuditDisruptions(t *testing.T) {
-	const three = "0 begin a;0 begin b;0 begin c;"
+	const starts = "0 begin a;0 begin b;0 begin c;"
 	for _, c := range []struct {
-		name, log     string
-		disruptions   int
-		violations    int
-		budget        int
-		lastedSeconds float64 // of the first that ended
+		name, log    string
+		disruptions  int
+		violations   int
+		budget       int
+		firstSeconds float64 // duration of the first disruption that ended; 0: not checked
 	}{
-		{"one after the other", three + "1 stop a;2 gone a;5 begin a;6 stop b;7 gone b;9 begin b", 2, 0, 1, 4},
-		{"two at once", three + "1 stop a;2 gone a;3 stop b;5 begin a", 2, 1, 1, 4},
-		{"two at once within the budget", three + "1 stop a;2 gone a;3 stop b;5 begin a", 2, 0, 2, 4},
-		{"a successor that is only launched ends nothing", three + "1 stop a;2 gone a;30 stop b", 2, 1, 1, 0},
-		{"a loss that is known uses up the budget", three + "1 gone a;20 stop b;21 begin a", 2, 1, 1, 20},
-		{"a loss that can't be known yet does not", three + "1 gone a;2 stop b;21 begin a", 2, 0, 1, 20},
-		{"a stop twice counts once", three + "1 stop a;2 stop a;3 gone a;4 begin a", 1, 0, 1, 3},
-		{"a result ends it", three + "1 stop a;2 done a;3 stop b", 2, 0, 1, 1},
-		{"a stop of what does not run", "1 stop a;0 begin b;2 stop b", 1, 0, 1, 0},
-		{"a cancelled job", three + "1 stop a cancelled;2 gone a cancelled;3 stop b", 1, 0, 1, 0},
-		{"a job that is cancelled while it is disrupted", three + "1 stop a;2 gone a;3 withdrawn a;4 stop b", 2, 0, 1, 2},
-		{"the cancellation of another job", three + "1 stop a;2 gone a;3 withdrawn c;4 stop b", 2, 1, 1, 0},
-		{"nothing at all may be disrupted", three + "1 stop a", 1, 1, 0, 0},
+		{"one disruption after the other", starts + "1 stop a;2 gone a;5 begin a;6 stop b;7 gone b;9 begin b", 2, 0, 1, 4},
+		{"two disruptions at once exceed the budget", starts + "1 stop a;2 gone a;3 stop b;5 begin a", 2, 1, 1, 4},
+		{"two disruptions at once within the budget", starts + "1 stop a;2 gone a;3 stop b;5 begin a", 2, 0, 2, 4},
+		{"a relaunched task that has not started is disrupted", starts + "1 stop a;2 gone a;30 stop b", 2, 1, 1, 0},
+		{"a detected loss counts against the budget", starts + "1 gone a;20 stop b;21 begin a", 2, 1, 1, 20},
+		{"a loss that is not yet detected does not count", starts + "1 gone a;2 stop b;21 begin a", 2, 0, 1, 20},
+		{"a repeated stop command counts once", starts + "1 stop a;2 stop a;3 gone a;4 begin a", 1, 0, 1, 3},
+		{"completion ends a disruption", starts + "1 stop a;2 done a;3 stop b", 2, 0, 1, 1},
+		{"a stop command for a task that does not run", "1 stop a;0 begin b;2 stop b", 1, 0, 1, 0},
+		{"a stop after the job's cancellation", starts + "1 stop a cancelled;2 gone a cancelled;3 stop b", 1, 0, 1, 0},
+		{"cancellation ends a disruption", starts + "1 stop a;2 gone a;3 withdrawn a;4 stop b", 2, 0, 1, 2},
+		{"cancellation of another task's job ends none", starts + "1 stop a;2 gone a;3 withdrawn c;4 stop b", 2, 1, 1, 0},
+		{"a budget of zero", starts + "1 stop a", 1, 1, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			budgets := map[wire.TeamName]int{"red": c.budget}
-			all, violations := AuditDisruptions(parseEvents(t, c.log), budgets, 10*time.Second)
-			if len(all) != c.disruptions || len(violations) != c.violations {
-				t.Errorf("%v, %v", all, violations)
+			disruptions, violations := AuditDisruptions(parseEvents(t, c.log), budgets, 10*time.Second)
+			if len(disruptions) != c.disruptions || len(violations) != c.violations {
+				t.Errorf("disruptions %v, want %d; violations %v, want %d",
+					disruptions, c.disruptions, violations, c.violations)
 			}
 			for _, violation := range violations {
-				if violation.Rule != DisruptionBudget {
-					t.Errorf("violation of %s, want %s", violation.Rule, DisruptionBudget)
+				if violation.Rule != DisruptionBudgetExceeded {
+					t.Errorf("violation of %s, want %s", violation.Rule, DisruptionBudgetExceeded)
 				}
 			}
-			if c.lastedSeconds > 0 && all[0].End.Sub(all[0].Begin).Seconds() != c.lastedSeconds {
-				t.Errorf("lasted %v", all[0].End.Sub(all[0].Begin))
+			if c.firstSeconds > 0 && disruptions[0].End.Sub(disruptions[0].Begin).Seconds() != c.firstSeconds {
+				t.Errorf("the first disruption lasted %v, want %v s",
+					disruptions[0].End.Sub(disruptions[0].Begin), c.firstSeconds)
 			}
 		})
 	}
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	// maxWaitBesideRoom is how long a job may wait beside a machine with room for it.
-	maxWaitBesideRoom = 90 * time.Second
-	// rounding is what sums of processors and of memory may be off by.
-	rounding = 1e-9
+	// maxSchedulingDelay is how long a job may have no task on a machine although a machine has room for one.
+	maxSchedulingDelay = 90 * time.Second
+	// resourceTolerance is the rounding error that sums of processors and of memory may have.
+	resourceTolerance = 1e-9
 )
 
-// resources are amounts in use.
+// resources are the amounts in use on a machine.
 type resources struct {
 	cpus, memoryGB float64
 }
 
-// checkRanTwice: a task starts on one machine while it is on another.
-func (c *Checker) checkRanTwice(job *jobRecord, machine Machine, task Task) {
+// checkDuplicateExecution records a violation if a task starts on one machine while it is on another.
+func (c *Checker) checkDuplicateExecution(job *jobRecord, machine Machine, task Task) {
 	if other, ok := job.placements[task.Index]; ok && other.ID != machine.ID {
-		c.violate(RanTwice, "%s starts on %s while it is on %s", task, machine.ID, other.ID)
+		c.recordViolation(DuplicateExecution, "%s starts on %s while it runs on %s", task, machine.ID, other.ID)
 	}
 }
 
-// checkQuota: a team's tasks use more than its limit.
+// checkQuota records a violation if a team's tasks use more processors than the team's limit.
 func (c *Checker) checkQuota(team wire.TeamName) {
-	if limit := c.cpuLimits[team]; limit > 0 && c.cpusInUse[team] > limit+rounding {
-		c.violate(Quota, "%s uses %g of %g", team, c.cpusInUse[team], limit)
+	if limit := c.cpuLimits[team]; limit > 0 && c.cpusInUse[team] > limit+resourceTolerance {
+		c.recordViolation(QuotaExceeded, "team %s uses %g CPUs, its limit is %g", team, c.cpusInUse[team], limit)
 	}
 }
 
-// checkWrongPlace: given the job's other tasks at this moment, a task starts on a type, in a zone or on a kind of
-// machine that its job doesn't allow.
-func (c *Checker) checkWrongPlace(job *jobRecord, machine Machine, task Task) {
+// checkPlacement records a violation if a task starts on a machine whose type, zone or spot status its job does not
+// allow, given where the job's other tasks are at this moment.
+func (c *Checker) checkPlacement(job *jobRecord, machine Machine, task Task) {
 	inZone := 0
 	for _, other := range job.placements {
 		if other.Zone == machine.Zone {
@@ -44,100 +44,107 @@
 		}
 	}
 	allowed := job.Job.Allows(c.machineTypes[machine.Type], machine.Zone, machine.Spot)
-	elsewhere := job.Job.SameZone && inZone < len(job.placements)
-	crowded := job.Job.SpreadZones && inZone+1 > (job.Job.Tasks+1)/2
-	if !allowed || elsewhere || crowded {
-		c.violate(WrongPlace, "%s on %s in %s", task, machine.ID, machine.Zone)
+	splitAcrossZones := job.Job.SameZone && inZone < len(job.placements)
+	zoneShareExceeded := job.Job.SpreadZones && inZone+1 > (job.Job.Tasks+1)/2
+	if !allowed || splitAcrossZones || zoneShareExceeded {
+		c.recordViolation(PlacementViolation, "%s starts on %s in zone %s against its job's placement constraints",
+			task, machine.ID, machine.Zone)
 	}
 }
 
-// checkRanCancelled: more than the cancellation deadline after its user has seen that the job is cancelled, a task of
-// it is on a machine or starts; what says which.
-func (c *Checker) checkRanCancelled(job *jobRecord, what string) {
-	if job.answer == wire.JobCancelled && time.Since(job.answeredAt) > c.cancelDeadline {
-		c.violate(RanCancelled, "a task of %s %s %s after its cancellation", job.Job.ID, what, time.Since(job.answeredAt))
+// checkExecutionAfterCancel records a violation if more than the cancellation deadline has passed since a user saw that
+// the job is cancelled. It is called when a task of the job is on a machine, or starts; observation says which.
+func (c *Checker) checkExecutionAfterCancel(job *jobRecord, observation string) {
+	if job.observedState == wire.JobCancelled && time.Since(job.observedAt) > c.cancelDeadline {
+		c.recordViolation(ExecutionAfterCancel, "a task of %s %s %s after the job's cancellation",
+			job.Job.ID, observation, time.Since(job.observedAt))
 	}
 }
 
-// checkForgotten: an accepted job gets 404, or a repeated submission of it gets 400 or 422. (That no request about it
-// is answered for too long is checked by the scenario runner, which sends the requests.)
-func (c *Checker) checkForgotten(job *jobRecord, asked time.Time, code int) {
+// checkLostWrite records a violation if a request about an accepted job is answered with 404, or a repeated submission
+// of the job with 400 or 422. (The scenario runner, which sends the requests, checks that requests about a job are not
+// left without an answer for too long.)
+func (c *Checker) checkLostWrite(job *jobRecord, sentAt time.Time, code int) {
 	unknown := code == http.StatusNotFound
 	refused := code == http.StatusBadRequest || code == http.StatusUnprocessableEntity
-	if job.answer != "" && asked.After(job.acceptedAt) && (unknown || refused) {
-		c.violate(Forgotten, "%s is answered %d", job.Job.ID, code)
+	if job.observedState != "" && sentAt.After(job.acceptedAt) && (unknown || refused) {
+		c.recordViolation(LostWrite, "request about accepted job %s answered with status %d", job.Job.ID, code)
 	}
 }
 
-// checkInvented: a job that nobody submitted gets the answer 200.
-func (c *Checker) checkInvented(id wire.JobID, code int) {
+// checkUnexpectedRead records a violation if a request about a job that nobody submitted is answered with 200.
+func (c *Checker) checkUnexpectedRead(id wire.JobID, code int) {
 	if code == http.StatusOK {
-		c.violate(Invented, "%s", id)
+		c.recordViolation(UnexpectedRead, "job %s was never submitted but is reported as known", id)
 	}
 }
 
-// checkNotDone: a job is called done before all of its tasks are.
-func (c *Checker) checkNotDone(job *jobRecord, state wire.JobState) {
+// checkPrematureCompletion records a violation if a job is reported as done before all of its tasks have completed.
+func (c *Checker) checkPrematureCompletion(job *jobRecord, state wire.JobState) {
 	if state == wire.JobDone && len(job.completed) < job.Job.Tasks {
-		c.violate(NotDone, "%s with %d of %d", job.Job.ID, len(job.completed), job.Job.Tasks)
+		c.recordViolation(PrematureCompletion, "job %s is reported as done with %d of %d tasks complete",
+			job.Job.ID, len(job.completed), job.Job.Tasks)
 	}
 }
 
-// checkWentBack: a job called done or cancelled is then called something else, or a job that its user didn't cancel
-// is called cancelled.
-func (c *Checker) checkWentBack(job *jobRecord, state wire.JobState) {
-	if contradictsFinal(job, state) {
-		c.violate(WentBack, "%s was %s, now %s", job.Job.ID, job.answer, state)
+// checkNonMonotonicRead records a violation if a job that was reported as done or cancelled is later reported in
+// another state, or if a job is reported as cancelled although no user asked to cancel it.
+func (c *Checker) checkNonMonotonicRead(job *jobRecord, state wire.JobState) {
+	if contradictsFinalState(job, state) {
+		c.recordViolation(NonMonotonicRead, "job %s is reported as %s after %s", job.Job.ID, state, job.observedState)
 	}
 	if state == wire.JobCancelled && !job.cancelRequested {
-		c.violate(WentBack, "%s is cancelled though nobody asked", job.Job.ID)
+		c.recordViolation(NonMonotonicRead, "job %s is reported as cancelled without a request to cancel it", job.Job.ID)
 	}
 }
 
-// contradictsFinal reports whether the user has seen a final state of the job that is not the given one.
-func contradictsFinal(job *jobRecord, state wire.JobState) bool {
-	final := job.answer == wire.JobDone || job.answer == wire.JobCancelled
-	return final && state != job.answer
+// contradictsFinalState reports whether a user has seen the job in a final state other than the given state.
+func contradictsFinalState(job *jobRecord, state wire.JobState) bool {
+	final := job.observedState == wire.JobDone || job.observedState == wire.JobCancelled
+	return final && state != job.observedState
 }
 
-// checkHalfGang: an attempt of a gang begins to run without all of its tasks on machines.
-func (c *Checker) checkHalfGang(job *jobRecord) {
+// checkPartialGang records a violation if an attempt of a gang starts to run while not all of its tasks are on
+// machines.
+func (c *Checker) checkPartialGang(job *jobRecord) {
 	if len(job.placements) < job.Job.Tasks {
-		c.violate(HalfGang, "%s begins with %d of %d tasks on machines", job.Job.ID, len(job.placements), job.Job.Tasks)
+		c.recordViolation(PartialGang, "gang %s starts to run with %d of %d tasks on machines",
+			job.Job.ID, len(job.placements), job.Job.Tasks)
 	}
 }
 
-// checkGangTaskOnce: a task of a gang begins to run twice in the same attempt.
-func (c *Checker) checkGangTaskOnce(task Task, attempt wire.AttemptID) {
+// checkDuplicateGangTask records a violation if a task of a gang starts to run twice in the same attempt.
+func (c *Checker) checkDuplicateGangTask(task Task, attempt wire.AttemptID) {
 	if c.gangTasks[gangAttempt{task.Job, attempt}][task.Index] {
-		c.violate(HalfGang, "%s begins twice in attempt %d", task, attempt)
+		c.recordViolation(PartialGang, "%s starts to run twice in attempt %d", task, attempt)
 	}
 }
 
-// checkLeftWaiting: none of a job's tasks runs for longer than maxWaitBesideRoom, though a machine that it allows has
-// room for one and its team is under its limit.
-func (c *Checker) checkLeftWaiting(job *jobRecord, machines []Machine, used map[wire.MachineID]resources) {
+// checkStarvation records a violation if no task of a job has been on a machine for longer than maxSchedulingDelay,
+// although a machine that the job allows has room for one and the task would stay within the team's limit.
+func (c *Checker) checkStarvation(job *jobRecord, machines []Machine, used map[wire.MachineID]resources) {
 	switch {
-	case !job.waits() || !c.underLimit(job) || !c.hasRoom(job, machines, used):
-		job.besideRoomSince = time.Time{}
-	case job.besideRoomSince.IsZero():
-		job.besideRoomSince = time.Now()
-	case time.Since(job.besideRoomSince) > maxWaitBesideRoom:
-		c.violate(LeftWaiting, "%s waits beside room for %s", job.Job.ID, time.Since(job.besideRoomSince))
+	case !job.awaitsPlacement() || !c.fitsTeamLimit(job) || !c.hasRoom(job, machines, used):
+		job.starvedSince = time.Time{}
+	case job.starvedSince.IsZero():
+		job.starvedSince = time.Now()
+	case time.Since(job.starvedSince) > maxSchedulingDelay:
+		c.recordViolation(Starvation, "job %s has had no running task for %s although a machine has room for one",
+			job.Job.ID, time.Since(job.starvedSince))
 	}
 }
 
-// waits reports whether a job is accepted, has tasks left to complete, and has none on a machine. Gangs need room for
-// all of their tasks at once and are left out, as are jobs that fail by themselves.
-func (j *jobRecord) waits() bool {
-	wanted := j.answer != "" && !j.cancelRequested && !j.Fails && j.Job.Kind != wire.KindGang
-	return wanted && len(j.placements) == 0 && len(j.completed) < j.Job.Tasks
+// awaitsPlacement reports whether a job is accepted, has tasks left to complete, and has no task on a machine. It
+// excludes gangs, which need room for all of their tasks at once, and jobs whose tasks exit with an error.
+func (j *jobRecord) awaitsPlacement() bool {
+	schedulable := j.observedState != "" && !j.cancelRequested && !j.Fails && j.Job.Kind != wire.KindGang
+	return schedulable && len(j.placements) == 0 && len(j.completed) < j.Job.Tasks
 }
 
-// underLimit reports whether another task of a job would stay within its team's limit.
-func (c *Checker) underLimit(job *jobRecord) bool {
+// fitsTeamLimit reports whether another task of a job would stay within its team's limit.
+func (c *Checker) fitsTeamLimit(job *jobRecord) bool {
 	limit := c.cpuLimits[job.Job.Team]
-	return limit == 0 || c.cpusInUse[job.Job.Team]+job.Job.CPUs <= limit+rounding
+	return limit == 0 || c.cpusInUse[job.Job.Team]+job.Job.CPUs <= limit+resourceTolerance
 }
 
 // hasRoom reports whether a machine that a job allows has room for another task of it.
@@ -145,12 +152,12 @@
 	return slices.ContainsFunc(machines, func(machine Machine) bool {
 		machineType, inUse := c.machineTypes[machine.Type], used[machine.ID]
 		return job.Job.Allows(machineType, machine.Zone, machine.Spot) &&
-			inUse.cpus+job.Job.CPUs <= machineType.CPUs+rounding &&
-			inUse.memoryGB+job.Job.MemoryGB <= machineType.MemoryGB+rounding
+			inUse.cpus+job.Job.CPUs <= machineType.CPUs+resourceTolerance &&
+			inUse.memoryGB+job.Job.MemoryGB <= machineType.MemoryGB+resourceTolerance
 	})
 }
 
-// resourcesInUse returns what the tasks on each machine use, by ID of the machine.
+// resourcesInUse returns the resources that the tasks on each machine use.
 func (c *Checker) resourcesInUse() map[wire.MachineID]resources {
 	used := map[wire.MachineID]resources{}
 	for _, job := range c.jobs {
--- a/internal/invariant/violation.go
+++ b/internal/invariant/violation.go
@@ -2,45 +2,50 @@
 
 import "strings"
 
-// Rule is the name of a rule. Those of the protocol have the protocol's names.
+// Rule is the name of a rule, which the text of a violation begins with. The rules of the protocol have the names that
+// the protocol gives them. The constants are named after the violations, in the terms of history checkers.
 type Rule string
 
-// The rules that are checked.
+// The rules that are checked. The comments say what violates each rule.
 const (
-	// RanTwice: a task starts on one machine while it is on another.
-	RanTwice Rule = "ran_twice"
-	// Quota: a team's tasks use more processors than its limit.
-	Quota Rule = "quota"
-	// WrongPlace: a task starts on a type, in a zone or on a kind of machine that its job doesn't allow.
-	WrongPlace Rule = "wrong_place"
-	// RanCancelled: a task is on a machine, or starts, too long after its user has seen that the job is cancelled.
-	RanCancelled Rule = "ran_cancelled"
-	// Forgotten: an accepted job is answered as unknown or as refused.
-	Forgotten Rule = "forgotten"
-	// Invented: a job that nobody submitted is answered as known.
-	Invented Rule = "invented"
-	// NotDone: a job is called done before all of its tasks are.
-	NotDone Rule = "not_done"
-	// WentBack: a job in a final state is called something else, or a job is called cancelled though nobody asked for it.
-	WentBack Rule = "went_back"
-	// HalfGang: a gang begins to run without all of its tasks on machines, or a task begins twice in one attempt.
-	HalfGang Rule = "half_gang"
-	// LeftWaiting: a job has waited too long beside a machine with room for it, under its team's limit.
-	LeftWaiting Rule = "left_waiting"
-	// DisruptionBudget: a task is stopped by command while its team's disruption budget is used up.
-	DisruptionBudget Rule = "disruption_budget"
+	// DuplicateExecution: a task starts on one machine while it is on another.
+	DuplicateExecution Rule = "ran_twice"
+	// QuotaExceeded: a team's tasks use more processors than its limit.
+	QuotaExceeded Rule = "quota"
+	// PlacementViolation: a task starts on a machine whose type, zone or spot status its job does not allow.
+	PlacementViolation Rule = "wrong_place"
+	// ExecutionAfterCancel: a task starts or is on a machine later than the cancellation deadline after a user saw that
+	// its job is cancelled.
+	ExecutionAfterCancel Rule = "ran_cancelled"
+	// LostWrite: a job whose submission was acknowledged is reported as unknown, or its repeated submission is refused.
+	LostWrite Rule = "forgotten"
+	// UnexpectedRead: a job that nobody submitted is reported as known.
+	UnexpectedRead Rule = "invented"
+	// PrematureCompletion: a job is reported as done before all of its tasks have completed.
+	PrematureCompletion Rule = "not_done"
+	// NonMonotonicRead: a job that was reported in a final state is later reported in another one, or a job is reported
+	// as cancelled although no user asked to cancel it.
+	NonMonotonicRead Rule = "went_back"
+	// PartialGang: a gang starts to run while not all of its tasks are on machines, or a task of it starts to run twice
+	// in one attempt.
+	PartialGang Rule = "half_gang"
+	// Starvation: a job has had no task on a machine for too long, although a machine has room for one and its team is
+	// under its limit.
+	Starvation Rule = "left_waiting"
+	// DisruptionBudgetExceeded: a task is stopped by a command while its team's disruption budget is used up.
+	DisruptionBudgetExceeded Rule = "disruption_budget"
 )
 
-// Violation is one case of a rule that was broken.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   Rule
 	Detail string
 }
 
-// String returns the rule and what broke it, on one line.
+// String returns the rule and the detail of the violation, on one line.
 func (v Violation) String() string { return string(v.Rule) + ": " + v.Detail }
 
-// ViolationError is the error of a run in which rules were broken.
+// ViolationError is the error of a scenario run in which rules were violated.
 type ViolationError struct {
 	Violations []Violation
 }
--- a/internal/scenario/conditions.go
+++ b/internal/scenario/conditions.go
@@ -116,7 +116,7 @@
 
 func starts(w *world, words []string) int         { return w.checker.TaskStarts(wire.JobID(words[0])) }
 func lateStarts(w *world, _ []string) int         { return w.checker.StartsAfterCancel() }
-func runs(w *world, words []string) int           { return w.checker.GangRuns(wire.JobID(words[0])) }
+func runs(w *world, words []string) int           { return w.checker.GangStarts(wire.JobID(words[0])) }
 func running(w *world, words []string) int        { return len(w.checker.Placements(wire.JobID(words[0]))) }
 func machineCount(w *world, _ []string) int       { return w.cloud.MachineCount() }
 func machinesInZone(w *world, words []string) int { return w.cloud.MachinesInZone(words[0]) }
--- a/internal/scenario/expectations.go
+++ b/internal/scenario/expectations.go
@@ -96,7 +96,7 @@
 				return fmt.Errorf("no question about %s is answered for %s", id, time.Since(since))
 			}
 		}
-		w.checker.CheckLeftWaiting(w.cloud.RunningMachines())
+		w.checker.CheckStarvation(w.cloud.RunningMachines())
 	}
 	return nil
 }
--- a/internal/scenario/jobs.go
+++ b/internal/scenario/jobs.go
@@ -264,7 +264,7 @@
 	asked := time.Now()
 	code, response, err := w.request(ctx, request.method, member, request.path, request.body)
 	if err == nil {
-		w.checker.AnswerSeen(request.job, asked, code, response.State)
+		w.checker.ResponseReceived(request.job, asked, code, response.State)
 	}
 	return code, string(response.State), err
 }
--- a/internal/scenario/loopback/burst_test.go
+++ b/internal/scenario/loopback/burst_test.go
@@ -57,8 +57,8 @@
 	sum := worklog.SummarizeRebalancing(events, burstMachines, burstSample, burstBounce)
 	t.Logf("%+v", sum)
 	logWaits(t, events)
-	if sum.Moves == 0 || sum.Bounces > 0 {
-		t.Errorf("%d moves, %d of them of tasks that had been moved within the cooldown", sum.Moves, sum.Bounces)
+	if sum.Moves == 0 || sum.RepeatedMoves > 0 {
+		t.Errorf("%d moves, %d of them of tasks that had been moved within the cooldown", sum.Moves, sum.RepeatedMoves)
 	}
 }
 
@@ -131,8 +131,8 @@
 			t.Logf("repeat %d, moves off: %v: %+v", n, off, sum)
 			logWaits(t, events)
 			imbalance[i] += sum.Imbalance / repeats
-			if off && sum.Moves > 0 || sum.Bounces > 0 {
-				t.Errorf("%d moves, %d bounces", sum.Moves, sum.Bounces)
+			if off && sum.Moves > 0 || sum.RepeatedMoves > 0 {
+				t.Errorf("%d moves, %d bounces", sum.Moves, sum.RepeatedMoves)
 			}
 		}
 	}
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -117,7 +117,7 @@
 			return nil, fmt.Errorf("step %q: %w", line, err)
 		}
 	}
-	w.checker.CheckAtEnd()
+	w.checker.CheckFinalState()
 	if err := w.audit(); err != nil {
 		return nil, err
 	}
--- a/internal/worklog/event.go
+++ b/internal/worklog/event.go
@@ -1,8 +1,9 @@
-// Package worklog holds the workers' logs: what happened to each task on each machine, and what users did to its job.
-// From them alone it computes the load of the machines, the moves of running tasks and the tasks' wait times.
+// Package worklog defines the workers' event log: what happened to each task on each machine, when a user saw that the
+// task's job is accepted, and when a user asked to cancel it. From the log alone it computes the load of the machines,
+// the moves of running tasks and the wait times of tasks.
 //
-// The invariant checker writes the events while a scenario is played; tests and the scenario runner read them
-// afterwards. The package never asks a controller: its figures are a second source beside the controllers' own.
+// The invariant checker appends the events while a scenario runs; tests and the scenario runner analyze them
+// afterwards. The package never queries a controller, so that its figures are independent of the controllers' own.
 package worklog
 
 import (
@@ -11,28 +12,29 @@
 	"saffronbend/wire"
 )
 
-// EventKind is what happened to a task or to its job.
+// EventKind is the kind of an event: what happened to a task or to its job.
 type EventKind int
 
 // Kinds of events.
 const (
-	TaskStarted     EventKind = iota // the task is on the machine, with its image, and runs
-	StopCommanded                    // the machine carried out a command to stop the task
-	TaskVanished                     // the task is no longer on the machine and has no result
-	TaskCompleted                    // the task is no longer on the machine and has its result
-	JobAccepted                      // a user has seen for the first time that the task's job is accepted
-	CancelRequested                  // a user asked to cancel the task's job, so that its absence disrupts nobody any more
+	TaskStarted     EventKind = iota // the machine has the task's image and runs the task
+	StopCommanded                    // the machine executed a command to stop the task
+	TaskTerminated                   // the task ended on the machine without completing: it was stopped, killed or lost
+	TaskCompleted                    // the task ended on the machine after completing
+	JobAccepted                      // a user received the first response that acknowledges the task's job
+	CancelRequested                  // a user asked to cancel the task's job; from then on its downtime is no disruption
 )
 
-// Event is an entry in the workers' logs.
+// Event is an entry of the workers' event log.
 type Event struct {
 	At   time.Time
 	Kind EventKind
-	// Team owns the task's job.
+	// Team is the team that owns the task's job.
 	Team wire.TeamName
 	Task string
-	// Machine is empty in events that concern the job alone.
+	// Machine is empty in events about the job (JobAccepted, CancelRequested).
 	Machine wire.MachineID
-	// Exempt events count as no disruption: the job is cancelled, or the cloud has announced that it reclaims the machine.
+	// Exempt is set if the event starts no disruption, because a user has asked to cancel the job or the cloud has
+	// announced that it reclaims the machine.
 	Exempt bool
 }
--- a/internal/worklog/load.go
+++ b/internal/worklog/load.go
@@ -7,7 +7,7 @@
 	"saffronbend/wire"
 )
 
-// LoadSample is how many tasks of each team are on each machine at a time.
+// LoadSample is the number of tasks of each team on each machine at one point in time.
 type LoadSample struct {
 	At time.Time
 	// Tasks counts tasks by machine and team.
@@ -23,7 +23,7 @@
 	return total
 }
 
-// SampleLoad returns the load of the machines at regular times, from the start of the first task to the last event.
+// SampleLoad samples the load of the machines at a fixed interval, from the start of the first task to the last event.
 func SampleLoad(events []Event, interval time.Duration) []LoadSample {
 	first := slices.IndexFunc(events, func(event Event) bool { return event.Kind == TaskStarted })
 	if first < 0 {
@@ -31,7 +31,7 @@
 	}
 	events = events[first:]
 	var samples []LoadSample
-	startOf := map[string]Event{} // of the tasks that are on machines
+	startOf := map[string]Event{} // the start event of each task that is on a machine
 	next := events[0].At
 	for _, event := range events {
 		for ; event.At.After(next); next = next.Add(interval) {
@@ -40,17 +40,17 @@
 		switch event.Kind {
 		case TaskStarted:
 			startOf[event.Task] = event
-		case TaskVanished, TaskCompleted:
+		case TaskTerminated, TaskCompleted:
 			if startOf[event.Task].Machine == event.Machine {
 				delete(startOf, event.Task)
 			}
-		case StopCommanded, JobAccepted, CancelRequested: // the task stays where it is
+		case StopCommanded, JobAccepted, CancelRequested: // do not change which machine the task is on
 		}
 	}
 	return samples
 }
 
-// sampleAt returns the load of the machines, from the starts of the tasks that are on them.
+// sampleAt returns the load of the machines at a time. startOf has the start event of each task that is on a machine.
 func sampleAt(at time.Time, startOf map[string]Event) LoadSample {
 	sample := LoadSample{At: at, Tasks: map[wire.MachineID]map[wire.TeamName]int{}}
 	for _, start := range startOf {
--- a/internal/worklog/wait.go
+++ b/internal/worklog/wait.go
@@ -8,14 +8,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxWaitTime bounds the wait times that the histograms distinguish; longer ones count as this.
+// maxWaitTime is the longest wait time that the histograms can record; longer ones are recorded as maxWaitTime.
 const maxWaitTime = time.Hour
 
-// WaitTimes returns for each team how long its tasks waited, in milliseconds, from when a user has seen that the job is
-// accepted until the task first started. Tasks that have not started are left out.
+// WaitTimes returns, for each team, the distribution of the wait times of its tasks in milliseconds: from when a user
+// first saw that the job is accepted until the first start of the task. Tasks that have not started are left out.
 func WaitTimes(events []Event) map[wire.TeamName]*hdrhistogram.Histogram {
 	waits := map[wire.TeamName]*hdrhistogram.Histogram{}
-	acceptedAt := map[string]time.Time{} // by task that has not started
+	acceptedAt := map[string]time.Time{} // by task, for tasks that have not started
 	for _, event := range events {
 		switch event.Kind {
 		case JobAccepted:
@@ -29,9 +29,9 @@
 			if waits[event.Team] == nil {
 				waits[event.Team] = hdrhistogram.New(1, maxWaitTime.Milliseconds(), histogramDigits)
 			}
-			// Bounded, the wait is within the histogram's range.
+			// RecordValue cannot fail: the wait time is capped at the upper end of the histogram's range.
 			_ = waits[event.Team].RecordValue(min(event.At.Sub(since), maxWaitTime).Milliseconds())
-		case StopCommanded, TaskVanished, TaskCompleted, CancelRequested: // do not end a wait
+		case StopCommanded, TaskTerminated, TaskCompleted, CancelRequested: // do not end a wait
 		}
 	}
 	return waits
