--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -12,27 +12,28 @@
 )
 
 const (
-	// machineIDFormat is the form of the IDs of machines, of their number.
+	// machineIDFormat formats the number of a machine as its ID.
 	machineIDFormat = "n-%06d"
-	// workerPort is where workers listen on their machines.
+	// workerPort is the port on which workers listen.
 	workerPort = "9000"
-	// listedFromStart is the age of machines that are up from the start, so that they are listed at once.
-	listedFromStart = time.Hour
-	// defaultBootTime is the boot time of machines of a type that the cloud does not know.
+	// initialMachineAge is the age of machines that are up from the start. It exceeds the list lag, so that they are
+	// listed immediately.
+	initialMachineAge = time.Hour
+	// defaultBootTime is the boot time of machines of an unknown type.
 	defaultBootTime = time.Minute
 )
 
-// Cloud is a cloud that rents machines by the protocol (ServeHTTP). It starts a worker on each machine that is up.
-// IDs and addresses of machines are never used again.
+// Cloud is a fake cloud provider that serves its part of the protocol (ServeHTTP). It starts a worker on each machine
+// that is up. IDs and addresses of machines are never reused.
 type Cloud struct {
 	types       []wire.MachineType
-	listLag     time.Duration // how long a new machine is missing from lists
+	listLag     time.Duration // how long a new machine is missing from the list of machines
 	startWorker func(Machine) *Worker
 
 	mu               sync.Mutex
 	machines         map[wire.MachineID]*cloudMachine // by ID
-	requests         map[string][]wire.MachineID      // IDs of the machines rented, by request ID
-	capacity         map[machinePool]int              // machines that may still be rented
+	requests         map[string][]wire.MachineID      // IDs of the machines that each request rented, by request ID
+	capacity         map[machinePool]int              // number of machines that can still be rented
 	lastNumber       int
 	scaledOut        int
 	outage           bool
@@ -41,20 +42,20 @@
 
 // cloudMachine is a machine that is booting, up or failed.
 type cloudMachine struct {
-	listing  wire.Machine
-	rentedAt time.Time
-	worker   *Worker     // nil until the machine is up
-	boot     *time.Timer // nil for machines that are up from the start
+	listing   wire.Machine
+	rentedAt  time.Time
+	worker    *Worker     // nil until the machine is up
+	bootTimer *time.Timer // nil for machines that are up from the start
 }
 
-// machinePool is what the cloud has a capacity for.
+// machinePool identifies a class of machines that the cloud has a capacity for.
 type machinePool struct {
 	machineType, zone string
 	spot              bool
 }
 
-// NewCloud returns a cloud without machines and without capacity. New machines are missing from its lists for listLag.
-// startWorker is called with the cloud's lock held; it starts the worker of a machine that is up.
+// NewCloud returns a cloud without machines and without capacity. New machines are missing from the list of machines
+// for listLag. startWorker starts the worker of a machine that is up; it is called with the cloud's lock held.
 func NewCloud(types []wire.MachineType, listLag time.Duration, startWorker func(Machine) *Worker) *Cloud {
 	return &Cloud{
 		types:       types,
@@ -66,7 +67,7 @@
 	}
 }
 
-// SetCapacity sets how many machines of a type, in a zone, spot or not, may be rented.
+// SetCapacity sets how many more machines of a type in a zone can be rented, either spot machines or others.
 func (c *Cloud) SetCapacity(machineType, zone string, spot bool, machines int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,28 +81,28 @@
 	c.outage = on
 }
 
-// LoseNextResponse has the next request to scale out carried out without a response.
+// LoseNextResponse makes the cloud execute the next request to scale out without sending a response.
 func (c *Cloud) LoseNextResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.loseNextResponse = true
 }
 
-// ScaledOut returns how many machines have been rented so far.
+// ScaledOut returns how many machines have been rented so far, including those that have been returned.
 func (c *Cloud) ScaledOut() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.scaledOut
 }
 
-// MachineCount returns how many machines there are, in any state.
+// MachineCount returns the number of machines in any state.
 func (c *Cloud) MachineCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.machines)
 }
 
-// MachinesInZone returns how many machines there are in a zone, in any state.
+// MachinesInZone returns the number of machines in a zone, in any state.
 func (c *Cloud) MachinesInZone(zone string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// RunningMachines returns the machines that are up, by ID.
+// RunningMachines returns the machines that are up, sorted by ID.
 func (c *Cloud) RunningMachines() []invariant.Machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,14 +139,14 @@
 	return running
 }
 
-// AddMachine adds a machine that is up from the start, outside of the capacity, and returns its ID.
+// AddMachine adds a machine that is up and listed immediately, and returns its ID. It does not use up capacity.
 func (c *Cloud) AddMachine(machineType, zone string, spot bool) wire.MachineID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.provision(machinePool{machineType, zone, spot}, 0)
 }
 
-// FailMachine ends a machine by a fault of its own. It is listed as failed at once.
+// FailMachine makes a machine fail. The machine is listed as failed immediately.
 func (c *Cloud) FailMachine(id wire.MachineID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -154,7 +155,7 @@
 	machine.listing.State = wire.MachineFailed
 }
 
-// ReclaimMachine ends a machine and removes it from the cloud.
+// ReclaimMachine stops a machine and removes it from the cloud, without returning it to the capacity.
 func (c *Cloud) ReclaimMachine(id wire.MachineID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +163,7 @@
 	delete(c.machines, id)
 }
 
-// MachineIP returns the address of a machine, or false if the ID is not one of a machine.
+// MachineIP returns the IP address of a machine, or false if the ID is not a machine's.
 func MachineIP(id wire.MachineID) (string, bool) {
 	var number int
 	_, err := fmt.Sscanf(string(id), machineIDFormat, &number)
@@ -190,7 +191,7 @@
 // bootMachine starts the worker of a machine. The caller holds the lock.
 func (c *Cloud) bootMachine(machine *cloudMachine) {
 	listing := &machine.listing
-	ip, _ := MachineIP(listing.ID) // the ID is of the cloud's own making
+	ip, _ := MachineIP(listing.ID) // cannot fail: newMachine has formatted the ID
 	machine.worker = c.startWorker(Machine{
 		Machine: invariant.Machine{ID: listing.ID, Type: listing.Type, Zone: listing.Zone, Spot: listing.Spot},
 		IP:      ip,
@@ -198,16 +199,16 @@
 	listing.State = wire.MachineRunning
 }
 
-// provision adds a machine that is up after its boot time, unless it is returned before, and returns its ID. One
-// without boot time is up, and listed, at once. The caller holds the lock.
+// provision adds a machine and returns its ID. The machine is up after its boot time, unless it is returned before. A
+// machine without boot time is up and listed immediately. The caller holds the lock.
 func (c *Cloud) provision(pool machinePool, bootTime time.Duration) wire.MachineID {
 	id, machine := c.newMachine(pool)
 	if bootTime == 0 {
 		c.bootMachine(machine)
-		machine.rentedAt = machine.rentedAt.Add(-listedFromStart)
+		machine.rentedAt = machine.rentedAt.Add(-initialMachineAge)
 		return id
 	}
-	machine.boot = time.AfterFunc(bootTime, func() {
+	machine.bootTimer = time.AfterFunc(bootTime, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if c.machines[id] == machine {
@@ -217,8 +218,8 @@
 	return id
 }
 
-// scaleOut rents the machines that a request asks for, as far as the capacity allows, and returns their IDs: none if
-// there is no capacity. A repeated request returns the machines of the first. The caller holds the lock.
+// scaleOut rents the machines that a request asks for, as far as the capacity allows, and returns their IDs, or none if
+// there is no capacity. A repeated request returns the IDs that the first one returned. The caller holds the lock.
 func (c *Cloud) scaleOut(request wire.ScaleOutRequest) []wire.MachineID {
 	if ids, repeated := c.requests[request.RequestID]; repeated {
 		return ids
@@ -238,7 +239,7 @@
 	return ids
 }
 
-// bootTime returns how long machines of a type take until they are up.
+// bootTime returns the time from renting a machine of a type until it is up.
 func (c *Cloud) bootTime(machineType string) time.Duration {
 	for _, known := range c.types {
 		if known.Name == machineType {
@@ -248,14 +249,14 @@
 	return defaultBootTime
 }
 
-// returnMachine ends a machine, which may be booting, and returns it to the capacity. The caller holds the lock.
+// returnMachine stops a machine, which may be booting, and returns it to the capacity. The caller holds the lock.
 func (c *Cloud) returnMachine(id wire.MachineID) {
 	machine := c.machines[id]
 	if machine == nil {
 		return
 	}
-	if machine.boot != nil {
-		machine.boot.Stop()
+	if machine.bootTimer != nil {
+		machine.bootTimer.Stop()
 	}
 	if machine.worker != nil && machine.listing.State == wire.MachineRunning {
 		machine.worker.Stop()
@@ -264,5 +265,5 @@
 	delete(c.machines, id)
 }
 
-// seconds converts a number of seconds.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/fake/cloud_http.go
+++ b/internal/fake/cloud_http.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// maxCloudPage is how many machines a page of the list has.
-	maxCloudPage = 500
-	// maxReturned and maxScaledOut bound the machines of one request.
-	maxReturned  = 100
-	maxScaledOut = 50
+	// cloudPageSize is the maximum number of machines in a page of the list of machines.
+	cloudPageSize = 500
+	// maxMachinesPerReturn and maxMachinesPerScaleOut are the maximum numbers of machines of one request.
+	maxMachinesPerReturn   = 100
+	maxMachinesPerScaleOut = 50
 )
 
 // ServeHTTP serves the cloud's part of the protocol.
@@ -40,7 +40,7 @@
 	}
 }
 
-// listMachines returns the page of machines whose IDs follow from. The caller holds the lock.
+// listMachines returns the page of machines whose IDs come after the ID from. The caller holds the lock.
 func (c *Cloud) listMachines(from wire.MachineID) wire.MachinePage {
 	page := wire.MachinePage{Machines: []wire.Machine{}}
 	for _, id := range slices.Sorted(maps.Keys(c.machines)) {
@@ -49,7 +49,7 @@
 		if id <= from || age < c.listLag {
 			continue
 		}
-		if len(page.Machines) == maxCloudPage {
+		if len(page.Machines) == cloudPageSize {
 			page.More = true
 			break
 		}
@@ -63,7 +63,7 @@
 func (c *Cloud) serveScaleOut(w http.ResponseWriter, r *http.Request) {
 	var request wire.ScaleOutRequest
 	if json.NewDecoder(r.Body).Decode(&request) != nil ||
-		request.RequestID == "" || request.Count < 1 || request.Count > maxScaledOut {
+		request.RequestID == "" || request.Count < 1 || request.Count > maxMachinesPerScaleOut {
 		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: messageMalformed})
 		return
 	}
@@ -74,14 +74,14 @@
 	}
 	if c.loseNextResponse {
 		c.loseNextResponse = false
-		panic(http.ErrAbortHandler) // the response is lost
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
 	writeJSON(w, http.StatusOK, wire.MachineIDs{IDs: ids})
 }
 
 func (c *Cloud) serveReturn(w http.ResponseWriter, r *http.Request) {
 	var request wire.MachineIDs
-	if json.NewDecoder(r.Body).Decode(&request) != nil || len(request.IDs) > maxReturned {
+	if json.NewDecoder(r.Body).Decode(&request) != nil || len(request.IDs) > maxMachinesPerReturn {
 		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: messageMalformed})
 		return
 	}
--- a/internal/fake/cloud_test.go
+++ b/internal/fake/cloud_test.go
@@ -16,13 +16,14 @@
 	testListLag  = 5 * time.Second
 )
 
-// newTestCloud returns a cloud in a synctest bubble. It may rent three machines in zone a; nobody answers the
-// heartbeats of their workers. When the test ends, the machines are reclaimed.
+// newTestCloud returns a cloud for a test in a synctest bubble. Three machines can be rented in zone a; the heartbeats
+// of their workers are not answered. When the test ends, the machines are reclaimed.
 func newTestCloud(t *testing.T) *Cloud {
 	t.Helper()
 	types := []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, BootS: testBootTime.Seconds()}}
-	config := WorkerConfig{HeartbeatInterval: testInterval, LeaseDuration: testLease, Network: NewNetwork(),
-		Controllers: []Controller{{Name: "c0", Address: "10.0.0.1:8080"}}, Checker: invariant.NewChecker()}
+	config := WorkerConfig{HeartbeatInterval: testHeartbeatInterval, LeaseDuration: testLeaseDuration,
+		Network: NewNetwork(), Controllers: []Controller{{Name: "c0", Address: "10.0.0.1:8080"}},
+		Checker: invariant.NewChecker()}
 	cloud := NewCloud(types, testListLag, func(machine Machine) *Worker { return NewWorker(t.Context(), config, machine) })
 	cloud.SetCapacity("small", "a", false, 3)
 	t.Cleanup(func() {
@@ -33,42 +34,43 @@
 	return cloud
 }
 
-// scaleOut asks for machines and returns the status and their IDs.
+// scaleOut sends a request to scale out and returns the status and the IDs of the machines.
 func scaleOut(t *testing.T, cloud *Cloud, requestID string, count int) (status int, ids []wire.MachineID) {
 	t.Helper()
 	var machines wire.MachineIDs
 	body := wire.ScaleOutRequest{RequestID: requestID, Type: "small", Zone: "a", Count: count}
-	status = request(t, cloud, http.MethodPost, "/machines", body, &machines)
+	status = sendRequest(t, cloud, http.MethodPost, "/machines", body, &machines)
 	return status, machines.IDs
 }
 
-// list returns the first page of machines.
+// list returns the first page of the list of machines.
 func list(t *testing.T, cloud *Cloud) []wire.Machine {
 	t.Helper()
 	var page wire.MachinePage
-	request(t, cloud, http.MethodGet, "/machines", nil, &page)
+	sendRequest(t, cloud, http.MethodGet, "/machines", nil, &page)
 	return page.Machines
 }
 
-// A repeated request returns the machines of the first, also when its response was lost.
+// TestScaleOutIsIdempotent checks that a repeated request to scale out returns the machines of the first one, also if
+// the response to the first one was lost.
 func TestScaleOutIsIdempotent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cloud := newTestCloud(t)
 		cloud.LoseNextResponse()
 		body := wire.ScaleOutRequest{RequestID: "r1", Type: "small", Zone: "a", Count: 2}
-		if status := request(t, cloud, http.MethodPost, "/machines", body, nil); status != 0 {
-			t.Errorf("status %d, want a lost response", status)
+		if status := sendRequest(t, cloud, http.MethodPost, "/machines", body, nil); status != 0 {
+			t.Errorf("status %d, want no response", status)
 		}
 		_, first := scaleOut(t, cloud, "r1", 2)
 		_, second := scaleOut(t, cloud, "r1", 2)
 		if len(first) != 2 || !slices.Equal(first, second) || cloud.ScaledOut() != 2 {
-			t.Errorf("%v, then %v; %d rented", first, second, cloud.ScaledOut())
+			t.Errorf("machines %v, then %v, %d rented; want the same two machines", first, second, cloud.ScaledOut())
 		}
 	})
 }
 
-// A request is answered with as many machines as there is capacity for, and refused if there is none; a machine that
-// is returned can be rented again, under another ID.
+// TestCapacity checks that a request gets as many machines as there is capacity for, that it is refused without
+// capacity, and that a returned machine can be rented again under another ID.
 func TestCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cloud := newTestCloud(t)
@@ -77,25 +79,26 @@
 			t.Fatalf("rented %v, want 3 machines", ids)
 		}
 		if status, _ := scaleOut(t, cloud, "r2", 1); status != http.StatusServiceUnavailable {
-			t.Errorf("without capacity: %d", status)
+			t.Errorf("scale-out without capacity: status %d", status)
 		}
 		returned := wire.MachineIDs{IDs: ids[:1]}
-		if status := request(t, cloud, http.MethodPost, "/machines/delete", returned, nil); status != http.StatusOK {
-			t.Errorf("return: %d", status)
+		if status := sendRequest(t, cloud, http.MethodPost, "/machines/delete", returned, nil); status != http.StatusOK {
+			t.Errorf("return of a machine: status %d", status)
 		}
 		if _, more := scaleOut(t, cloud, "r3", 1); len(more) != 1 || slices.Contains(ids, more[0]) {
-			t.Errorf("rented %v after %v", more, ids)
+			t.Errorf("rented %v after %v, want one machine with a new ID", more, ids)
 		}
 	})
 }
 
-// A machine is listed after the lag, and runs after its boot time; one that fails is listed as failed.
+// TestMachineStates checks that a machine is listed after the list lag, that it is listed as running after its boot
+// time, and that a failed machine is listed as failed.
 func TestMachineStates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cloud := newTestCloud(t)
 		_, ids := scaleOut(t, cloud, "r1", 1)
 		if listed := list(t, cloud); len(listed) != 0 {
-			t.Errorf("listed at once: %v", listed)
+			t.Errorf("listed %v before the list lag has passed", listed)
 		}
 		for _, step := range []struct {
 			wait time.Duration
@@ -116,17 +119,18 @@
 	})
 }
 
-// A machine that is up from the start is listed at once; one that is reclaimed is gone.
+// TestReclaimedMachine checks that a machine that is up from the start is listed immediately, and that a reclaimed
+// machine is neither listed nor has a worker.
 func TestReclaimedMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cloud := newTestCloud(t)
 		id := cloud.AddMachine("small", "a", true)
 		if listed := list(t, cloud); len(listed) != 1 || listed[0].State != wire.MachineRunning || !listed[0].Spot {
-			t.Errorf("listed %v", listed)
+			t.Errorf("listed %v, want one running spot machine", listed)
 		}
 		cloud.ReclaimMachine(id)
 		if listed := list(t, cloud); len(listed) != 0 || cloud.Worker(id) != nil {
-			t.Errorf("listed %v after it is reclaimed", listed)
+			t.Errorf("listed %v after the machine is reclaimed, worker exists: %v", listed, cloud.Worker(id) != nil)
 		}
 	})
 }
@@ -141,19 +145,20 @@
 		}{
 			{"no request ID", "/machines", wire.ScaleOutRequest{Type: "small", Zone: "a", Count: 1}, http.StatusBadRequest},
 			{"no machines", "/machines", wire.ScaleOutRequest{RequestID: "r", Type: "small"}, http.StatusBadRequest},
-			{"too many machines", "/machines", wire.ScaleOutRequest{RequestID: "r", Count: maxScaledOut + 1},
+			{"too many machines", "/machines", wire.ScaleOutRequest{RequestID: "r", Count: maxMachinesPerScaleOut + 1},
 				http.StatusBadRequest},
-			{"too many returned", "/machines/delete", wire.MachineIDs{IDs: make([]wire.MachineID, maxReturned+1)},
+			{"too many returned", "/machines/delete", wire.MachineIDs{IDs: make([]wire.MachineID, maxMachinesPerReturn+1)},
 				http.StatusBadRequest},
-			{"another path", "/nothing", nil, http.StatusNotFound},
+			{"unknown path", "/nothing", nil, http.StatusNotFound},
 		} {
-			if status := request(t, cloud, http.MethodPost, c.path, c.body, nil); status != c.want {
+			if status := sendRequest(t, cloud, http.MethodPost, c.path, c.body, nil); status != c.want {
 				t.Errorf("%s: status %d, want %d", c.name, status, c.want)
 			}
 		}
 		cloud.SetOutage(true)
-		if status := request(t, cloud, http.MethodGet, "/machine_types", nil, nil); status != http.StatusServiceUnavailable {
-			t.Errorf("outage: status %d", status)
+		if status := sendRequest(t, cloud, http.MethodGet, "/machine_types",
+			nil, nil); status != http.StatusServiceUnavailable {
+			t.Errorf("during an outage: status %d, want %d", status, http.StatusServiceUnavailable)
 		}
 	})
 }
--- a/internal/fake/conn.go
+++ b/internal/fake/conn.go
@@ -8,38 +8,38 @@
 	"time"
 )
 
-// conn is one end of a connection in memory.
+// conn is one end of an in-memory connection.
 type conn struct {
 	local, remote         *Host
-	dialer                string // address of the host that opened the connection
+	dialer                string // IP address of the host that opened the connection
 	in, out               *pipe
 	localAddr, remoteAddr string
 }
 
-// newConnPair returns both ends of a connection that a host opens to an address of another.
+// newConnPair returns both ends of a connection that the dialer opens to an address of the remote host.
 func newConnPair(dialer, remote *Host, addr string) (near, far *conn) {
-	up, down := newPipe(), newPipe()
+	toRemote, toDialer := newPipe(), newPipe()
 	dialerAddr := dialer.ip + ":1"
-	near = &conn{local: dialer, remote: remote, dialer: dialer.ip, in: down, out: up,
+	near = &conn{local: dialer, remote: remote, dialer: dialer.ip, in: toDialer, out: toRemote,
 		localAddr: dialerAddr, remoteAddr: addr}
-	far = &conn{local: remote, remote: dialer, dialer: dialer.ip, in: up, out: down,
+	far = &conn{local: remote, remote: dialer, dialer: dialer.ip, in: toRemote, out: toDialer,
 		localAddr: addr, remoteAddr: dialerAddr}
 	return near, far
 }
 
-// fail ends the connection in both directions with an error.
+// fail terminates the connection in both directions with an error.
 func (c *conn) fail(err error) {
 	c.in.fail(err)
 	c.out.fail(err)
 }
 
-// Read waits until there is something to read.
+// Read waits until there is data to read, the connection ends or the read deadline expires.
 func (c *conn) Read(b []byte) (int, error) { return c.in.read(b) }
 
-// Write never waits: what is held is buffered without bound.
+// Write never blocks: the buffer of the connection, also for held data, is unlimited.
 func (c *conn) Write(b []byte) (int, error) { return c.out.write(b) }
 
-// Close ends the connection for both ends. The other end can still read what was written before.
+// Close closes the connection for both ends. The other end can still read the data that was written before.
 func (c *conn) Close() error {
 	c.out.close()
 	c.in.fail(net.ErrClosed)
@@ -55,31 +55,31 @@
 // RemoteAddr returns the address of the other end.
 func (c *conn) RemoteAddr() net.Addr { return address(c.remoteAddr) }
 
-// SetReadDeadline bounds how long reads wait.
+// SetReadDeadline sets the time after which reads fail instead of waiting for data.
 func (c *conn) SetReadDeadline(t time.Time) error { c.in.setDeadline(t); return nil }
 
-// SetWriteDeadline does nothing, since writes never wait.
+// SetWriteDeadline does nothing, since writes never block.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 
-// SetDeadline bounds how long reads wait.
+// SetDeadline sets the read deadline. Writes need none, since they never block.
 func (c *conn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
 // pipe is one direction of a connection.
 type pipe struct {
 	mu       sync.Mutex
-	buffer   []byte // what the reader may read
-	ended    bool   // the writer has closed, and the reader may know
-	held     bool   // what is written, and the end, are held back
+	buffer   []byte // data that is delivered to the reader
+	ended    bool   // the writer has closed the pipe, and that is delivered to the reader
+	held     bool   // data and the end of the data are held back from the reader
 	heldData []byte
 	heldEnd  bool
-	err      error     // fails reads and writes
-	deadline time.Time // of reads; zero: none
-	changed  chan struct{}
+	err      error         // the error of all reads and writes; nil: none
+	deadline time.Time     // of reads; zero: none
+	changed  chan struct{} // closed and replaced when a waiting read may be able to proceed
 }
 
 func newPipe() *pipe { return &pipe{changed: make(chan struct{})} }
 
-// notifyChanged wakes reads that wait. The caller holds the pipe's lock.
+// notifyChanged wakes the waiting reads. The caller holds the pipe's lock.
 func (p *pipe) notifyChanged() {
 	close(p.changed)
 	p.changed = make(chan struct{})
@@ -102,7 +102,7 @@
 	return len(b), nil
 }
 
-// close ends the pipe; the reader still reads what was written before.
+// close closes the pipe for writing. The reader can still read the data that was written before.
 func (p *pipe) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,7 +114,7 @@
 	p.notifyChanged()
 }
 
-// fail ends the pipe with an error at once. The first error stays.
+// fail makes all further reads and writes fail with an error. Only the first call has an effect.
 func (p *pipe) fail(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,7 +124,7 @@
 	}
 }
 
-// setHeld begins to hold back what is written, or delivers what was held.
+// setHeld sets whether data is held back from the reader. Setting it to false delivers the held data.
 func (p *pipe) setHeld(held bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,7 +144,7 @@
 	p.notifyChanged()
 }
 
-// read waits for data, the end, an error or the deadline.
+// read waits for data, the end of the data, an error or the read deadline.
 func (p *pipe) read(b []byte) (int, error) {
 	for {
 		n, changed, deadline, err := p.tryRead(b)
@@ -168,7 +168,8 @@
 	}
 }
 
-// tryRead reads what there is. If there is nothing yet, changed is closed when that may be otherwise.
+// tryRead reads the data that is available. If there is none yet, it returns the read deadline and a channel, changed,
+// that is closed when the caller should try again.
 func (p *pipe) tryRead(b []byte) (n int, changed chan struct{}, deadline time.Time, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fake/duplicator_test.go
+++ b/internal/fake/duplicator_test.go
@@ -10,20 +10,21 @@
 	"time"
 )
 
-// A request that was carried out comes again after the delay, with the same body.
+// TestDuplicator checks that a request that succeeded is repeated after the delay with the same body, and that other
+// requests are not repeated.
 func TestDuplicator(t *testing.T) {
 	const delay = 5 * time.Second
 	for _, c := range []struct {
-		name   string
-		method string
-		delay  time.Duration
-		status int
-		want   int // requests that come
+		name         string
+		method       string
+		delay        time.Duration
+		status       int
+		wantRequests int // requests that the handler gets
 	}{
-		{"carried out", http.MethodPost, delay, http.StatusOK, 2},
-		{"refused", http.MethodPost, delay, http.StatusServiceUnavailable, 1},
-		{"changes nothing", http.MethodGet, delay, http.StatusOK, 1},
-		{"no duplicates", http.MethodPost, 0, http.StatusOK, 1},
+		{"request succeeds", http.MethodPost, delay, http.StatusOK, 2},
+		{"request fails", http.MethodPost, delay, http.StatusServiceUnavailable, 1},
+		{"GET request", http.MethodGet, delay, http.StatusOK, 1},
+		{"duplicates disabled", http.MethodPost, 0, http.StatusOK, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -40,16 +41,16 @@
 				recorder := httptest.NewRecorder()
 				duplicator.ServeHTTP(recorder, httptest.NewRequest(c.method, "/", strings.NewReader("body")))
 				if recorder.Code != c.status || len(bodies) != 1 {
-					t.Errorf("status %d after %d requests", recorder.Code, len(bodies))
+					t.Errorf("status %d after %d requests, want %d after 1", recorder.Code, len(bodies), c.status)
 				}
 				time.Sleep(delay + time.Second)
 				synctest.Wait()
-				if got := len(bodies); got != c.want {
-					t.Errorf("%d requests, want %d", got, c.want)
+				if got := len(bodies); got != c.wantRequests {
+					t.Errorf("%d requests, want %d", got, c.wantRequests)
 				}
 				for range len(bodies) {
 					if body := <-bodies; body != "body" {
-						t.Errorf("a request has the body %q", body)
+						t.Errorf("request body %q, want %q", body, "body")
 					}
 				}
 			})
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -7,63 +7,65 @@
 	"saffronbend/wire"
 )
 
-// gangStep is how often a worker looks what the peers of its gang tasks do.
-const gangStep = 100 * time.Millisecond
+// gangPollInterval is the interval at which a worker polls the state of the peers of its gang tasks.
+const gangPollInterval = 100 * time.Millisecond
 
-// peerSilence is how long a task shows no sign of life before its peers notice: tasks on a machine that hangs show
-// none.
-const peerSilence = time.Second + gangStep
+// unresponsiveAfter is the time since a task's last poll after which its peers consider it unresponsive. Tasks on a
+// machine that hangs do not poll.
+const unresponsiveAfter = time.Second + gangPollInterval
 
-// GangRuntime is what the tasks of gangs know of one another: those of a job that have the same attempt find each
-// other, whatever machines they are on. Workers share it.
+// GangRuntime simulates the coordination between the tasks of a gang. The tasks of a job that have the same attempt
+// number find each other, regardless of the machines that they are on. All workers share one GangRuntime.
 type GangRuntime struct {
 	formTimeout, peerTimeout time.Duration
 
-	mu       sync.Mutex
-	attempts map[gangKey]*gangAttempt
-	saved    map[wire.JobID]time.Duration // progress by job
+	mu            sync.Mutex
+	attempts      map[gangKey]*gangAttempt
+	savedProgress map[wire.JobID]time.Duration // by job
 }
 
-// gangKey names an attempt of a gang.
+// gangKey identifies an attempt of a gang.
 type gangKey struct {
 	job     wire.JobID
 	attempt wire.AttemptID
 }
 
-// gangAttempt is one attempt of a gang.
+// gangAttempt is the state of one attempt of a gang.
 type gangAttempt struct {
-	members       map[int]*gangMember // tasks on machines, by index
-	startedAt     time.Time           // when the last task joined; zero: they wait
-	savedAtStart  time.Duration       // progress that it continues from
-	lostAt        time.Time           // since when a task is missing; zero: none is
-	stoppedAt     time.Time           // when the first task was commanded to stop; progress ends then
-	ended         wire.ExitReason     // completed, or stopped with a checkpoint; empty: neither
-	progressSaved bool                // its progress is settled
+	members          map[int]*gangMember // the tasks that are on machines, by index
+	startedAt        time.Time           // when the last task joined; zero: tasks wait for their peers
+	restoredProgress time.Duration       // saved progress that the attempt continues from
+	memberLostAt     time.Time           // when a task was first lost or unresponsive; zero: none was
+	stoppedAt        time.Time           // when the first task was commanded to stop, which ends progress; zero: none was
+	endReason        wire.ExitReason     // ExitCompleted, or ExitStopped after saving a checkpoint; empty: neither
+	progressRecorded bool                // the saved progress of the job is updated for this attempt
 }
 
 // gangMember is a task of a gang that is on a machine.
 type gangMember struct {
-	stopCommanded bool // with enough time to save a checkpoint
-	lastSeen      time.Time
+	stopCommanded bool      // the task was commanded to stop, with enough time to save a checkpoint
+	lastSeen      time.Time // when the task joined or last polled
 }
 
-// NewGangRuntime returns a runtime without gangs. Tasks wait for their peers for formTimeout; peerTimeout is how long
-// they wait for a peer that is lost or does not stop.
+// NewGangRuntime returns a runtime without gangs. Tasks wait for formTimeout until all of their peers have joined. Once
+// the first task is commanded to stop, they wait for peerTimeout until the gang has saved a checkpoint. They exit half
+// of peerTimeout after a peer is lost or unresponsive.
 func NewGangRuntime(formTimeout, peerTimeout time.Duration) *GangRuntime {
 	return &GangRuntime{formTimeout: formTimeout, peerTimeout: peerTimeout,
-		attempts: map[gangKey]*gangAttempt{}, saved: map[wire.JobID]time.Duration{}}
+		attempts: map[gangKey]*gangAttempt{}, savedProgress: map[wire.JobID]time.Duration{}}
 }
 
 // SavedProgress returns the progress that a job has saved.
 func (g *GangRuntime) SavedProgress(job wire.JobID) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.saved[job]
+	return g.savedProgress[job]
 }
 
+// keyOf returns the key of the attempt that a task belongs to.
 func keyOf(task *workerTask) gangKey { return gangKey{task.id.Job, task.attempt} }
 
-// join notes that a task is on its machine and waits for its peers.
+// join records that a task is on its machine and waits for its peers.
 func (g *GangRuntime) join(task *workerTask) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -75,11 +77,12 @@
 	}
 	attempt.members[task.id.Index] = &gangMember{lastSeen: time.Now()}
 	if len(attempt.members) == task.job.Tasks && attempt.startedAt.IsZero() {
-		attempt.startedAt, attempt.savedAtStart = time.Now(), g.saved[task.id.Job]
+		attempt.startedAt, attempt.restoredProgress = time.Now(), g.savedProgress[task.id.Job]
 	}
 }
 
-// leave notes that a task is gone from its machine. If its gang has started and not ended, its peers are short of it.
+// leave records that a task is no longer on its machine. If its attempt has started and not ended, its peers have lost
+// it.
 func (g *GangRuntime) leave(task *workerTask) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -88,27 +91,27 @@
 		return
 	}
 	delete(attempt.members, task.id.Index)
-	if !attempt.startedAt.IsZero() && attempt.ended == "" && attempt.lostAt.IsZero() {
-		g.lose(task.job, attempt, time.Now())
+	if !attempt.startedAt.IsZero() && attempt.endReason == "" && attempt.memberLostAt.IsZero() {
+		g.recordMemberLoss(task.job, attempt, time.Now())
 	}
 }
 
-// lose notes that an attempt is short of a task: its progress since the last checkpoint is lost. The caller holds the
-// lock.
-func (g *GangRuntime) lose(job wire.Job, attempt *gangAttempt, at time.Time) {
-	attempt.lostAt = at
-	if attempt.progressSaved {
+// recordMemberLoss records that an attempt has lost a task. The attempt's progress since the last periodic checkpoint
+// is lost. The caller holds the lock.
+func (g *GangRuntime) recordMemberLoss(job wire.Job, attempt *gangAttempt, lostAt time.Time) {
+	attempt.memberLostAt = lostAt
+	if attempt.progressRecorded {
 		return
 	}
-	attempt.progressSaved = true
-	until := at
+	attempt.progressRecorded = true
+	progressEnd := lostAt
 	if !attempt.stoppedAt.IsZero() {
-		until = attempt.stoppedAt
+		progressEnd = attempt.stoppedAt
 	}
-	g.saved[job.ID] = lastCheckpoint(job, attempt.savedAtStart+until.Sub(attempt.startedAt))
+	g.savedProgress[job.ID] = lastCheckpoint(job, attempt.restoredProgress+progressEnd.Sub(attempt.startedAt))
 }
 
-// lastCheckpoint returns what of a job's progress is in its last periodic checkpoint.
+// lastCheckpoint returns the part of a job's progress that its last periodic checkpoint contains.
 func lastCheckpoint(job wire.Job, progress time.Duration) time.Duration {
 	interval := seconds(job.CheckpointIntervalS)
 	if interval <= 0 {
@@ -117,7 +120,7 @@
 	return progress.Truncate(interval)
 }
 
-// stopCommanded notes that a task that runs is commanded to stop and has the time to save a checkpoint.
+// stopCommanded records that a running task is commanded to stop and has enough time to save a checkpoint.
 func (g *GangRuntime) stopCommanded(task *workerTask) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -128,16 +131,16 @@
 	}
 }
 
-// gangOutcome is what becomes of a task by what its peers do.
+// gangOutcome is the state that a task has to change to because of its peers.
 type gangOutcome struct {
-	runs       bool            // the gang has started
-	exitReason wire.ExitReason // empty: it does not exit
-	saved      bool            // it exits with a saved checkpoint
+	running         bool            // the gang has started to run
+	exitReason      wire.ExitReason // empty: the task does not exit
+	checkpointSaved bool            // the task exits after saving a checkpoint
 }
 
-// outcome returns what becomes of a task that has been on its machine since the given time. runTime is the length of
-// the job.
-func (g *GangRuntime) outcome(task *workerTask, since time.Time, runTime time.Duration) gangOutcome {
+// outcome records that a task polls, and returns the task's outcome. waitingSince is when the task began to wait for
+// its peers; runTime is how long the gang runs until it completes.
+func (g *GangRuntime) outcome(task *workerTask, waitingSince time.Time, runTime time.Duration) gangOutcome {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -145,41 +148,42 @@
 	member := attempt.members[task.id.Index]
 	member.lastSeen = now
 	if attempt.startedAt.IsZero() {
-		if now.Sub(since) >= g.formTimeout {
+		if now.Sub(waitingSince) >= g.formTimeout {
 			return gangOutcome{exitReason: wire.ExitGangTimeout}
 		}
 		return gangOutcome{}
 	}
-	if attempt.ended == "" && attempt.lostAt.IsZero() && attempt.hasSilentMember(now) {
-		g.lose(task.job, attempt, now)
+	if attempt.endReason == "" && attempt.memberLostAt.IsZero() && attempt.hasUnresponsiveMember(now) {
+		g.recordMemberLoss(task.job, attempt, now)
 	}
 	switch {
-	case attempt.ended == wire.ExitCompleted:
-		return gangOutcome{runs: true, exitReason: wire.ExitCompleted}
-	case attempt.ended == wire.ExitStopped && member.stopCommanded:
-		return gangOutcome{runs: true, exitReason: wire.ExitStopped, saved: true}
-	case !attempt.lostAt.IsZero() && now.Sub(attempt.lostAt) >= g.peerTimeout/2:
-		return gangOutcome{runs: true, exitReason: wire.ExitGangPeerGone}
+	case attempt.endReason == wire.ExitCompleted:
+		return gangOutcome{running: true, exitReason: wire.ExitCompleted}
+	case attempt.endReason == wire.ExitStopped && member.stopCommanded:
+		return gangOutcome{running: true, exitReason: wire.ExitStopped, checkpointSaved: true}
+	case !attempt.memberLostAt.IsZero() && now.Sub(attempt.memberLostAt) >= g.peerTimeout/2:
+		return gangOutcome{running: true, exitReason: wire.ExitGangPeerGone}
 	case !attempt.stoppedAt.IsZero():
 		return g.stoppingOutcome(task.job, attempt, now)
-	case attempt.lostAt.IsZero() && now.Sub(attempt.startedAt) >= runTime-attempt.savedAtStart:
-		attempt.ended = wire.ExitCompleted
-		return gangOutcome{runs: true, exitReason: wire.ExitCompleted}
+	case attempt.memberLostAt.IsZero() && now.Sub(attempt.startedAt) >= runTime-attempt.restoredProgress:
+		attempt.endReason = wire.ExitCompleted
+		return gangOutcome{running: true, exitReason: wire.ExitCompleted}
 	}
-	return gangOutcome{runs: true}
+	return gangOutcome{running: true}
 }
 
-// hasSilentMember reports whether a task shows no sign of life.
-func (a *gangAttempt) hasSilentMember(now time.Time) bool {
+// hasUnresponsiveMember reports whether a task has not polled for longer than unresponsiveAfter.
+func (a *gangAttempt) hasUnresponsiveMember(now time.Time) bool {
 	for _, member := range a.members {
-		if now.Sub(member.lastSeen) > peerSilence {
+		if now.Sub(member.lastSeen) > unresponsiveAfter {
 			return true
 		}
 	}
 	return false
 }
 
-// allStopCommanded reports whether all tasks of a job are on machines and have been commanded to stop.
+// allStopCommanded reports whether all tasks of the attempt, whose number is given, are on machines and have been
+// commanded to stop.
 func (a *gangAttempt) allStopCommanded(tasks int) bool {
 	if len(a.members) != tasks {
 		return false
@@ -192,18 +196,18 @@
 	return true
 }
 
-// stoppingOutcome returns what becomes of a task while its gang is commanded to stop: the gang saves a checkpoint
-// once all of its tasks are. The caller holds the lock.
+// stoppingOutcome returns the outcome of a task after the first task of its attempt was commanded to stop. The gang
+// saves a checkpoint once all of its tasks are commanded to stop. The caller holds the lock.
 func (g *GangRuntime) stoppingOutcome(job wire.Job, attempt *gangAttempt, now time.Time) gangOutcome {
 	stopping := now.Sub(attempt.stoppedAt)
-	if attempt.allStopCommanded(job.Tasks) && attempt.lostAt.IsZero() && stopping >= seconds(job.CheckpointSaveS) {
-		attempt.ended, attempt.progressSaved = wire.ExitStopped, true
-		g.saved[job.ID] = attempt.savedAtStart + attempt.stoppedAt.Sub(attempt.startedAt)
-		return gangOutcome{runs: true, exitReason: wire.ExitStopped, saved: true}
+	if attempt.allStopCommanded(job.Tasks) && attempt.memberLostAt.IsZero() && stopping >= seconds(job.CheckpointSaveS) {
+		attempt.endReason, attempt.progressRecorded = wire.ExitStopped, true
+		g.savedProgress[job.ID] = attempt.restoredProgress + attempt.stoppedAt.Sub(attempt.startedAt)
+		return gangOutcome{running: true, exitReason: wire.ExitStopped, checkpointSaved: true}
 	}
 	if stopping >= g.peerTimeout {
-		g.lose(job, attempt, now.Add(-g.peerTimeout))
-		return gangOutcome{runs: true, exitReason: wire.ExitGangPeerGone}
+		g.recordMemberLoss(job, attempt, now.Add(-g.peerTimeout))
+		return gangOutcome{running: true, exitReason: wire.ExitGangPeerGone}
 	}
-	return gangOutcome{runs: true}
+	return gangOutcome{running: true}
 }
--- a/internal/fake/host.go
+++ b/internal/fake/host.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// dialTimeout bounds how long a connection may take to be made.
+	// dialTimeout is the longest time that opening a connection may take.
 	dialTimeout = 1500 * time.Millisecond
-	// listenBacklog is how many connections wait to be accepted; further ones are refused.
+	// listenBacklog is how many connections may wait to be accepted; further ones are refused.
 	listenBacklog = 512
 )
 
-// Host is a machine for as long as it lives. Another may take its address then.
+// Host is a host on a network, from its start until it is killed or removed. Then another host can get its IP address.
 type Host struct {
 	net *Network
 	ip  string
-	// The network's lock guards what follows.
+	// The network's lock guards the fields below.
 	dead      bool
 	listeners map[string]*listener // by address with port
 	conns     map[*conn]bool
-	sockets   *sockets // on a loopback network; nil otherwise
+	sockets   *sockets // nil unless the network is a loopback network
 }
 
-// Kill ends a host at once: its connections are reset, and new ones to it are refused.
+// Kill terminates a host abruptly: its connections are reset, and new connections to it are refused.
 func (h *Host) Kill() {
 	if h.sockets != nil {
 		h.sockets.kill()
@@ -39,11 +39,11 @@
 		c.fail(syscall.ECONNRESET)
 	}
 	for _, l := range h.listeners {
-		l.shut()
+		l.stopAccepting()
 	}
 }
 
-// Listen opens a listener at an address of the host, with port.
+// Listen opens a listener at an address, HOST:PORT, of the host.
 func (h *Host) Listen(addr string) (net.Listener, error) {
 	if h.sockets != nil {
 		return h.sockets.listen(addr)
@@ -61,8 +61,8 @@
 	return l, nil
 }
 
-// Dial opens a connection from the host. It waits while packets to the address are held or lost, for dialTimeout at
-// most; a dial that has failed does not lead to a connection later.
+// Dial opens a connection from the host. While packets to the address are held or lost, it waits, but no longer than
+// dialTimeout. A dial that has timed out does not open a connection later.
 func (h *Host) Dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	if h.sockets != nil {
 		return h.sockets.dial(ctx, addr)
@@ -82,8 +82,8 @@
 	}
 }
 
-// tryDial opens a connection if that is possible now. It returns neither a connection nor an error if the packets
-// would be held or lost; changed is closed then when it should be tried again.
+// tryDial opens a connection if that is possible now. If packets would be held or lost, it returns neither a connection
+// nor an error but a channel, changed, that is closed when the caller should try again.
 func (h *Host) tryDial(addr string) (_ net.Conn, changed chan struct{}, _ error) {
 	n := h.net
 	n.mu.Lock()
@@ -96,7 +96,7 @@
 		return nil, nil, net.ErrClosed
 	}
 	remote := n.hosts[ip]
-	if remote == nil || n.holds(h.ip, ip, h.ip) {
+	if remote == nil || n.holdsPackets(h.ip, ip, h.ip) {
 		return nil, n.changed, nil
 	}
 	l := remote.listeners[addr]
@@ -110,7 +110,7 @@
 		return nil, nil, dialError(addr, syscall.ECONNREFUSED)
 	}
 	h.conns[near], remote.conns[far] = true, true
-	near.in.setHeld(n.holds(ip, h.ip, h.ip))
+	near.in.setHeld(n.holdsPackets(ip, h.ip, h.ip))
 	return near, nil, nil
 }
 
@@ -118,7 +118,7 @@
 	return &net.OpError{Op: "dial", Net: "tcp", Err: fmt.Errorf("%s: %w", addr, cause)}
 }
 
-// listener is a listener of a host in memory.
+// listener is a listener of a host on an in-memory network.
 type listener struct {
 	host    *Host
 	addr    string
@@ -127,7 +127,7 @@
 	closed  chan struct{}
 }
 
-// Accept waits for a connection, or until the listener is closed or its host has ended.
+// Accept waits for a connection. It fails once the listener is closed or its host is killed or removed.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.backlog:
@@ -137,12 +137,12 @@
 	}
 }
 
-// shut ends Accept; the listener's address stays taken.
-func (l *listener) shut() { l.once.Do(func() { close(l.closed) }) }
+// stopAccepting makes Accept fail. The listener's address stays in use.
+func (l *listener) stopAccepting() { l.once.Do(func() { close(l.closed) }) }
 
-// Close ends Accept and frees the address.
+// Close makes Accept fail and frees the listener's address.
 func (l *listener) Close() error {
-	l.shut()
+	l.stopAccepting()
 	l.host.net.mu.Lock()
 	defer l.host.net.mu.Unlock()
 	delete(l.host.listeners, l.addr)
@@ -152,10 +152,10 @@
 // Addr returns the address that the listener was opened at.
 func (l *listener) Addr() net.Addr { return address(l.addr) }
 
-// address is an address with port.
+// address is an address, HOST:PORT, as net.Addr.
 type address string
 
-// Network returns the name of the network, as that of a real connection.
+// Network returns the network name of TCP connections.
 func (a address) Network() string { return "tcp" }
 
 // String returns the address, HOST:PORT.
--- a/internal/fake/loopback.go
+++ b/internal/fake/loopback.go
@@ -11,17 +11,18 @@
 	"sync"
 )
 
-// Hosts have addresses 10.a.b.c, with a below hostNetworks. Each loopback network has a block of as many networks
-// 127.x.0.0/16 for them, of its own on this machine: tests may run in several processes at once.
+// Hosts have IP addresses 10.a.b.c, with a below hostNetworksPerBlock. Each loopback network has its own block of
+// hostNetworksPerBlock networks 127.x.0.0/16 that the hosts' addresses are mapped to. No two networks on this machine
+// share a block, since tests may run in several processes at the same time.
 const (
-	hostNetworks  = 4
-	firstBlock    = 4 // what lies below is often in use
-	loopbackSpace = 256
+	hostNetworksPerBlock = 4
+	firstBlock           = 4 // other programs often use addresses below 127.4.0.0
+	loopbackSecondBytes  = 256
 )
 
-// sockets are the real connections of a host on the loopback interface.
+// sockets are the listeners and connections of a host on the loopback interface.
 type sockets struct {
-	block int // the second byte of the addresses that stand for 10.0.b.c
+	block int // the second byte of the loopback addresses that 10.0.b.c is mapped to
 
 	mu        sync.Mutex
 	dead      bool
@@ -30,7 +31,7 @@
 }
 
 // NewLoopback returns a network whose hosts use real connections on this machine's loopback addresses. Hosts can be
-// killed; links can't be cut. Its addresses are its own until the process ends.
+// killed, but SetLink has no effect. The network's addresses are reserved until the process exits.
 func NewLoopback() (*Network, error) {
 	block, reservation, err := reserveBlock()
 	if err != nil {
@@ -41,15 +42,15 @@
 	return n, nil
 }
 
-// errNoBlock is the error when other processes use all the addresses.
-var errNoBlock = errors.New("no loopback addresses are free")
+// errNoBlock is returned if other networks have reserved all blocks.
+var errNoBlock = errors.New("no block of loopback addresses is free")
 
-// reserveBlock finds a block that no other network has, and listens on an address in it that no host has.
+// reserveBlock reserves a block that no other network has, by listening on an address in it that no host has.
 func reserveBlock() (block int, reservation net.Listener, err error) {
-	const blocks = (loopbackSpace - firstBlock) / hostNetworks
+	const blocks = (loopbackSecondBytes - firstBlock) / hostNetworksPerBlock
 	for i := range blocks {
-		// Processes begin at different blocks, as others may have used the first ones a moment ago.
-		block = firstBlock + (os.Getpid()+i)%blocks*hostNetworks
+		// Processes begin at different blocks, since another process may have used the first blocks until just now.
+		block = firstBlock + (os.Getpid()+i)%blocks*hostNetworksPerBlock
 		reservation, err = net.Listen("tcp", fmt.Sprintf("127.%d.255.254:2379", block))
 		if err == nil {
 			return block, reservation, nil
@@ -58,17 +59,17 @@
 	return 0, nil, fmt.Errorf("%w: %w", errNoBlock, err)
 }
 
-// IsLoopback reports whether the network's connections, and so its time, are real.
+// IsLoopback reports whether the network has real connections, which need a real clock instead of a virtual one.
 func (n *Network) IsLoopback() bool { return n.loopback }
 
 func newSockets(block int) *sockets {
 	return &sockets{block: block, listeners: map[net.Listener]bool{}, conns: map[net.Conn]bool{}}
 }
 
-// errNotHost is the error of an address that hosts don't have.
+// errNotHost is returned for an address that no host can have.
 var errNotHost = errors.New("not the address of a host")
 
-// address returns the loopback address that stands for one of the hosts' 10.a.b.c.
+// address maps a host's address 10.a.b.c:PORT to its loopback address.
 func (s *sockets) address(addr string) (string, error) {
 	const parts = 3 // 10, a, and the rest
 	fields := strings.SplitN(addr, ".", parts)
@@ -76,7 +77,7 @@
 		return "", fmt.Errorf("%s: %w", addr, errNotHost)
 	}
 	second, err := strconv.Atoi(fields[1])
-	if err != nil || second < 0 || second >= hostNetworks {
+	if err != nil || second < 0 || second >= hostNetworksPerBlock {
 		return "", fmt.Errorf("%s: %w", addr, errNotHost)
 	}
 	return fmt.Sprintf("127.%d.%s", s.block+second, fields[2]), nil
@@ -94,7 +95,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.dead {
-		_ = inner.Close() // the host is dead, whether closing fails or not
+		_ = inner.Close() // the host is dead, so an error does not matter
 		return nil, net.ErrClosed
 	}
 	s.listeners[inner] = true
@@ -114,19 +115,19 @@
 	return s.track(inner)
 }
 
-// track records a connection, so that it ends with the host.
+// track registers a connection, so that it is closed when the host is killed.
 func (s *sockets) track(inner net.Conn) (net.Conn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.dead {
-		_ = inner.Close() // the host is dead, whether closing fails or not
+		_ = inner.Close() // the host is dead, so an error does not matter
 		return nil, net.ErrClosed
 	}
 	s.conns[inner] = true
 	return &loopbackConn{inner, s}, nil
 }
 
-// kill ends all connections and listeners. Errors of closing them are ignored: they are of no use any more.
+// kill closes all connections and listeners. It ignores errors, since the connections and listeners are not used again.
 func (s *sockets) kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,13 +140,13 @@
 	}
 }
 
-// loopbackListener tracks the connections that it accepts.
+// loopbackListener is a listener that tracks the connections that it accepts.
 type loopbackListener struct {
 	net.Listener
 	host *sockets
 }
 
-// Accept waits for a connection.
+// Accept waits for a connection and tracks it.
 func (l *loopbackListener) Accept() (net.Conn, error) {
 	inner, err := l.Listener.Accept()
 	if err != nil {
@@ -154,13 +155,13 @@
 	return l.host.track(inner)
 }
 
-// loopbackConn is no longer tracked once it is closed.
+// loopbackConn is a connection that is tracked until it is closed.
 type loopbackConn struct {
 	net.Conn
 	host *sockets
 }
 
-// Close closes the connection.
+// Close closes the connection, which is no longer tracked.
 func (c *loopbackConn) Close() error {
 	c.host.mu.Lock()
 	delete(c.host.conns, c.Conn)
--- a/internal/fake/loopback_test.go
+++ b/internal/fake/loopback_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Two networks, as of tests in two processes, do not share addresses.
+// TestLoopbackNetworksAreDisjoint checks that two networks, such as those of tests in two processes, do not share
+// addresses.
 func TestLoopbackNetworksAreDisjoint(t *testing.T) {
 	const hosts = 2
 	var networks [hosts]*Network
--- a/internal/fake/network_test.go
+++ b/internal/fake/network_test.go
@@ -12,19 +12,19 @@
 
 const (
 	ipA, ipB = "10.0.0.1", "10.0.0.2"
-	// delivery is more than enough time for what is not held.
-	delivery = 10 * time.Millisecond
+	// deliveryTimeout is long enough for every packet that is not held to arrive.
+	deliveryTimeout = 10 * time.Millisecond
 )
 
-// TestLinkModes changes the link of two hosts, and holds against the mode what becomes of new connections and of
-// packets on one that was open.
+// TestLinkModes sets the mode of the link between two hosts, and checks for each mode in which directions connections
+// can be opened and packets are delivered on a connection that is already open.
 func TestLinkModes(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		mode          LinkMode
-		first, second string  // as SetLink is called with them
-		dials         [2]bool // from A to B, and from B to A
-		packets       [2]bool // on a connection that A has opened: from A to B, and from B to A
+		first, second string  // the arguments of SetLink
+		dials         [2]bool // whether a dial succeeds, from A to B and from B to A
+		packets       [2]bool // whether packets arrive on a connection that A has opened, from A to B and from B to A
 	}{
 		{"up", LinkUp, ipA, ipB, [2]bool{true, true}, [2]bool{true, true}},
 		{"held", LinkHeld, ipA, ipB, [2]bool{false, false}, [2]bool{false, false}},
@@ -40,10 +40,10 @@
 				near, far := connect(t, a, b, ipB)
 				network.SetLink(c.first, c.second, c.mode)
 				if reached := canDial(t, network, a, ipB); reached != c.dials[0] {
-					t.Errorf("dial from A: %v, want %v", reached, c.dials[0])
+					t.Errorf("dial from A succeeded: %v, want %v", reached, c.dials[0])
 				}
 				if reached := canDial(t, network, b, ipA); reached != c.dials[1] {
-					t.Errorf("dial from B: %v, want %v", reached, c.dials[1])
+					t.Errorf("dial from B succeeded: %v, want %v", reached, c.dials[1])
 				}
 				expectDelivery(t, network, near, far, c.packets[0])
 				network.SetLink(c.first, c.second, c.mode)
@@ -53,19 +53,19 @@
 	}
 }
 
-// expectDelivery sends a packet from one end of a connection to the other, and fails the test unless it arrives as it
-// should: at once, or else when the link is up again.
-func expectDelivery(t *testing.T, network *Network, sender, receiver net.Conn, atOnce bool) {
+// expectDelivery sends a packet from one end of a connection to the other. It fails the test unless the packet arrives
+// immediately or, if immediate is false, only after the link is up again. It leaves the link up.
+func expectDelivery(t *testing.T, network *Network, sender, receiver net.Conn, immediate bool) {
 	t.Helper()
 	if _, err := sender.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	if arrived := readable(receiver); arrived != atOnce {
-		t.Errorf("a packet from %s arrives at once: %v, want %v", sender.LocalAddr(), arrived, atOnce)
+	if arrived := readable(receiver); arrived != immediate {
+		t.Errorf("packet from %s delivered immediately: %v, want %v", sender.LocalAddr(), arrived, immediate)
 	}
 	network.SetLink(ipA, ipB, LinkUp)
-	if !atOnce && !readable(receiver) {
-		t.Errorf("the held packet from %s is not delivered when the link is up again", sender.LocalAddr())
+	if !immediate && !readable(receiver) {
+		t.Errorf("held packet from %s not delivered after the link is up again", sender.LocalAddr())
 	}
 }
 
@@ -90,7 +90,8 @@
 	return near, far
 }
 
-// canDial reports whether a host can open a connection to an address, on which another host listens for the time.
+// canDial reports whether a host can open a connection to an IP address, where it has another host listen meanwhile. It
+// fails the test if a failed dial does not take dialTimeout.
 func canDial(t *testing.T, network *Network, from *Host, ip string) bool {
 	t.Helper()
 	listener, err := network.hosts[ip].Listen(ip + ":81")
@@ -102,7 +103,7 @@
 	conn, err := from.Dial(t.Context(), "tcp", ip+":81")
 	if err != nil {
 		if waited := time.Since(start); waited != dialTimeout {
-			t.Errorf("a dial failed after %v, want %v: %v", waited, dialTimeout, err)
+			t.Errorf("dial failed after %v, want %v: %v", waited, dialTimeout, err)
 		}
 		return false
 	}
@@ -110,9 +111,9 @@
 	return true
 }
 
-// readable reports whether a byte can be read.
+// readable reports whether a byte can be read from a connection within deliveryTimeout.
 func readable(conn net.Conn) bool {
-	_ = conn.SetReadDeadline(time.Now().Add(delivery)) // it never fails
+	_ = conn.SetReadDeadline(time.Now().Add(deliveryTimeout)) // never fails on a connection in memory
 	_, err := io.ReadFull(conn, make([]byte, 1))
 	return err == nil
 }
@@ -137,12 +138,13 @@
 	})
 }
 
-// A host that is killed resets its connections and refuses new ones; one that is removed is silent.
-func TestEndOfHost(t *testing.T) {
+// TestHostTermination checks that a killed host resets its connections and refuses new ones, whereas reads from a
+// removed host and connections to it time out.
+func TestHostTermination(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		end    func(network *Network, host *Host)
-		silent bool
+		name     string
+		end      func(network *Network, host *Host)
+		timesOut bool
 	}{
 		{"killed", func(_ *Network, host *Host) { host.Kill() }, false},
 		{"replaced", func(network *Network, _ *Host) { network.StartHost(ipB) }, false},
@@ -154,17 +156,17 @@
 				a, b := network.StartHost(ipA), network.StartHost(ipB)
 				near, _ := connect(t, a, b, ipB)
 				c.end(network, b)
-				_ = near.SetReadDeadline(time.Now().Add(time.Second)) // it never fails
+				_ = near.SetReadDeadline(time.Now().Add(time.Second)) // never fails on a connection in memory
 				_, readErr := near.Read(make([]byte, 1))
-				if reset := errors.Is(readErr, syscall.ECONNRESET); reset == c.silent {
-					t.Errorf("read: %v", readErr)
+				if reset := errors.Is(readErr, syscall.ECONNRESET); reset == c.timesOut {
+					t.Errorf("read error %v, want a reset connection: %v", readErr, !c.timesOut)
 				}
 				_, dialErr := a.Dial(t.Context(), "tcp", ipB+":80")
-				if refused := errors.Is(dialErr, syscall.ECONNREFUSED); dialErr == nil || refused == c.silent {
-					t.Errorf("dial: %v", dialErr)
+				if refused := errors.Is(dialErr, syscall.ECONNREFUSED); dialErr == nil || refused == c.timesOut {
+					t.Errorf("dial error %v, want a refused connection: %v", dialErr, !c.timesOut)
 				}
 				if _, err := b.Listen(ipB + ":80"); !errors.Is(err, net.ErrClosed) {
-					t.Errorf("listen on a host that has ended: %v", err)
+					t.Errorf("listen on a terminated host: %v, want %v", err, net.ErrClosed)
 				}
 			})
 		})
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -11,8 +11,8 @@
 	"saffronbend/wire"
 )
 
-// Store is a consensus-backed key-value store that never loses anything. It serves the protocol (ServeHTTP); its
-// faults are in store_faults.go.
+// Store is a fake of the consensus-backed key-value store. It never loses an applied transaction. It serves the store's
+// part of the protocol (ServeHTTP); the methods that inject faults are in store_faults.go.
 type Store struct {
 	mu        sync.Mutex
 	entries   map[string]wire.KeyValue // by key
@@ -20,30 +20,31 @@
 	events    []wire.WatchEvent // all changes, in order
 	leases    map[uint64]*storeLease
 	lastLease uint64
-	changed   chan struct{} // closed and replaced when watches have something to look at
+	changed   chan struct{} // closed and replaced when waiting watches have to check for events
 	faults    storeFaults
 
-	limits          StoreLimits
-	writeTokens     float64 // changes that may be made at once
-	tokensUpdatedAt time.Time
-	rejected        int // transactions that were too large
+	limits           StoreLimits
+	writeTokens      float64 // changes that are allowed now, by WriteRPS
+	tokensUpdatedAt  time.Time
+	rejectedTooLarge int // transactions that were rejected because they were too large
 }
 
-// storeLease is a lease that has not expired.
+// storeLease is a lease that has been granted and has not expired.
 type storeLease struct {
 	ttl    time.Duration
 	expiry *time.Timer
 }
 
-// StoreLimits bounds transactions; what is 0 has no bound.
+// StoreLimits are the limits of transactions. A limit of 0 means no limit.
 type StoreLimits struct {
-	// ValueBytes bounds each value, Operations the changes of a transaction.
+	// ValueBytes limits the size of each value, Operations the number of changes in a transaction.
 	ValueBytes, Operations int
-	// WriteRPS bounds the changes per second, with bursts of one second's worth.
+	// WriteRPS limits the changes per second. Bursts may have as many changes as one second allows.
 	WriteRPS float64
 }
 
-// conditionsPerOperation is how many conditions a transaction may have for each change that it may make.
+// conditionsPerOperation is how many conditions a transaction may have for each change that StoreLimits.Operations
+// allows.
 const conditionsPerOperation = 4
 
 // NewStore returns an empty store.
@@ -56,28 +57,29 @@
 	}
 }
 
-// SetLimits sets the limits. What is stored stays as it is.
+// SetLimits sets the limits of further transactions. It does not affect stored entries.
 func (s *Store) SetLimits(limits StoreLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits, s.writeTokens, s.tokensUpdatedAt = limits, limits.WriteRPS, time.Now()
 }
 
-// RejectedTooLarge returns how many transactions were refused because they were too large.
+// RejectedTooLarge returns how many transactions were rejected because they were too large.
 func (s *Store) RejectedTooLarge() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rejected
+	return s.rejectedTooLarge
 }
 
-// Put stores what an earlier process has left, in one transaction without limits.
+// Put applies changes in one transaction, regardless of the limits. Tests use it for entries that earlier processes
+// have stored.
 func (s *Store) Put(changes []wire.Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.apply(wire.Transaction{Then: changes})
 }
 
-// Get returns a key's entry, or false if there is none.
+// Get returns the entry of a key, or false if there is none.
 func (s *Store) Get(key string) (wire.KeyValue, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +87,7 @@
 	return entry, ok
 }
 
-// CountKeys returns how many keys have a prefix.
+// CountKeys returns the number of keys with a prefix.
 func (s *Store) CountKeys(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,8 +100,8 @@
 	return count
 }
 
-// apply carries out a transaction if its conditions hold, and returns the status and the body of the response. The
-// caller holds the lock.
+// apply applies a transaction if its conditions hold, and returns the status and the body of the response. The caller
+// holds the lock.
 func (s *Store) apply(transaction wire.Transaction) (status int, body any) {
 	for _, change := range transaction.Then {
 		if change.Lease != 0 && s.leases[change.Lease] == nil {
@@ -120,15 +122,15 @@
 		s.revision++
 	}
 	for _, change := range transaction.Then {
-		s.change(change)
+		s.applyChange(change)
 	}
 	s.notifyChanged()
 	result.Revision = s.revision
 	return http.StatusOK, result
 }
 
-// change makes one change at the current revision. The caller holds the lock.
-func (s *Store) change(change wire.Change) {
+// applyChange applies one change at the current revision. The caller holds the lock.
+func (s *Store) applyChange(change wire.Change) {
 	if change.Delete != "" {
 		s.remove(change.Delete)
 		return
@@ -137,7 +139,7 @@
 	s.events = append(s.events, wire.WatchEvent{Put: change.Put, Value: change.Value, Version: s.revision})
 }
 
-// remove deletes a key at the current revision, if there is one. The caller holds the lock.
+// remove deletes a key at the current revision, if the key exists. The caller holds the lock.
 func (s *Store) remove(key string) {
 	if _, ok := s.entries[key]; ok {
 		delete(s.entries, key)
@@ -145,17 +147,18 @@
 	}
 }
 
-// refusal returns the status by which a transaction beyond the limits is refused, 0 if it is within them and counted.
-// The caller holds the lock.
-func (s *Store) refusal(transaction wire.Transaction) int {
+// checkLimits returns the status with which a transaction that exceeds the limits is rejected. If the transaction is
+// within the limits, it counts the transaction's changes against the write rate and returns 0. The caller holds the
+// lock.
+func (s *Store) checkLimits(transaction wire.Transaction) int {
 	limits := s.limits
-	large := slices.ContainsFunc(transaction.Then, func(change wire.Change) bool {
+	tooLarge := slices.ContainsFunc(transaction.Then, func(change wire.Change) bool {
 		return limits.ValueBytes > 0 && len(change.Value) > limits.ValueBytes
 	})
-	long := limits.Operations > 0 && (len(transaction.Then) > limits.Operations ||
+	tooManyOperations := limits.Operations > 0 && (len(transaction.Then) > limits.Operations ||
 		len(transaction.If) > conditionsPerOperation*limits.Operations)
-	if large || long {
-		s.rejected++
+	if tooLarge || tooManyOperations {
+		s.rejectedTooLarge++
 		return http.StatusBadRequest
 	}
 	if limits.WriteRPS > 0 && !s.takeWriteTokens(float64(len(transaction.Then))) {
@@ -164,7 +167,8 @@
 	return 0
 }
 
-// takeWriteTokens reports whether so many changes may be made now, and counts them if so. The caller holds the lock.
+// takeWriteTokens reports whether the write rate allows the given number of changes now, and counts them if so. The
+// caller holds the lock.
 func (s *Store) takeWriteTokens(changes float64) bool {
 	now := time.Now()
 	rate := s.limits.WriteRPS
@@ -185,7 +189,8 @@
 	return id
 }
 
-// expireLease deletes a lease and its keys, except during an outage, after which each lease has its full time again.
+// expireLease deletes a lease and its keys. It does nothing during an outage, since each lease is renewed when the
+// outage ends.
 func (s *Store) expireLease(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,7 +207,7 @@
 	s.notifyChanged()
 }
 
-// notifyChanged wakes the watches. The caller holds the lock.
+// notifyChanged wakes the waiting watches. The caller holds the lock.
 func (s *Store) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -8,24 +8,24 @@
 	"saffronbend/wire"
 )
 
-// storeFaults are the faults that are injected into a store. The store's lock guards them.
+// storeFaults are the faults that are injected into a store. The store's lock guards its fields.
 type storeFaults struct {
-	outage       bool
-	refusedHosts map[string]bool
-	delayed      transactionFault // applied late, their responses lost
-	delay        time.Duration
-	unanswered   transactionFault // applied, their responses lost
-	watchDelay   time.Duration
+	outage              bool
+	refusedHosts        map[string]bool  // by IP address
+	delayedTransactions transactionFault // are applied after transactionDelay, without a response
+	transactionDelay    time.Duration
+	lostResponses       transactionFault // are applied immediately, without a response
+	watchDelay          time.Duration    // of the responses to watches
 }
 
-// transactionFault is a fault of the next transactions that change a key with a prefix.
+// transactionFault selects the transactions that a fault affects: the next ones that change a key with a prefix.
 type transactionFault struct {
 	prefix    string
-	remaining int
+	remaining int // how many further transactions are affected
 }
 
-// takes reports whether the fault is about a transaction, and counts it if so.
-func (f *transactionFault) takes(transaction wire.Transaction) bool {
+// consume reports whether the fault affects a transaction, and counts the transaction if so.
+func (f *transactionFault) consume(transaction wire.Transaction) bool {
 	changesPrefix := func(change wire.Change) bool {
 		return strings.HasPrefix(change.Put, f.prefix) || strings.HasPrefix(change.Delete, f.prefix)
 	}
@@ -36,7 +36,7 @@
 	return true
 }
 
-// SetOutage begins or ends an outage. After one, every lease has its full time again.
+// SetOutage begins or ends an outage. When an outage ends, every lease is renewed.
 func (s *Store) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,14 +51,14 @@
 	s.notifyChanged()
 }
 
-// SetWatchDelay sets by how much the responses of watches are late.
+// SetWatchDelay sets the delay of the responses to watches.
 func (s *Store) SetWatchDelay(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.watchDelay = delay
 }
 
-// RefuseHost begins or ends refusing the requests of one host, as in an outage.
+// RefuseHost begins or ends an outage for the requests of one host. It does not affect leases.
 func (s *Store) RefuseHost(ip string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,22 +66,23 @@
 	s.notifyChanged()
 }
 
-// DelayTransactions delays the next transactions that change a key with the prefix: each is applied after the given
-// time, if its conditions hold then, and its response is lost.
+// DelayTransactions delays the given number of the next transactions that change a key with the prefix. Each of them is
+// applied after the delay, if its conditions hold then, and its response is lost.
 func (s *Store) DelayTransactions(prefix string, after time.Duration, times int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults.delayed, s.faults.delay = transactionFault{prefix: prefix, remaining: times}, after
+	s.faults.delayedTransactions, s.faults.transactionDelay = transactionFault{prefix: prefix, remaining: times}, after
 }
 
-// LoseResponses loses the responses to the next transactions that change a key with the prefix; they are applied.
+// LoseResponses loses the responses to the given number of the next transactions that change a key with the prefix. The
+// transactions are applied.
 func (s *Store) LoseResponses(prefix string, times int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults.unanswered = transactionFault{prefix: prefix, remaining: times}
+	s.faults.lostResponses = transactionFault{prefix: prefix, remaining: times}
 }
 
-// unavailable reports whether requests of a host are refused now.
+// unavailable reports whether the requests of a host are refused now, by an outage or by RefuseHost.
 func (s *Store) unavailable(ip string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/store_http.go
+++ b/internal/fake/store_http.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// maxStorePage is the greatest number of entries in a page, and the number if none is asked for.
+	// maxStorePage is the maximum number of entries in a page. It is also the default.
 	maxStorePage = 1000
-	// minLeaseTTLMillis is the shortest time to live of a lease.
+	// minLeaseTTLMillis is the minimum time to live of a lease, in milliseconds.
 	minLeaseTTLMillis = 100
 )
 
-// Texts of errors that more than one request is answered with.
+// Error texts that are used in the responses to several kinds of requests.
 const (
 	messageMalformed = "malformed"
 	messageNoLease   = "no such lease"
@@ -28,7 +28,8 @@
 
 // ServeHTTP serves the store's part of the protocol.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// In memory as on loopback, a remote address has a port; without one, no host is refused by itself.
+	// The remote address has a port, on in-memory and on loopback networks. Otherwise, the IP address would be empty and
+	// match no host that is refused.
 	ip, _, _ := net.SplitHostPort(r.RemoteAddr)
 	if s.unavailable(ip) {
 		writeJSON(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "outage"})
@@ -90,26 +91,26 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.faults.delayed.takes(transaction) {
-		time.AfterFunc(s.faults.delay, func() {
+	if s.faults.delayedTransactions.consume(transaction) {
+		time.AfterFunc(s.faults.transactionDelay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.apply(transaction)
 		})
-		panic(http.ErrAbortHandler) // the response is lost
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
-	if status := s.refusal(transaction); status != 0 {
+	if status := s.checkLimits(transaction); status != 0 {
 		writeJSON(w, status, wire.ErrorResponse{Error: "beyond the limits"})
 		return
 	}
 	status, body := s.apply(transaction)
-	if s.faults.unanswered.takes(transaction) {
-		panic(http.ErrAbortHandler) // the response is lost
+	if s.faults.lostResponses.consume(transaction) {
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
 	writeJSON(w, status, body)
 }
 
-// serveLeases grants a lease, or renews the one that the path names.
+// serveLeases grants a lease or, if the path has the ID of a lease, renews it.
 func (s *Store) serveLeases(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,10 +135,10 @@
 	writeJSON(w, http.StatusOK, wire.StoreLease{ID: id})
 }
 
-// serveWatch waits for events, for as long as the request asks. During an outage an open watch stays open.
+// serveWatch waits for events, for as long as the request asks for. During an outage, an open watch stays open.
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request, ip string) {
 	query := r.URL.Query()
-	// What is missing or malformed counts as 0: all events, without waiting.
+	// Missing and malformed parameters count as 0, which asks for all events without waiting.
 	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
 	blockMillis, _ := strconv.Atoi(query.Get("block_ms"))
 	timeout := time.NewTimer(time.Duration(blockMillis) * time.Millisecond)
@@ -159,8 +160,8 @@
 	}
 }
 
-// eventsSince returns the events after a revision of keys with a prefix, a channel that is closed when there may be
-// more, and how late the response must be.
+// eventsSince returns the events after a revision whose keys have a prefix, a channel that is closed when there may be
+// more events, and the delay that the response is to be sent with.
 func (s *Store) eventsSince(prefix string, from uint64) (
 	response wire.WatchResponse, changed chan struct{}, delay time.Duration,
 ) {
@@ -175,7 +176,7 @@
 	return response, s.changed, s.faults.watchDelay
 }
 
-// writeJSON writes a response. Errors are ignored: they mean that the client has gone.
+// writeJSON writes a response. It ignores errors, since they mean that the client has disconnected.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/internal/fake/store_test.go
+++ b/internal/fake/store_test.go
@@ -13,9 +13,9 @@
 	"saffronbend/wire"
 )
 
-// request sends a request to a handler and returns the status. It decodes the response into result if that is not
-// nil. A response that is lost has the status 0.
-func request(t *testing.T, handler http.Handler, method, path string, body, result any) (status int) {
+// sendRequest sends a request to a handler and returns the status, or 0 if the handler aborts without a response. It
+// decodes the response into result if that is not nil.
+func sendRequest(t *testing.T, handler http.Handler, method, path string, body, result any) (status int) {
 	t.Helper()
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 	defer func() {
 		if recovered := recover(); recovered != nil {
-			if recovered != http.ErrAbortHandler { //nolint:errorlint // what a handler panics with is not wrapped
+			if recovered != http.ErrAbortHandler { //nolint:errorlint // handlers panic with the unwrapped error
 				panic(recovered)
 			}
 			status = 0
@@ -39,8 +39,8 @@
 	return recorder.Code
 }
 
-// put returns a transaction that stores a value under keys.
-func put(keys ...string) wire.Transaction {
+// putTransaction returns an unconditional transaction that stores a value under each of the keys.
+func putTransaction(keys ...string) wire.Transaction {
 	var transaction wire.Transaction
 	for _, key := range keys {
 		transaction.Then = append(transaction.Then, wire.Change{Put: key, Value: json.RawMessage(`"value"`)})
@@ -50,27 +50,28 @@
 
 func transact(t *testing.T, store *Store, transaction wire.Transaction) int {
 	t.Helper()
-	return request(t, store, http.MethodPost, "/txn", transaction, nil)
+	return sendRequest(t, store, http.MethodPost, "/txn", transaction, nil)
 }
 
-// A transaction is applied if the versions of all keys are those of its conditions.
+// TestStoreConditions checks that a transaction is applied only if the keys have the versions that its conditions
+// require.
 func TestStoreConditions(t *testing.T) {
 	store := NewStore()
-	conditional := put("a")
+	conditional := putTransaction("a")
 	conditional.If = []wire.Condition{{Key: "a", Version: 0}}
 	if status := transact(t, store, conditional); status != http.StatusOK {
-		t.Errorf("first: %d", status)
+		t.Errorf("first transaction: status %d", status)
 	}
 	var result wire.TransactionResult
-	if status := request(t, store, http.MethodPost, "/txn", conditional, &result); status != http.StatusConflict {
-		t.Errorf("second: %d", status)
+	if status := sendRequest(t, store, http.MethodPost, "/txn", conditional, &result); status != http.StatusConflict {
+		t.Errorf("second transaction with the same condition: status %d, want %d", status, http.StatusConflict)
 	}
 	if len(result.FailedKeys) != 1 || result.FailedKeys[0] != "a" || result.Revision != 1 {
-		t.Errorf("second: %+v", result)
+		t.Errorf("second transaction: %+v, want failed key a at revision 1", result)
 	}
 	conditional.If[0].Version = 1
 	if status := transact(t, store, conditional); status != http.StatusOK {
-		t.Errorf("with the version: %d", status)
+		t.Errorf("transaction with the current version: status %d", status)
 	}
 }
 
@@ -82,15 +83,15 @@
 		want        int
 		tooLarge    int
 	}{
-		{"no limits", StoreLimits{}, put("a", "b"), http.StatusOK, 0},
-		{"value too long", StoreLimits{ValueBytes: 6}, put("a"), http.StatusBadRequest, 1},
-		{"value not too long", StoreLimits{ValueBytes: 7}, put("a"), http.StatusOK, 0},
-		{"too many changes", StoreLimits{Operations: 1}, put("a", "b"), http.StatusBadRequest, 1},
+		{"no limits", StoreLimits{}, putTransaction("a", "b"), http.StatusOK, 0},
+		{"value too large", StoreLimits{ValueBytes: 6}, putTransaction("a"), http.StatusBadRequest, 1},
+		{"largest value", StoreLimits{ValueBytes: 7}, putTransaction("a"), http.StatusOK, 0},
+		{"too many changes", StoreLimits{Operations: 1}, putTransaction("a", "b"), http.StatusBadRequest, 1},
 		{"too many conditions", StoreLimits{Operations: 1}, wire.Transaction{If: make([]wire.Condition, 5)},
 			http.StatusBadRequest, 1},
-		{"not too many conditions", StoreLimits{Operations: 1}, wire.Transaction{If: make([]wire.Condition, 4)},
+		{"most conditions", StoreLimits{Operations: 1}, wire.Transaction{If: make([]wire.Condition, 4)},
 			http.StatusOK, 0},
-		{"too many changes at once", StoreLimits{WriteRPS: 1}, put("a", "b"), http.StatusTooManyRequests, 0},
+		{"write rate exceeded", StoreLimits{WriteRPS: 1}, putTransaction("a", "b"), http.StatusTooManyRequests, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			store := NewStore()
@@ -105,14 +106,15 @@
 	}
 }
 
-// The limit of changes per second allows a burst of one second's worth, and as many again a second later.
+// TestStoreWriteRate checks that the limit of changes per second allows a burst of as many changes as one second
+// allows, and as many again a second later.
 func TestStoreWriteRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
 		store.SetLimits(StoreLimits{WriteRPS: 2})
 		for second := range 3 {
 			for i, want := range []int{http.StatusOK, http.StatusOK, http.StatusTooManyRequests} {
-				if status := transact(t, store, put("a")); status != want {
+				if status := transact(t, store, putTransaction("a")); status != want {
 					t.Errorf("second %d, change %d: status %d, want %d", second, i, status, want)
 				}
 			}
@@ -124,9 +126,9 @@
 func TestStoreLease(t *testing.T) {
 	const ttl = 10 * time.Second
 	for _, c := range []struct {
-		name string
-		play func(t *testing.T, store *Store, renew func() int)
-		kept bool
+		name     string
+		run      func(t *testing.T, store *Store, renew func() int)
+		wantKept bool
 	}{
 		{"not renewed", func(*testing.T, *Store, func() int) {
 			time.Sleep(ttl + time.Second)
@@ -135,7 +137,7 @@
 			t.Helper()
 			time.Sleep(ttl - time.Second)
 			if status := renew(); status != http.StatusOK {
-				t.Errorf("renewal: %d", status)
+				t.Errorf("renewal: status %d", status)
 			}
 			time.Sleep(ttl - time.Second)
 		}, true},
@@ -143,15 +145,15 @@
 			t.Helper()
 			time.Sleep(ttl + time.Second)
 			if status := renew(); status != http.StatusNotFound {
-				t.Errorf("renewal: %d", status)
+				t.Errorf("renewal after the expiry: status %d, want %d", status, http.StatusNotFound)
 			}
 		}, false},
-		{"not renewed during an outage, nor right after it", func(t *testing.T, store *Store, renew func() int) {
+		{"not renewed since before an outage that has just ended", func(t *testing.T, store *Store, renew func() int) {
 			t.Helper()
 			store.SetOutage(true)
 			time.Sleep(2 * ttl)
 			if status := renew(); status != http.StatusServiceUnavailable {
-				t.Errorf("renewal during the outage: %d", status)
+				t.Errorf("renewal during the outage: status %d, want %d", status, http.StatusServiceUnavailable)
 			}
 			store.SetOutage(false)
 			time.Sleep(ttl - time.Second)
@@ -162,31 +164,32 @@
 				store := NewStore()
 				var lease wire.StoreLease
 				grant := wire.StoreLeaseRequest{TTLMillis: ttl.Milliseconds()}
-				if status := request(t, store, http.MethodPost, "/grants", grant, &lease); status != http.StatusOK {
-					t.Fatalf("grant: %d", status)
+				if status := sendRequest(t, store, http.MethodPost, "/grants", grant, &lease); status != http.StatusOK {
+					t.Fatalf("grant: status %d", status)
 				}
-				transaction := put("a")
+				transaction := putTransaction("a")
 				transaction.Then[0].Lease = lease.ID
 				transact(t, store, transaction)
-				c.play(t, store, func() int {
-					return request(t, store, http.MethodPost, fmt.Sprintf("/grants/%d", lease.ID), nil, nil)
+				c.run(t, store, func() int {
+					return sendRequest(t, store, http.MethodPost, fmt.Sprintf("/grants/%d", lease.ID), nil, nil)
 				})
-				if _, retained := store.Get("a"); retained != c.kept {
-					t.Errorf("the key is there: %v, want %v", retained, c.kept)
+				if _, retained := store.Get("a"); retained != c.wantKept {
+					t.Errorf("the lease's key exists: %v, want %v", retained, c.wantKept)
 				}
 			})
 		})
 	}
 }
 
-// A transaction that is delayed or whose response is lost is applied without a response; the faults end with their
-// number.
+// TestStoreTransactionFaults checks that a delayed transaction and one whose response is lost are applied without a
+// response, that transactions on other keys are not affected, and that a fault ends after the given number of
+// transactions.
 func TestStoreTransactionFaults(t *testing.T) {
 	const delay = 3 * time.Second
 	for _, c := range []struct {
-		name          string
-		inject        func(store *Store)
-		appliedAtOnce bool
+		name               string
+		inject             func(store *Store)
+		appliedImmediately bool
 	}{
 		{"delayed", func(store *Store) { store.DelayTransactions("a", delay, 1) }, false},
 		{"response lost", func(store *Store) { store.LoseResponses("a", 1) }, true},
@@ -195,54 +198,55 @@
 			synctest.Test(t, func(t *testing.T) {
 				store := NewStore()
 				c.inject(store)
-				if status := transact(t, store, put("b")); status != http.StatusOK {
-					t.Errorf("another prefix: %d", status)
+				if status := transact(t, store, putTransaction("b")); status != http.StatusOK {
+					t.Errorf("transaction on a key with another prefix: status %d", status)
 				}
-				if status := transact(t, store, put("a1")); status != 0 {
-					t.Errorf("status %d, want a lost response", status)
+				if status := transact(t, store, putTransaction("a1")); status != 0 {
+					t.Errorf("status %d, want no response", status)
 				}
-				if _, applied := store.Get("a1"); applied != c.appliedAtOnce {
-					t.Errorf("applied at once: %v, want %v", applied, c.appliedAtOnce)
+				if _, applied := store.Get("a1"); applied != c.appliedImmediately {
+					t.Errorf("applied immediately: %v, want %v", applied, c.appliedImmediately)
 				}
 				time.Sleep(delay + time.Second)
 				if _, applied := store.Get("a1"); !applied {
-					t.Error("not applied later")
+					t.Error("transaction not applied after the delay")
 				}
-				if status := transact(t, store, put("a2")); status != http.StatusOK {
-					t.Errorf("after the fault: %d", status)
+				if status := transact(t, store, putTransaction("a2")); status != http.StatusOK {
+					t.Errorf("transaction after the end of the fault: status %d", status)
 				}
 			})
 		})
 	}
 }
 
-// A watch returns the events of its prefix after its revision, or none after the time that it may block.
+// TestStoreWatch checks that a watch returns the events on keys with its prefix after its revision, and that it returns
+// no events after the time for which it may block.
 func TestStoreWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
-		transact(t, store, put("a1"))
+		transact(t, store, putTransaction("a1"))
 		time.AfterFunc(time.Second, func() {
-			store.Put(put("b").Then)
-			store.Put(put("a2").Then)
+			store.Put(putTransaction("b").Then)
+			store.Put(putTransaction("a2").Then)
 		})
 		var response wire.WatchResponse
 		const blocksTwoSeconds = "/watch?prefix=a&from=1&block_ms=2000"
-		request(t, store, http.MethodGet, blocksTwoSeconds, nil, &response)
+		sendRequest(t, store, http.MethodGet, blocksTwoSeconds, nil, &response)
 		if len(response.Events) != 1 || response.Events[0].Put != "a2" || response.Revision != 3 {
-			t.Errorf("%+v", response)
+			t.Errorf("watch response %+v, want the change of a2 at revision 3", response)
 		}
 		start := time.Now()
-		request(t, store, http.MethodGet, "/watch?prefix=a&from=3&block_ms=2000", nil, &response)
+		sendRequest(t, store, http.MethodGet, "/watch?prefix=a&from=3&block_ms=2000", nil, &response)
 		if waited := time.Since(start); len(response.Events) != 0 || waited != 2*time.Second {
-			t.Errorf("after %v: %+v", waited, response)
+			t.Errorf("watch response %+v after %v, want no events after 2 s", response, waited)
 		}
 	})
 }
 
-// Pages of the list are in order of keys, and say whether there are more.
+// TestStoreList checks that pages are sorted by key, and that each page reports whether more entries follow.
 func TestStoreList(t *testing.T) {
 	store := NewStore()
-	transact(t, store, put("a2", "a1", "b", "a3"))
+	transact(t, store, putTransaction("a2", "a1", "b", "a3"))
 	for _, c := range []struct {
 		query string
 		want  string
@@ -255,7 +259,7 @@
 		{"prefix=c", "", false},
 	} {
 		var page wire.KeyValuePage
-		request(t, store, http.MethodGet, "/kv?"+c.query, nil, &page)
+		sendRequest(t, store, http.MethodGet, "/kv?"+c.query, nil, &page)
 		var keys []string
 		for _, entry := range page.Entries {
 			keys = append(keys, entry.Key)
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// minHeartbeatSpacing is the shortest time between two heartbeats when something has changed.
+	// minHeartbeatSpacing is the minimum time between two heartbeats when the worker's state has changed.
 	minHeartbeatSpacing = 500 * time.Millisecond
-	// minWorkerSleep is the shortest time between two steps of a worker that nothing happens to.
-	minWorkerSleep = 10 * time.Millisecond
-	// workerInbox is how many functions may wait for a worker's goroutine.
-	workerInbox = 64
+	// minSleepTime is the minimum time between two steps of a worker whose inbox is empty.
+	minSleepTime = 10 * time.Millisecond
+	// inboxCapacity is how many functions can wait in a worker's inbox.
+	inboxCapacity = 64
 )
 
-// WorkerConfig is what all workers of a world have in common.
+// WorkerConfig is the configuration that the workers of one simulated cluster share.
 type WorkerConfig struct {
-	// HeartbeatInterval is the mean time between heartbeats. LeaseDuration is how long after the last answered heartbeat a
-	// worker keeps its tasks.
+	// HeartbeatInterval is the mean time between heartbeats. LeaseDuration is how long a worker keeps its tasks after it
+	// sent the last heartbeat that was answered.
 	HeartbeatInterval, LeaseDuration time.Duration
 	Network                          *Network
 	Controllers                      []Controller
@@ -41,8 +41,8 @@
 	IP string
 }
 
-// Worker is the worker of one machine: it sends heartbeats, executes commands, and runs tasks in name only. Its
-// goroutine owns its state; methods pass functions to it.
+// Worker is the fake worker of one machine: it sends heartbeats, executes commands and simulates the run of tasks. A
+// goroutine owns its state and calls the functions that the methods put into its inbox.
 type Worker struct {
 	machine Machine
 	config  WorkerConfig
@@ -50,55 +50,57 @@
 	inbox   chan func()
 	cancel  context.CancelFunc
 	done    chan struct{} // closed when the goroutine has ended
-	// stopping makes the goroutine end all tasks and return.
+	// stopping makes the goroutine kill all tasks and return.
 	stopping atomic.Bool
-	// commandPushes counts the pushes that have come in.
+	// commandPushes is the number of command pushes that the worker has received.
 	commandPushes atomic.Int64
-	// connection is used by the one heartbeat in flight.
+	// connection is used by heartbeats, of which at most one is in flight.
 	connection heartbeatConnection
-	// copies sends late copies of heartbeats; it outlives the machine, as packets on a network do.
-	copies *http.Client
-	// resumed ends a hang when it is closed; nil while the worker does not hang. The caller of Hang and Resume owns it.
+	// duplicateClient sends delayed duplicates of heartbeats. It has a host of its own, since duplicates can arrive after
+	// the machine is gone, as packets on a network can.
+	duplicateClient *http.Client
+	// resumed is closed to end a hang; it is nil while the worker does not hang. Hang, Resume and Stop access it without
+	// synchronization, so one goroutine has to call them all.
 	resumed chan struct{}
 
-	// The goroutine owns what follows.
+	// The goroutine owns the fields below.
 
 	incarnation  wire.AgentIncarnation
 	sequence     wire.HeartbeatSeq
 	fencingToken wire.FencingToken
-	// leaseRenewedAt is when the last answered heartbeat was sent.
+	// leaseRenewedAt is when the last heartbeat that was answered was sent.
 	leaseRenewedAt time.Time
-	// tokenChangedAt is when a higher fencing token last counted as a change.
+	// tokenChangedAt is when a higher fencing token last counted as a change of state, see adoptToken.
 	tokenChangedAt time.Time
-	reclaimAt      time.Time // zero: not announced
+	reclaimAt      time.Time // when the cloud reclaims the machine; zero: not announced
 	tasks          []*workerTask
-	images         map[string]time.Time // when each is on the machine
+	images         map[string]time.Time // when the machine has fetched each image
 	controller     int                  // index of the controller that heartbeats go to
 	inFlight       bool                 // a heartbeat awaits its response
-	changed        bool                 // the next heartbeat should be sent soon
+	stateChanged   bool                 // the next heartbeat is due after minHeartbeatSpacing
 	nextHeartbeat  time.Time
 	lastHeartbeat  time.Time
 	faults         workerFaults
 }
 
-// NewWorker starts the worker of a machine that has just come up. It ends with ctx or Stop. It panics if the
-// machine's address is in use, which is a mistake in the test.
+// NewWorker starts the worker of a machine that has just booted. The worker runs until ctx ends or Stop is called.
+// NewWorker panics if the machine's address is in use, which is a mistake in the test.
 func NewWorker(ctx context.Context, config WorkerConfig, machine Machine) *Worker {
 	ctx, cancel := context.WithCancel(ctx)
 	w := &Worker{
 		machine:        machine,
 		config:         config,
 		host:           config.Network.StartHost(machine.IP),
-		inbox:          make(chan func(), workerInbox),
+		inbox:          make(chan func(), inboxCapacity),
 		cancel:         cancel,
 		done:           make(chan struct{}),
 		incarnation:    1,
 		images:         map[string]time.Time{},
 		leaseRenewedAt: time.Now(),
 	}
-	w.copies = &http.Client{
+	w.duplicateClient = &http.Client{
 		Transport: &http.Transport{
-			DialContext:       config.Network.StartHost("mail-" + machine.IP).Dial,
+			DialContext:       config.Network.StartHost("duplicates-" + machine.IP).Dial,
 			DisableKeepAlives: true,
 		},
 		Timeout: heartbeatTimeout,
@@ -108,34 +110,35 @@
 		panic(fmt.Sprintf("worker of %s: %v", machine.ID, err))
 	}
 	server := &http.Server{Handler: http.HandlerFunc(w.servePush)}
-	go func() { _ = server.Serve(listener) }() // ends with the worker, by an error that says so
+	go func() { _ = server.Serve(listener) }() // fails when the worker closes the server
 	go func() {
-		defer func() { _ = server.Close() }() // the machine is gone, whether closing fails or not
+		defer func() { _ = server.Close() }() // the machine is gone, so an error does not matter
 		w.run(ctx)
 	}()
 	return w
 }
 
-// Stop ends the machine and everything on it, without notice on the network, and waits for the worker's goroutine.
+// Stop terminates the machine and its tasks and waits until the worker's goroutine has ended. The machine's connections
+// are not closed; see Network.RemoveHost.
 func (w *Worker) Stop() {
 	w.host.net.RemoveHost(w.machine.IP)
 	w.stopping.Store(true)
 	w.Resume()
 	select {
 	case w.inbox <- func() {}:
-	default: // full: the goroutine wakes up anyhow
+	default: // the inbox is full, so that the goroutine wakes up without a further function
 	}
 	<-w.done
 }
 
-// CommandPushes returns how many pushes of commands have come in.
+// CommandPushes returns the number of command pushes that the worker has received.
 func (w *Worker) CommandPushes() int { return int(w.commandPushes.Load()) }
 
-// address is where the worker serves pushes of commands.
+// address returns the address, HOST:PORT, at which the worker serves command pushes.
 func (w *Worker) address() string { return w.machine.IP + ":" + workerPort }
 
-// enqueue has the worker's goroutine call a function, once it does not hang. It reports whether that was before ctx
-// ended.
+// enqueue puts a function into the worker's inbox. It waits while the inbox is full, and reports whether the function
+// was put into the inbox before ctx ended.
 func (w *Worker) enqueue(ctx context.Context, f func()) bool {
 	select {
 	case w.inbox <- f:
@@ -145,7 +148,7 @@
 	}
 }
 
-// run is the worker's goroutine.
+// run is the event loop of the worker's goroutine.
 func (w *Worker) run(ctx context.Context) {
 	defer close(w.done)
 	timer := time.NewTimer(0)
@@ -166,40 +169,40 @@
 			return
 		}
 		w.step(ctx)
-		timer.Reset(w.sleepTime(time.Now()))
+		timer.Reset(w.timeToNextStep(time.Now()))
 	}
 }
 
-// step does what is due.
+// step performs the actions that are due: the expiry of the lease, transitions of tasks and heartbeats.
 func (w *Worker) step(ctx context.Context) {
 	now := time.Now()
 	if now.Sub(w.leaseRenewedAt) > w.config.LeaseDuration {
 		w.expireLease(now)
 	}
 	for _, task := range w.tasks {
-		w.advance(now, task)
+		w.advanceTask(now, task)
 	}
-	sendHeartbeat := !now.Before(w.nextHeartbeat) || w.changed && now.Sub(w.lastHeartbeat) >= minHeartbeatSpacing
+	sendHeartbeat := !now.Before(w.nextHeartbeat) || w.stateChanged && now.Sub(w.lastHeartbeat) >= minHeartbeatSpacing
 	if !w.inFlight && sendHeartbeat {
 		w.sendHeartbeat(ctx, now)
 	}
 }
 
-// sleepTime returns how long nothing is due.
-func (w *Worker) sleepTime(now time.Time) time.Duration {
-	next := w.leaseRenewedAt.Add(w.config.LeaseDuration + minWorkerSleep)
+// timeToNextStep returns the time until the next action is due, at least minSleepTime.
+func (w *Worker) timeToNextStep(now time.Time) time.Duration {
+	next := w.leaseRenewedAt.Add(w.config.LeaseDuration + minSleepTime)
 	for _, task := range w.tasks {
 		if task.state != wire.TaskExited {
-			next = earlier(next, w.nextChange(now, task))
+			next = earlier(next, w.nextTransition(now, task))
 		}
 	}
 	if !w.inFlight {
 		next = earlier(next, w.nextHeartbeat)
-		if w.changed {
+		if w.stateChanged {
 			next = earlier(next, w.lastHeartbeat.Add(minHeartbeatSpacing))
 		}
 	}
-	return max(minWorkerSleep, next.Sub(now))
+	return max(minSleepTime, next.Sub(now))
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -209,10 +212,10 @@
 	return a
 }
 
-// expireLease ends the incarnation: all tasks are killed, and the machine starts anew.
+// expireLease kills all tasks and begins the next incarnation of the worker.
 func (w *Worker) expireLease(now time.Time) {
 	w.killTasks()
 	w.incarnation++
 	w.leaseRenewedAt = now
-	w.changed = true
+	w.stateChanged = true
 }
--- a/internal/fake/worker_commands.go
+++ b/internal/fake/worker_commands.go
@@ -10,10 +10,10 @@
 	"saffronbend/wire"
 )
 
-// rounding is what sums of processors and of memory may be off by.
-const rounding = 1e-9
+// resourceTolerance is the rounding error that sums of processors and of memory may have.
+const resourceTolerance = 1e-9
 
-// servePush serves the push of commands by a controller.
+// servePush serves a command push from a controller.
 func (w *Worker) servePush(rw http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != wire.PathCommands {
 		writeJSON(rw, http.StatusNotFound, wire.ErrorResponse{Error: messageNoPath})
@@ -30,14 +30,14 @@
 		body   []byte
 	}
 	responses := make(chan response, 1)
-	// A worker that hangs accepts the push when it resumes, though nobody waits for the response any more.
+	// A worker that hangs handles the push when it resumes, even if the request has timed out by then.
 	enqueued := w.enqueue(r.Context(), func() {
 		status := http.StatusConflict
 		if w.acceptPush(push) {
 			status = http.StatusOK
 			w.duplicatePush(push)
 		}
-		responses <- response{status, w.heartbeat()}
+		responses <- response{status, w.encodeHeartbeat()}
 	})
 	if !enqueued {
 		return
@@ -45,19 +45,21 @@
 	select {
 	case response := <-responses:
 		rw.WriteHeader(response.status)
-		_, _ = rw.Write(response.body) // an error means that the client has gone
+		_, _ = rw.Write(response.body) // an error means that the client has disconnected
 	case <-r.Context().Done():
 	}
 }
 
-// duplicatePush has a copy of a push arrive late, if that fault is injected. The copy outlives the request.
+// duplicatePush schedules the delivery of a duplicate of a command push, if that fault is injected. The duplicate is
+// delivered even if the request has ended by then.
 func (w *Worker) duplicatePush(push wire.CommandPush) {
-	if w.faults.commandCopyDelay > 0 {
-		time.AfterFunc(w.faults.commandCopyDelay, func() { w.inbox <- func() { w.acceptPush(push) } })
+	if w.faults.commandDuplicateDelay > 0 {
+		time.AfterFunc(w.faults.commandDuplicateDelay, func() { w.inbox <- func() { w.acceptPush(push) } })
 	}
 }
 
-// acceptPush executes pushed commands and reports whether their fencing token and incarnation allowed it.
+// acceptPush executes pushed commands. It reports false, and executes nothing, if the push has a lower fencing token
+// than the worker's or is for another incarnation.
 func (w *Worker) acceptPush(push wire.CommandPush) bool {
 	if push.FencingToken < w.fencingToken || push.Incarnation != w.incarnation {
 		return false
@@ -65,12 +67,13 @@
 	w.adoptToken(time.Now(), push.FencingToken)
 	w.execute(push.Commands)
 	for _, task := range w.tasks {
-		w.advance(time.Now(), task)
+		w.advanceTask(time.Now(), task)
 	}
 	return true
 }
 
-// adoptToken adopts a fencing token that is higher. That counts as a change at most once in half of the lease.
+// adoptToken adopts a fencing token if it is higher than the worker's. That counts as a change of the worker's state,
+// which makes a heartbeat due soon, at most once in half of the lease's duration.
 func (w *Worker) adoptToken(now time.Time, token wire.FencingToken) {
 	if token <= w.fencingToken {
 		return
@@ -78,11 +81,11 @@
 	w.fencingToken = token
 	if now.Sub(w.tokenChangedAt) > w.config.LeaseDuration/2 {
 		w.tokenChangedAt = now
-		w.changed = true
+		w.stateChanged = true
 	}
 }
 
-// execute executes commands. A command that has been executed before changes nothing.
+// execute executes commands. Executing a command again has no effect.
 func (w *Worker) execute(commands []wire.Command) {
 	for _, command := range commands {
 		i := slices.IndexFunc(w.tasks, func(task *workerTask) bool {
@@ -99,10 +102,11 @@
 	}
 }
 
-// acceptTask adds a task, and begins to fetch its image. It exits at once if the machine can't run it.
+// acceptTask adds a task and begins to fetch the task's image. If the machine cannot run the task, the task exits
+// immediately.
 func (w *Worker) acceptTask(command wire.Command) {
-	w.changed = true
-	jobID, index, _ := wire.ParseTaskName(command.Task) // of a malformed name, the job is not known
+	w.stateChanged = true
+	jobID, index, _ := wire.ParseTaskName(command.Task) // a malformed name has no job ID, and is rejected below as unknown
 	task := &workerTask{name: command.Task, id: invariant.Task{Job: jobID, Index: index}, attempt: command.Attempt,
 		state: wire.TaskFetching}
 	w.tasks = append(w.tasks, task)
@@ -118,11 +122,12 @@
 	}
 	if _, ok := w.images[task.job.Image]; !ok {
 		machineType := w.config.MachineTypes[w.machine.Type]
-		w.images[task.job.Image] = time.Now().Add(w.slowed(seconds(task.job.ImageGB / machineType.FetchGBPS)))
+		w.images[task.job.Image] = time.Now().Add(w.applySlowdown(seconds(task.job.ImageGB / machineType.FetchGBPS)))
 	}
 }
 
-// admissionFailure returns why the machine can't run a task beside its other tasks, or nothing if it can.
+// admissionFailure returns why the machine cannot run a task in addition to its other tasks, or an empty reason if it
+// can.
 func (w *Worker) admissionFailure(task *workerTask) wire.ExitReason {
 	cpus, memoryGB := task.job.CPUs, task.job.MemoryGB
 	for _, other := range w.tasks {
@@ -135,13 +140,13 @@
 		cpus, memoryGB = cpus+other.job.CPUs, memoryGB+other.job.MemoryGB
 	}
 	machineType := w.config.MachineTypes[w.machine.Type]
-	if cpus > machineType.CPUs+rounding || memoryGB > machineType.MemoryGB+rounding {
+	if cpus > machineType.CPUs+resourceTolerance || memoryGB > machineType.MemoryGB+resourceTolerance {
 		return wire.ExitInsufficientResources
 	}
 	return ""
 }
 
-// stopTask stops a task. It saves a checkpoint first if it runs and the command leaves it the time.
+// stopTask stops a task. A running task saves a checkpoint first if the command's grace period is long enough.
 func (w *Worker) stopTask(task *workerTask, command wire.Command) {
 	grace := 0.0
 	if command.GraceS != nil {
@@ -156,8 +161,8 @@
 		if task.inGang() {
 			w.config.Gangs.stopCommanded(task)
 		}
-		task.until = time.Now().Add(w.slowed(seconds(task.job.CheckpointSaveS)))
-		w.changed = true
+		task.stateTime = time.Now().Add(w.applySlowdown(seconds(task.job.CheckpointSaveS)))
+		w.stateChanged = true
 		return
 	}
 	if task.state != wire.TaskCheckpointing || grace == 0 {
--- a/internal/fake/worker_faults.go
+++ b/internal/fake/worker_faults.go
@@ -6,20 +6,22 @@
 	"saffronbend/wire"
 )
 
-// workerFaults are the faults that are injected into a worker. Its goroutine owns them.
+// workerFaults are the faults that are injected into a worker. The worker's goroutine owns them.
 type workerFaults struct {
-	failEveryTask bool
-	// slowdown is how many times as long everything takes; 0: as long as usual.
+	failAllTasks bool
+	// slowdown is the factor by which tasks and fetches of images take longer; 0 means no slowdown.
 	slowdown float64
-	// heartbeatCopyDelay and commandCopyDelay are how late copies of heartbeats and of pushed commands come; 0: none do.
-	heartbeatCopyDelay, commandCopyDelay time.Duration
-	// toRecord is how many heartbeats are still to be recorded, recorded are those that were.
-	toRecord int
-	recorded [][]byte
+	// heartbeatDuplicateDelay and commandDuplicateDelay are the delays of duplicates of heartbeats and of command pushes;
+	// 0 means no duplicates.
+	heartbeatDuplicateDelay, commandDuplicateDelay time.Duration
+	// heartbeatsToRecord is how many further heartbeats are to be recorded. recordedHeartbeats are the bodies of those
+	// that have been recorded.
+	heartbeatsToRecord int
+	recordedHeartbeats [][]byte
 }
 
-// Hang stops the worker and its tasks until Resume. When its lease expires meanwhile, its tasks are killed all the
-// same.
+// Hang suspends the worker and its tasks until Resume is called. If the worker's lease expires meanwhile, its tasks are
+// killed nevertheless.
 func (w *Worker) Hang() {
 	resumed := make(chan struct{})
 	w.resumed = resumed
@@ -41,60 +43,62 @@
 	}
 }
 
-// ReceiveLaunch has the machine start an attempt of a task that a controller launched under a fencing token.
-func (w *Worker) ReceiveLaunch(task string, attempt wire.AttemptID, fencingToken wire.FencingToken) {
+// DeliverStartCommand makes the worker execute a command to start an attempt of a task, as if a controller with the
+// given fencing token had pushed it.
+func (w *Worker) DeliverStartCommand(task string, attempt wire.AttemptID, fencingToken wire.FencingToken) {
 	w.inbox <- func() {
 		w.acceptPush(wire.CommandPush{FencingToken: fencingToken, Incarnation: w.incarnation,
 			Commands: []wire.Command{{Op: wire.OpStart, Task: task, Attempt: attempt}}})
 	}
 }
 
-// FailEveryTask has every task that starts from now on exit with an error.
-func (w *Worker) FailEveryTask() { w.inbox <- func() { w.faults.failEveryTask = true } }
+// FailAllTasks makes every task that starts from now on exit with an error.
+func (w *Worker) FailAllTasks() { w.inbox <- func() { w.faults.failAllTasks = true } }
 
-// SetSlowdown has everything that begins on the machine from now on take so many times as long: fetching images,
-// running and saving checkpoints.
-func (w *Worker) SetSlowdown(times float64) { w.inbox <- func() { w.faults.slowdown = times } }
+// SetSlowdown makes the fetches of images, the runs of tasks and the saves of checkpoints that begin from now on take
+// longer by a factor.
+func (w *Worker) SetSlowdown(factor float64) { w.inbox <- func() { w.faults.slowdown = factor } }
 
-// DuplicateHeartbeats has a copy of every heartbeat arrive late as well, also once the machine is gone.
+// DuplicateHeartbeats makes a duplicate of every heartbeat arrive after a delay, also when the machine is gone by then.
 func (w *Worker) DuplicateHeartbeats(delay time.Duration) {
-	w.inbox <- func() { w.faults.heartbeatCopyDelay = delay }
+	w.inbox <- func() { w.faults.heartbeatDuplicateDelay = delay }
 }
 
-// DuplicateCommands has a copy of every push that is accepted arrive late as well.
+// DuplicateCommands makes a duplicate of every accepted command push arrive after a delay.
 func (w *Worker) DuplicateCommands(delay time.Duration) {
-	w.inbox <- func() { w.faults.commandCopyDelay = delay }
+	w.inbox <- func() { w.faults.commandDuplicateDelay = delay }
 }
 
-// RecordHeartbeats records copies of the next heartbeats, for DeliverRecordedHeartbeats.
-func (w *Worker) RecordHeartbeats(heartbeats int) {
-	w.inbox <- func() { w.faults.toRecord = heartbeats }
+// RecordHeartbeats records the given number of the next heartbeats, for ReplayRecordedHeartbeats.
+func (w *Worker) RecordHeartbeats(count int) {
+	w.inbox <- func() { w.faults.heartbeatsToRecord = count }
 }
 
-// DeliverRecordedHeartbeats has the recorded copies arrive at every controller.
-func (w *Worker) DeliverRecordedHeartbeats() {
+// ReplayRecordedHeartbeats sends the recorded heartbeats to every controller and ends the recording.
+func (w *Worker) ReplayRecordedHeartbeats() {
 	w.inbox <- func() {
-		for _, body := range w.faults.recorded {
+		for _, body := range w.faults.recordedHeartbeats {
 			for _, controller := range w.config.Controllers {
-				go w.sendCopy(controller.Address, body)
+				go w.sendDuplicate(controller.Address, body)
 			}
 		}
-		w.faults.toRecord, w.faults.recorded = 0, nil
+		w.faults.heartbeatsToRecord, w.faults.recordedHeartbeats = 0, nil
 	}
 }
 
-// AnnounceReclaim has the cloud announce that it reclaims the machine after the given time.
-func (w *Worker) AnnounceReclaim(in time.Duration) {
-	at := time.Now().Add(in)
+// AnnounceReclaim makes the cloud announce that it reclaims the machine after the given time. It does not reclaim the
+// machine.
+func (w *Worker) AnnounceReclaim(after time.Duration) {
+	at := time.Now().Add(after)
 	w.inbox <- func() {
 		w.reclaimAt = at
 		w.config.Checker.ReclaimAnnounced(w.machine.Machine)
-		w.changed = true
+		w.stateChanged = true
 	}
 }
 
-// slowed returns how long something takes on the machine that usually takes so long.
-func (w *Worker) slowed(usual time.Duration) time.Duration {
+// applySlowdown returns how long an operation with the given usual duration takes on the machine.
+func (w *Worker) applySlowdown(usual time.Duration) time.Duration {
 	if w.faults.slowdown == 0 {
 		return usual
 	}
--- a/internal/fake/worker_heartbeat.go
+++ b/internal/fake/worker_heartbeat.go
@@ -16,31 +16,32 @@
 )
 
 const (
-	// heartbeatTimeout bounds how long a heartbeat awaits its response, and how old a response may be.
+	// heartbeatTimeout is how long a heartbeat waits for its response. Later responses are ignored.
 	heartbeatTimeout = 4 * time.Second
-	// redirectDelay is the wait before the heartbeat that follows a redirect, nextControllerDelay before the one that
-	// goes to the next controller because one does not answer.
+	// redirectDelay is the delay of the heartbeat that follows a redirect. nextControllerDelay is the delay of the
+	// heartbeat to the next controller after one to another controller has failed.
 	redirectDelay       = 100 * time.Millisecond
 	nextControllerDelay = time.Second
-	// The interval between heartbeats varies by a quarter of its mean to either side.
-	minIntervalShare    = 0.75
-	intervalShareSpread = 0.5
+	// The interval between heartbeats is its mean times a random factor: at least minIntervalFactor, and less than
+	// minIntervalFactor + intervalFactorRange. It thus varies by a quarter of the mean to either side.
+	minIntervalFactor   = 0.75
+	intervalFactorRange = 0.5
 )
 
-// sendHeartbeat sends a heartbeat in a goroutine of its own, which passes the response to the worker's.
+// sendHeartbeat sends a heartbeat in a new goroutine, which passes the response to the worker's goroutine.
 func (w *Worker) sendHeartbeat(ctx context.Context, now time.Time) {
-	w.inFlight, w.changed = true, false
+	w.inFlight, w.stateChanged = true, false
 	w.lastHeartbeat = now
-	share := minIntervalShare + rand.Float64()*intervalShareSpread
-	w.nextHeartbeat = now.Add(time.Duration(float64(w.config.HeartbeatInterval) * share))
-	body, incarnation := w.heartbeat(), w.incarnation
+	factor := minIntervalFactor + rand.Float64()*intervalFactorRange
+	w.nextHeartbeat = now.Add(time.Duration(float64(w.config.HeartbeatInterval) * factor))
+	body, incarnation := w.encodeHeartbeat(), w.incarnation
 	address := w.config.Controllers[w.controller].Address
-	if w.faults.toRecord > 0 {
-		w.faults.toRecord--
-		w.faults.recorded = append(w.faults.recorded, body)
+	if w.faults.heartbeatsToRecord > 0 {
+		w.faults.heartbeatsToRecord--
+		w.faults.recordedHeartbeats = append(w.faults.recordedHeartbeats, body)
 	}
-	if w.faults.heartbeatCopyDelay > 0 {
-		time.AfterFunc(w.faults.heartbeatCopyDelay, func() { w.sendCopy(address, body) })
+	if w.faults.heartbeatDuplicateDelay > 0 {
+		time.AfterFunc(w.faults.heartbeatDuplicateDelay, func() { w.sendDuplicate(address, body) })
 	}
 	go func() {
 		response, err := w.connection.post(ctx, w.host.Dial, address, body)
@@ -48,8 +49,8 @@
 	}()
 }
 
-// heartbeat returns the body of the next heartbeat.
-func (w *Worker) heartbeat() []byte {
+// encodeHeartbeat returns the body of a heartbeat with the next sequence number.
+func (w *Worker) encodeHeartbeat() []byte {
 	w.sequence++
 	heartbeat := wire.Heartbeat{Machine: w.machine.ID, Addr: w.address(), Type: w.machine.Type, Zone: w.machine.Zone,
 		Spot: w.machine.Spot, Incarnation: w.incarnation, Sequence: w.sequence, FencingToken: w.fencingToken,
@@ -60,18 +61,18 @@
 	}
 	for _, task := range w.tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: task.name, Attempt: task.attempt, State: task.state,
-			ExitReason: task.exitReason, CheckpointSaved: task.saved})
+			ExitReason: task.exitReason, CheckpointSaved: task.checkpointSaved})
 	}
 	body, err := json.Marshal(heartbeat)
 	if err != nil {
-		panic(err) // the type has nothing that JSON can't express
+		panic(err) // cannot fail: all fields of a heartbeat can be encoded as JSON
 	}
 	return body
 }
 
-// sendCopy sends a late copy of a heartbeat. Errors are ignored: nobody waits for the response.
-func (w *Worker) sendCopy(address string, body []byte) {
-	response, err := w.copies.Post(heartbeatURL(address), "application/json", bytes.NewReader(body))
+// sendDuplicate sends a duplicate of a heartbeat. It ignores errors and the response.
+func (w *Worker) sendDuplicate(address string, body []byte) {
+	response, err := w.duplicateClient.Post(heartbeatURL(address), "application/json", bytes.NewReader(body))
 	if err == nil {
 		_ = response.Body.Close()
 	}
@@ -79,7 +80,7 @@
 
 func heartbeatURL(address string) string { return "http://" + address + wire.PathHeartbeat }
 
-// handleResponse handles the response to a heartbeat, or its failure.
+// handleResponse handles the response to a heartbeat, or the error if there was none.
 func (w *Worker) handleResponse(
 	sent time.Time, incarnation wire.AgentIncarnation, response heartbeatResponse, err error,
 ) {
@@ -99,7 +100,8 @@
 	w.nextHeartbeat = now.Add(nextControllerDelay)
 }
 
-// handleAccepted renews the lease and executes commands, unless the response is too old or from an earlier leader.
+// handleAccepted renews the lease and executes the commands in a response. It ignores a response that is malformed, too
+// old, for an earlier incarnation or from an earlier leader.
 func (w *Worker) handleAccepted(sent, now time.Time, incarnation wire.AgentIncarnation, body []byte) {
 	var accepted wire.HeartbeatResponse
 	if json.Unmarshal(body, &accepted) != nil {
@@ -113,7 +115,8 @@
 	w.execute(accepted.Commands)
 }
 
-// followRedirect turns to the leader that a response names, and reports whether that is another known controller.
+// followRedirect directs heartbeats to the leader that a response names. It reports false, and changes nothing, if the
+// leader is unknown or the controller that sent the response.
 func (w *Worker) followRedirect(now time.Time, body []byte) bool {
 	var redirect wire.LeaderRedirect
 	if json.Unmarshal(body, &redirect) != nil {
@@ -135,8 +138,9 @@
 	body   []byte
 }
 
-// heartbeatConnection is a worker's connection to the controller that its heartbeats go to. It does without the
-// goroutines of an http.Transport: the race detector allows 8,000 in all.
+// heartbeatConnection is a worker's connection to the controller that its heartbeats go to. It is used instead of an
+// http.Transport, whose connections have goroutines of their own: the race detector allows only 8,000 goroutines in a
+// process.
 type heartbeatConnection struct {
 	conn    net.Conn // nil: not open
 	reader  *bufio.Reader
@@ -146,7 +150,7 @@
 // dialFunc opens a connection.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// post sends a heartbeat and returns the response.
+// post sends a heartbeat and returns the response. It reuses the open connection if that is to the same address.
 func (c *heartbeatConnection) post(
 	ctx context.Context, dial dialFunc, address string, body []byte,
 ) (heartbeatResponse, error) {
@@ -161,7 +165,7 @@
 		if err == nil || !time.Now().Before(deadline) {
 			return response, err
 		}
-		// A connection that was kept open may have been closed meanwhile: once more, with a new one.
+		// The controller may have closed the idle connection, so try again with a new one.
 	}
 	conn, err := dial(ctx, "tcp", address)
 	if err != nil {
@@ -171,8 +175,8 @@
 	return c.exchange(ctx, deadline, body)
 }
 
-// exchange sends a heartbeat over the open connection and reads the response. It closes the connection when that
-// fails, and when the controller asks for it.
+// exchange sends a heartbeat over the open connection and reads the response. It closes the connection if that fails or
+// if the controller asks for it.
 func (c *heartbeatConnection) exchange(
 	ctx context.Context, deadline time.Time, body []byte,
 ) (response heartbeatResponse, err error) {
@@ -195,7 +199,7 @@
 	if err != nil {
 		return heartbeatResponse{}, fmt.Errorf("read the response to a heartbeat: %w", err)
 	}
-	// The body is not closed but read to its end; when that fails, the connection is closed.
+	// The body need not be closed: it is read to its end, and if that fails the connection is closed.
 	data, err := io.ReadAll(reply.Body)
 	if err != nil {
 		return heartbeatResponse{}, fmt.Errorf("read the response to a heartbeat: %w", err)
@@ -206,7 +210,7 @@
 	return heartbeatResponse{status: reply.StatusCode, body: data}, nil
 }
 
-// close closes the connection. An error is ignored: the connection is not used any more.
+// close closes the connection. It ignores errors, since the connection is not used again.
 func (c *heartbeatConnection) close() {
 	_ = c.conn.Close()
 	c.conn = nil
--- a/internal/fake/worker_task.go
+++ b/internal/fake/worker_task.go
@@ -7,37 +7,38 @@
 	"saffronbend/wire"
 )
 
-// workerTask is an attempt of a task that a worker was commanded to start, until a command clears it.
+// workerTask is an attempt of a task on a worker, from the command to start it until the command to clear it.
 type workerTask struct {
-	name       string
-	id         invariant.Task
-	attempt    wire.AttemptID
-	job        wire.Job
-	state      wire.TaskState
-	exitReason wire.ExitReason
-	saved      bool // it exited with a saved checkpoint
-	// onMachine is true from the start, with the image there, to the exit.
+	name            string
+	id              invariant.Task
+	attempt         wire.AttemptID
+	job             wire.Job
+	state           wire.TaskState
+	exitReason      wire.ExitReason
+	checkpointSaved bool // the task exited after saving a checkpoint
+	// onMachine is true from the start of the task, when its image has been fetched, until its exit.
 	onMachine bool
-	// until is when the state ends by itself; for a gang's task that runs, since when it has waited for its peers.
-	until time.Time
+	// stateTime is when the task leaves its state without a command. For a task of a gang that has not been commanded to
+	// stop, it is when the task began to wait for its peers.
+	stateTime time.Time
 }
 
 func (t *workerTask) inGang() bool { return t.job.Kind == wire.KindGang }
 
-// nextChange returns when a task that has not exited may change by itself.
-func (w *Worker) nextChange(now time.Time, task *workerTask) time.Time {
+// nextTransition returns when a task that has not exited can next change its state without a command.
+func (w *Worker) nextTransition(now time.Time, task *workerTask) time.Time {
 	switch {
 	case task.onMachine && task.inGang():
-		return now.Add(gangStep)
+		return now.Add(gangPollInterval)
 	case task.state == wire.TaskFetching:
 		return w.images[task.job.Image]
 	default:
-		return task.until
+		return task.stateTime
 	}
 }
 
-// advance changes a task's state if that is due.
-func (w *Worker) advance(now time.Time, task *workerTask) {
+// advanceTask performs the state transition of a task that is due, if any.
+func (w *Worker) advanceTask(now time.Time, task *workerTask) {
 	if task.onMachine && task.inGang() {
 		w.advanceGangTask(task)
 		return
@@ -48,57 +49,58 @@
 			w.startTask(now, task)
 		}
 	case wire.TaskRunning:
-		if !now.Before(task.until) {
+		if !now.Before(task.stateTime) {
 			w.exitTask(task, wire.ExitCompleted, false)
 		}
 	case wire.TaskCheckpointing:
-		if !now.Before(task.until) {
+		if !now.Before(task.stateTime) {
 			w.exitTask(task, wire.ExitStopped, true)
 		}
-	case wire.TaskWaitingForGang, wire.TaskExited: // nothing happens by itself
+	case wire.TaskWaitingForGang, wire.TaskExited: // no transition without a command
 	}
 }
 
-// startTask starts a task whose image is there. A task of a gang waits for its peers first.
+// startTask starts a task whose image has been fetched. The task of a gang first waits for its peers.
 func (w *Worker) startTask(now time.Time, task *workerTask) {
-	workload, _ := w.config.Checker.Workload(task.id.Job) // known: acceptTask has checked it
+	workload, _ := w.config.Checker.Workload(task.id.Job) // acceptTask has checked that the job is known
 	task.state, task.onMachine = wire.TaskRunning, true
-	task.until = now.Add(w.slowed(workload.RunTime))
-	w.changed = true
+	task.stateTime = now.Add(w.applySlowdown(workload.RunTime))
+	w.stateChanged = true
 	w.config.Checker.TaskStarted(w.machine.Machine, task.id)
-	if workload.Fails || w.faults.failEveryTask {
+	if workload.Fails || w.faults.failAllTasks {
 		w.exitTask(task, wire.ExitError, false)
 		return
 	}
 	if task.inGang() {
-		task.state, task.until = wire.TaskWaitingForGang, now
+		task.state, task.stateTime = wire.TaskWaitingForGang, now
 		w.config.Gangs.join(task)
 	}
 }
 
-// advanceGangTask changes the state of a gang's task as its peers' states ask.
+// advanceGangTask performs the state transition that the outcome of a gang's task requires.
 func (w *Worker) advanceGangTask(task *workerTask) {
-	workload, _ := w.config.Checker.Workload(task.id.Job) // known: acceptTask has checked it
-	outcome := w.config.Gangs.outcome(task, task.until, workload.RunTime)
-	if outcome.runs && task.state == wire.TaskWaitingForGang {
+	workload, _ := w.config.Checker.Workload(task.id.Job) // acceptTask has checked that the job is known
+	outcome := w.config.Gangs.outcome(task, task.stateTime, workload.RunTime)
+	if outcome.running && task.state == wire.TaskWaitingForGang {
 		task.state = wire.TaskRunning
-		w.changed = true
+		w.stateChanged = true
 		w.config.Checker.GangTaskRunning(task.id, task.attempt)
 	}
 	if outcome.exitReason != "" {
-		w.exitTask(task, outcome.exitReason, outcome.saved)
+		w.exitTask(task, outcome.exitReason, outcome.checkpointSaved)
 	}
 }
 
-// exitTask ends a task. It stays in the heartbeats until a command clears it.
-func (w *Worker) exitTask(task *workerTask, reason wire.ExitReason, saved bool) {
-	w.removeTask(task, reason == wire.ExitCompleted)
-	task.state, task.exitReason, task.saved = wire.TaskExited, reason, saved
-	w.changed = true
+// exitTask makes a task exit. Heartbeats report the exited task until a command clears it.
+func (w *Worker) exitTask(task *workerTask, reason wire.ExitReason, checkpointSaved bool) {
+	w.detachTask(task, reason == wire.ExitCompleted)
+	task.state, task.exitReason, task.checkpointSaved = wire.TaskExited, reason, checkpointSaved
+	w.stateChanged = true
 }
 
-// removeTask notes that a task is no longer on the machine, if it was.
-func (w *Worker) removeTask(task *workerTask, completed bool) {
+// detachTask reports to the checker, and to the gang of the task, that a task is no longer on the machine. It does
+// nothing if the task was not.
+func (w *Worker) detachTask(task *workerTask, completed bool) {
 	if !task.onMachine {
 		return
 	}
@@ -109,10 +111,10 @@
 	w.config.Checker.TaskEnded(w.machine.Machine, task.id, completed)
 }
 
-// killTasks ends all tasks; nothing is left of them to report.
+// killTasks kills all tasks. Heartbeats do not report killed tasks.
 func (w *Worker) killTasks() {
 	for _, task := range w.tasks {
-		w.removeTask(task, false)
+		w.detachTask(task, false)
 	}
 	w.tasks = nil
 }
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -230,7 +230,7 @@
 
 func hangMachine(_ *world, _ wire.MachineID, worker *fake.Worker, _ []string) { worker.Hang() }
 func sickenMachine(_ *world, _ wire.MachineID, worker *fake.Worker, _ []string) {
-	worker.FailEveryTask()
+	worker.FailAllTasks()
 }
 func killMachine(w *world, id wire.MachineID, _ *fake.Worker, _ []string) { w.cloud.FailMachine(id) }
 func takeMachine(w *world, id wire.MachineID, _ *fake.Worker, _ []string) { w.cloud.ReclaimMachine(id) }
@@ -244,7 +244,7 @@
 }
 
 func holdTask(_ *world, _ wire.MachineID, worker *fake.Worker, words []string) {
-	worker.ReceiveLaunch(words[0], wire.AttemptID(number(words[1])), wire.FencingToken(number(words[2])))
+	worker.DeliverStartCommand(words[0], wire.AttemptID(number(words[1])), wire.FencingToken(number(words[2])))
 }
 
 func recordHeartbeats(_ *world, _ wire.MachineID, worker *fake.Worker, words []string) {
@@ -252,7 +252,7 @@
 }
 
 func deliverHeartbeats(_ *world, _ wire.MachineID, worker *fake.Worker, _ []string) {
-	worker.DeliverRecordedHeartbeats()
+	worker.ReplayRecordedHeartbeats()
 }
 
 func copyHeartbeats(_ *world, _ wire.MachineID, worker *fake.Worker, words []string) {
