--- a/internal/scenario/cancellation/cancellation_test.go
+++ b/internal/scenario/cancellation/cancellation_test.go
@@ -1,5 +1,5 @@
-// Package cancellation holds the scenarios in which jobs are cancelled while machines or the store cannot be reached,
-// or while their last task ends.
+// Package cancellation holds the scenarios in which jobs are cancelled while machines or the key-value store can't be
+// reached, or while their last task completes.
 package cancellation
 
 import (
--- a/internal/scenario/conditions.go
+++ b/internal/scenario/conditions.go
@@ -10,156 +10,169 @@
 	"saffronbend/wire"
 )
 
-// condition is what a step checks or waits for.
-type condition struct {
-	usage string // its arguments, the last of which is what is wanted
-	help  string
-	least int // so many arguments are needed
-	test  func(ctx context.Context, w *world, words []string) error
+// conditionDefinition defines a kind of condition, which a step checks or waits for.
+type conditionDefinition struct {
+	usage   string // its arguments, the last of which is the expected value
+	help    string
+	minArgs int // the least number of arguments
+	check   func(ctx context.Context, h *harness, words []string) error
 }
 
-// conditions are those of scenarios by their first word.
-var conditions = map[string]condition{
+// conditionDefinitions holds the kinds of conditions by their first word.
+var conditionDefinitions = map[string]conditionDefinition{
 	// Jobs and their tasks.
-	"job":         {"ID STATUS", "its status at a controller that answers", 2, exactly(jobStatus)},
-	"answered":    {"ID yes", "every controller that runs answers for the job", 2, exactly(answered)},
-	"starts":      {"ID N", "starts of its tasks", 2, exactly(count(starts))},
-	"starts-most": {"ID N", "starts of its tasks", 2, atMost(starts)},
-	"late-starts": {"N", "starts after a confirmed cancellation", 1, atMost(lateStarts)},
-	"runs":        {"ID N", "how often a gang has begun to run", 2, exactly(count(runs))},
-	"saved":       {"ID S", "progress that a gang has saved", 2, savedAtLeast},
-	"on":          {"ID N", "its tasks on all machines", 2, exactly(count(running))},
-	"most-on":     {"ID N", "its tasks on one machine", 2, atMost(mostOnOneMachine)},
-	"task":        {"ID INDEX MACHINE", "the machine on which the task runs", 3, exactly(machineOfTask)},
-	"disturbed":   {"N", "disturbances, by the workers' logs", 1, atLeast(disturbed)},
-	"stopped":     {"N", "disturbances that began with a command, by the workers' logs", 1, atMost(stopped)},
+	"job": {"ID STATUS", "its status at a controller that answers with 200", 2,
+		exactly(jobStatus)},
+	"answered": {"ID yes", "every running controller answers a poll of the job with 200", 2,
+		exactly(answered)},
+	"starts":         {"ID N", "how often its tasks have started", 2, exactly(formatted(starts))},
+	"starts-at-most": {"ID N", "how often its tasks have started", 2, atMost(starts)},
+	"starts-after-cancel-at-most": {"N", "starts of tasks after a confirmed cancellation", 1,
+		atMost(startsAfterCancel)},
+	"gang-runs":               {"ID N", "how often the gang has started to run", 2, exactly(formatted(gangRuns))},
+	"saved-progress-at-least": {"ID S", "the progress in the gang's last checkpoint", 2, savedProgressAtLeast},
+	"running":                 {"ID N", "its tasks that run, on all machines", 2, exactly(formatted(runningTasks))},
+	"per-machine-at-most": {"ID N", "the most of its tasks that run on one machine", 2,
+		atMost(mostOnOneMachine)},
+	"placement": {"ID INDEX MACHINE", "the machine on which the task runs", 3,
+		exactly(machineOfTask)},
+	"disruptions-at-least": {"N", "disruptions of tasks in the workers' logs", 1, atLeast(disruptions)},
+	"commanded-disruptions-at-most": {"N", "disruptions in the workers' logs that began with a command", 1,
+		atMost(commandedDisruptions)},
 
 	// Controllers.
-	"leader":  {"MEMBER|any|none", "the member that leads", 1, leads},
-	"moved":   {"MEMBER", "another member than this leads", 1, moved},
-	"healthy": {"MEMBER yes|no", "whether the controller counts itself as healthy", 2, exactly(healthy)},
+	"leader":            {"MEMBER|any|none", "the controller that leads", 1, leaderIs},
+	"leader-other-than": {"MEMBER", "another member leads", 1, leaderOtherThan},
+	"healthy":           {"MEMBER yes|no", "whether the controller reports that it is healthy", 2, exactly(healthy)},
 
 	// Machines and the cloud.
-	"machines": {"N", "machines that the cloud has, in any state", 1, exactly(count(machineCount))},
-	"zone":     {"ZONE N", "machines in the zone", 2, exactly(count(machinesInZone))},
-	"rented":   {"N", "machines that have been rented", 1, exactly(count(rented))},
-	"orders":   {"MACHINE N", "pushes of commands to the machine, empty ones included", 2, pushesAtMost},
-
-	// The store.
-	"records":  {"PREFIX N", "records whose keys have the prefix", 2, exactly(count(records))},
-	"refusals": {"N", "transactions that were refused as too large", 1, atMost(refusals)},
+	"machines": {"N", "machines that the cloud has, in any state", 1, exactly(formatted(machineCount))},
+	"machines-in-zone": {"ZONE N", "machines that the cloud has in the zone", 2,
+		exactly(formatted(machinesInZone))},
+	"rented": {"N", "machines that have been rented so far", 1, exactly(formatted(rented))},
+	"command-pushes-at-most": {"MACHINE N", "pushes of commands to the machine, including empty ones", 2,
+		commandPushesAtMost},
+
+	// The key-value store.
+	"records": {"PREFIX N", "records whose keys have the prefix", 2,
+		exactly(formatted(recordCount))},
+	"rejected-too-large-at-most": {"N", "transactions that the store rejected as too large", 1,
+		atMost(rejectedTooLarge)},
 
 	// Operators.
-	"drain":  {"NAME state|gone|emptying|blocked VALUE", "what operators see of a drain", 3, testDrain},
-	"spread": {"waits|held|decides VALUE", "what operators see of rebalancing", 2, testRebalancing},
+	"drain":       {"NAME state|gone|emptying|blocked VALUE", "what operators see of a drain", 3, checkDrain},
+	"rebalancing": {"waits-for|held-back|active VALUE", "what operators see of rebalancing", 2, checkRebalancing},
 }
 
-// check returns an error unless a condition holds.
-func (w *world) check(ctx context.Context, words []string) error {
-	found, ok := conditions[words[0]]
+// check returns an error unless the condition holds.
+func (h *harness) check(ctx context.Context, words []string) error {
+	found, ok := conditionDefinitions[words[0]]
 	if !ok {
 		return fmt.Errorf("%w %q", errUnknownCondition, words[0])
 	}
-	if len(words[1:]) < found.least {
-		return fmt.Errorf("%w: %s %s: %s", errMissing, words[0], found.usage, found.help)
+	if len(words[1:]) < found.minArgs {
+		return fmt.Errorf("%w: %s %s: %s", errMissingArguments, words[0], found.usage, found.help)
 	}
-	if err := found.test(ctx, w, words[1:]); err != nil {
+	if err := found.check(ctx, h, words[1:]); err != nil {
 		return fmt.Errorf("%s: %w", strings.Join(words, " "), err)
 	}
 	return nil
 }
 
-// exactly makes a test of what must be as the last word says.
+// exactly returns a check that a value equals the last word.
 func exactly(
-	get func(ctx context.Context, w *world, words []string) (string, error),
-) func(context.Context, *world, []string) error {
-	return func(ctx context.Context, w *world, words []string) error {
-		got, err := get(ctx, w, words)
+	get func(ctx context.Context, h *harness, words []string) (string, error),
+) func(context.Context, *harness, []string) error {
+	return func(ctx context.Context, h *harness, words []string) error {
+		got, err := get(ctx, h, words)
 		if err != nil {
 			return err
 		}
-		if got != last(words) {
-			return fmt.Errorf("it is %q", got)
+		if got != lastWord(words) {
+			return fmt.Errorf("got %q", got)
 		}
 		return nil
 	}
 }
 
-// count makes a number into the text that exactly compares.
-func count(get func(w *world, words []string) int) func(context.Context, *world, []string) (string, error) {
-	return func(_ context.Context, w *world, words []string) (string, error) {
-		return fmt.Sprint(get(w, words)), nil
+// formatted adapts a function that returns a number to one that returns text, for exactly.
+func formatted(get func(h *harness, words []string) int) func(context.Context, *harness, []string) (string, error) {
+	return func(_ context.Context, h *harness, words []string) (string, error) {
+		return fmt.Sprint(get(h, words)), nil
 	}
 }
 
-// atMost makes a test of a number that may be no more than the last word says.
-func atMost(get func(w *world, words []string) int) func(context.Context, *world, []string) error {
-	return func(_ context.Context, w *world, words []string) error {
-		if got := get(w, words); got > integer(last(words)) {
-			return fmt.Errorf("it is %d", got)
+// atMost returns a check that a number does not exceed the last word.
+func atMost(get func(h *harness, words []string) int) func(context.Context, *harness, []string) error {
+	return func(_ context.Context, h *harness, words []string) error {
+		if got := get(h, words); got > parseInteger(lastWord(words)) {
+			return fmt.Errorf("got %d", got)
 		}
 		return nil
 	}
 }
 
-// atLeast makes a test of a number that may be no less than the last word says.
-func atLeast(get func(w *world, words []string) int) func(context.Context, *world, []string) error {
-	return func(_ context.Context, w *world, words []string) error {
-		if got := get(w, words); got < integer(last(words)) {
-			return fmt.Errorf("it is %d", got)
+// atLeast returns a check that a number is not below the last word.
+func atLeast(get func(h *harness, words []string) int) func(context.Context, *harness, []string) error {
+	return func(_ context.Context, h *harness, words []string) error {
+		if got := get(h, words); got < parseInteger(lastWord(words)) {
+			return fmt.Errorf("got %d", got)
 		}
 		return nil
 	}
 }
 
-func last(words []string) string { return words[len(words)-1] }
+func lastWord(words []string) string { return words[len(words)-1] }
 
-func starts(w *world, words []string) int         { return w.checker.TaskStarts(wire.JobID(words[0])) }
-func lateStarts(w *world, _ []string) int         { return w.checker.StartsAfterCancel() }
-func runs(w *world, words []string) int           { return w.checker.GangStarts(wire.JobID(words[0])) }
-func running(w *world, words []string) int        { return len(w.checker.Placements(wire.JobID(words[0]))) }
-func machineCount(w *world, _ []string) int       { return w.cloud.MachineCount() }
-func machinesInZone(w *world, words []string) int { return w.cloud.MachinesInZone(words[0]) }
-func rented(w *world, _ []string) int             { return w.cloud.ScaledOut() }
-func records(w *world, words []string) int        { return w.state.CountKeys(words[0]) }
-func refusals(w *world, _ []string) int           { return w.state.RejectedTooLarge() }
+func starts(h *harness, words []string) int        { return h.checker.TaskStarts(wire.JobID(words[0])) }
+func startsAfterCancel(h *harness, _ []string) int { return h.checker.StartsAfterCancel() }
+func gangRuns(h *harness, words []string) int      { return h.checker.GangStarts(wire.JobID(words[0])) }
+func runningTasks(h *harness, words []string) int {
+	return len(h.checker.Placements(wire.JobID(words[0])))
+}
+func machineCount(h *harness, _ []string) int       { return h.cloud.MachineCount() }
+func machinesInZone(h *harness, words []string) int { return h.cloud.MachinesInZone(words[0]) }
+func rented(h *harness, _ []string) int             { return h.cloud.ScaledOut() }
+func recordCount(h *harness, words []string) int    { return h.state.CountKeys(words[0]) }
+func rejectedTooLarge(h *harness, _ []string) int   { return h.state.RejectedTooLarge() }
 
-// mostOnOneMachine returns how many tasks of a job run on the machine that has most of them.
-func mostOnOneMachine(w *world, words []string) int {
+// mostOnOneMachine returns how many tasks of a job run on the machine that has the most of them.
+func mostOnOneMachine(h *harness, words []string) int {
 	tasks := map[wire.MachineID]int{}
 	most := 0
-	for _, machine := range w.checker.Placements(wire.JobID(words[0])) {
+	for _, machine := range h.checker.Placements(wire.JobID(words[0])) {
 		tasks[machine]++
 		most = max(most, tasks[machine])
 	}
 	return most
 }
 
-func disturbed(w *world, _ []string) int {
-	all, _ := invariant.AuditDisruptions(w.checker.Events(), w.budgets, 0)
+func disruptions(h *harness, _ []string) int {
+	all, _ := invariant.AuditDisruptions(h.checker.Events(), h.budgets, 0)
 	return len(all)
 }
 
-func stopped(w *world, _ []string) int {
-	all, _ := invariant.AuditDisruptions(w.checker.Events(), nil, 0)
+func commandedDisruptions(h *harness, _ []string) int {
+	all, _ := invariant.AuditDisruptions(h.checker.Events(), nil, 0)
 	n := 0
-	for _, disturbance := range all {
-		if disturbance.Commanded {
+	for _, disruption := range all {
+		if disruption.Commanded {
 			n++
 		}
 	}
 	return n
 }
 
-func machineOfTask(_ context.Context, w *world, words []string) (string, error) {
-	return string(w.checker.Placements(wire.JobID(words[0]))[integer(words[1])]), nil
+func machineOfTask(_ context.Context, h *harness, words []string) (string, error) {
+	return string(h.checker.Placements(wire.JobID(words[0]))[parseInteger(words[1])]), nil
 }
 
-// jobStatus returns the status that a controller answers with; if none does, that of the last one asked.
-func jobStatus(ctx context.Context, w *world, words []string) (status string, err error) {
-	for _, member := range w.members {
+// jobStatus returns the status from the first controller that answers with code 200. If none does, it returns the
+// status from the last controller.
+func jobStatus(ctx context.Context, h *harness, words []string) (status string, err error) {
+	for _, member := range h.members {
 		var code int
-		code, status, err = w.poll(ctx, member, wire.JobID(words[0]))
+		code, status, err = h.poll(ctx, member, wire.JobID(words[0]))
 		if err != nil || code == http.StatusOK {
 			return status, err
 		}
@@ -167,21 +180,21 @@
 	return status, nil
 }
 
-func answered(ctx context.Context, w *world, words []string) (string, error) {
+func answered(ctx context.Context, h *harness, words []string) (string, error) {
 	got := "yes"
-	for _, member := range w.members {
-		if !w.nodes[member].running() {
+	for _, member := range h.members {
+		if !h.controllers[member].running() {
 			continue
 		}
-		if code, _, err := w.poll(ctx, member, wire.JobID(words[0])); err != nil || code != http.StatusOK {
+		if code, _, err := h.poll(ctx, member, wire.JobID(words[0])); err != nil || code != http.StatusOK {
 			got = "not by " + member
 		}
 	}
 	return got, nil
 }
 
-func healthy(ctx context.Context, w *world, words []string) (string, error) {
-	code, _, err := w.request(ctx, http.MethodGet, w.member(words[0]), wire.PathHealth, nil)
+func healthy(ctx context.Context, h *harness, words []string) (string, error) {
+	code, _, err := h.request(ctx, http.MethodGet, h.resolveMember(words[0]), wire.PathHealth, nil)
 	if err != nil {
 		return "", err
 	}
@@ -191,35 +204,35 @@
 	return "no", nil
 }
 
-func leads(_ context.Context, w *world, words []string) error {
-	got, want := w.leader(), words[0]
+func leaderIs(_ context.Context, h *harness, words []string) error {
+	got, want := h.leader(), words[0]
 	if got == want || want == "any" && got != "" || want == "none" && got == "" {
 		return nil
 	}
-	return fmt.Errorf("it is %q", got)
+	return fmt.Errorf("got %q", got)
 }
 
-func moved(_ context.Context, w *world, words []string) error {
-	if got := w.leader(); got == "" || got == words[0] {
+func leaderOtherThan(_ context.Context, h *harness, words []string) error {
+	if got := h.leader(); got == "" || got == words[0] {
 		return fmt.Errorf("the leader is %q", got)
 	}
 	return nil
 }
 
-func savedAtLeast(_ context.Context, w *world, words []string) error {
-	if saved := w.workers.Gangs.SavedProgress(wire.JobID(words[0])); saved < secondsOf(words[1]) {
-		return fmt.Errorf("it is %s", saved)
+func savedProgressAtLeast(_ context.Context, h *harness, words []string) error {
+	if saved := h.workers.Gangs.SavedProgress(wire.JobID(words[0])); saved < parseSeconds(words[1]) {
+		return fmt.Errorf("got %s", saved)
 	}
 	return nil
 }
 
-func pushesAtMost(_ context.Context, w *world, words []string) error {
-	machine := w.cloud.Worker(wire.MachineID(words[0]))
+func commandPushesAtMost(_ context.Context, h *harness, words []string) error {
+	machine := h.cloud.Worker(wire.MachineID(words[0]))
 	if machine == nil {
 		return fmt.Errorf("no machine %q", words[0])
 	}
-	if got := machine.CommandPushes(); got > integer(words[1]) {
-		return fmt.Errorf("it is %d", got)
+	if got := machine.CommandPushes(); got > parseInteger(words[1]) {
+		return fmt.Errorf("got %d", got)
 	}
 	return nil
 }
--- a/internal/scenario/drains.go
+++ b/internal/scenario/drains.go
@@ -12,10 +12,10 @@
 	"saffronbend/internal/operator/operatorpb/operatorpbconnect"
 )
 
-// drain carries out an operator's command about a drain at a controller.
-func (w *world) drain(ctx context.Context, args arguments) error {
-	words, member := w.cutMember(args.words)
-	client, closeIdle := operator.NewDrainClient(w.operators.Dial, w.nodes[member].ip+":"+clusterPort)
+// drain sends an operator's command about a drain to a controller.
+func (h *harness) drain(ctx context.Context, args arguments) error {
+	words, member := h.splitMember(args.words)
+	client, closeIdle := operator.NewDrainClient(h.operators.Dial, h.controllers[member].ip+":"+clusterPort)
 	defer closeIdle()
 	name := words[1]
 	named := connect.NewRequest(&operatorpb.NamedDrainRequest{Name: name})
@@ -51,13 +51,13 @@
 			request.Zone = value
 		case "type":
 			request.Type = value
-		case "older":
-			request.OlderThanS = number(value)
+		case "older-than":
+			request.OlderThanS = parseNumber(value)
 		case "step":
-			request.Step = uint32(number(value))
+			request.Step = uint32(parseNumber(value))
 		case "deadline":
-			request.DeadlineS = number(value)
-		case "evict":
+			request.DeadlineS = parseNumber(value)
+		case "evict-at-deadline":
 			request.EvictAtDeadline = true
 		case "budget": // TEAM:LIMIT
 			team, limit, _ := strings.Cut(value, ":")
@@ -69,23 +69,23 @@
 	return request, nil
 }
 
-// drainStatus asks for a drain.
-func (w *world) drainStatus(ctx context.Context, name string) (*operatorpb.DrainStatus, error) {
+// drainStatus requests the status of a drain.
+func (h *harness) drainStatus(ctx context.Context, name string) (*operatorpb.DrainStatus, error) {
 	get := func(
 		ctx context.Context, client operatorpbconnect.DrainServiceClient,
 	) (*connect.Response[operatorpb.GetDrainsResponse], error) {
 		return client.GetDrains(ctx, connect.NewRequest(&operatorpb.GetDrainsRequest{Name: name}))
 	}
-	response, err := askEach(ctx, w, operator.NewDrainClient, get)
+	response, err := askAnyController(ctx, h, operator.NewDrainClient, get)
 	if err != nil {
 		return nil, err
 	}
 	return response.Drains[0], nil
 }
 
-// testDrain tests a condition of a drain. Words of reasons are joined by "_".
-func testDrain(ctx context.Context, w *world, words []string) error {
-	status, err := w.drainStatus(ctx, words[0])
+// checkDrain checks a condition of a drain. In the expected reason, "_" stands for a space.
+func checkDrain(ctx context.Context, h *harness, words []string) error {
+	status, err := h.drainStatus(ctx, words[0])
 	if err != nil {
 		return err
 	}
@@ -97,10 +97,10 @@
 		got = fmt.Sprint(status.Gone)
 	case "emptying":
 		got = fmt.Sprint(status.Emptying)
-	case "blocked": // some machine, with a reason that contains the words
+	case "blocked": // holds if the reason of some blocked machine contains the text
 		for _, blocked := range status.Blocked {
 			got += blocked.Machine + " " + blocked.Team + ": " + blocked.Reason + "; "
-			if strings.Contains(blocked.Reason, spaced(want)) {
+			if strings.Contains(blocked.Reason, withSpaces(want)) {
 				return nil
 			}
 		}
@@ -108,7 +108,7 @@
 		return errUnknownWord
 	}
 	if got != want {
-		return fmt.Errorf("it is %q (%v)", got, status.Blocked)
+		return fmt.Errorf("got %q (blocked machines: %v)", got, status.Blocked)
 	}
 	return nil
 }
--- a/internal/scenario/drains/drains_test.go
+++ b/internal/scenario/drains/drains_test.go
@@ -1,4 +1,4 @@
-// Package drains holds the scenarios of drains, with faults in all of their steps.
+// Package drains holds the scenarios of drains, with faults in every step of a drain.
 package drains
 
 import (
--- a/internal/scenario/expectations.go
+++ b/internal/scenario/expectations.go
@@ -11,59 +11,59 @@
 )
 
 const (
-	// checkInterval is how often a condition is checked that is waited for.
+	// checkInterval is the time between two checks of a condition that a step waits for.
 	checkInterval = 100 * time.Millisecond
-	// readyTimeout bounds how long controllers may take to start, and then to elect a leader.
+	// readyTimeout bounds the time for each controller to become healthy, and then for the election of a leader.
 	readyTimeout = 10 * time.Second
 )
 
-// errHolds is the error of a condition that must never hold.
-var errHolds = errors.New("the condition holds")
+// errConditionHolds is the error of a condition that holds although it must not.
+var errConditionHolds = errors.New("the condition holds")
 
-// errUnknownCondition is the error of a condition that is not in the table.
+// errUnknownCondition is the error of a condition that conditionDefinitions does not contain.
 var errUnknownCondition = errors.New("unknown condition")
 
-func (w *world) ready(ctx context.Context, _ arguments) error {
-	for _, member := range w.members {
-		if err := w.waitFor(ctx, readyTimeout, "healthy", member, "yes"); err != nil {
+func (h *harness) ready(ctx context.Context, _ arguments) error {
+	for _, member := range h.members {
+		if err := h.waitFor(ctx, readyTimeout, "healthy", member, "yes"); err != nil {
 			return err
 		}
 	}
-	return w.waitFor(ctx, readyTimeout, "leader", "any")
+	return h.waitFor(ctx, readyTimeout, "leader", "any")
 }
 
-func (w *world) wait(_ context.Context, args arguments) error {
-	time.Sleep(secondsOf(args.words[0]))
+func (h *harness) wait(_ context.Context, args arguments) error {
+	time.Sleep(parseSeconds(args.words[0]))
 	return nil
 }
 
-func (w *world) until(ctx context.Context, args arguments) error {
-	return w.waitFor(ctx, secondsOf(args.words[0]), args.words[1:]...)
+func (h *harness) until(ctx context.Context, args arguments) error {
+	return h.waitFor(ctx, parseSeconds(args.words[0]), args.words[1:]...)
 }
 
-func (w *world) never(ctx context.Context, args arguments) error {
-	end := time.Now().Add(secondsOf(args.words[0]))
+func (h *harness) never(ctx context.Context, args arguments) error {
+	end := time.Now().Add(parseSeconds(args.words[0]))
 	for ; time.Now().Before(end); time.Sleep(checkInterval) {
-		err := w.check(ctx, args.words[1:])
+		err := h.check(ctx, args.words[1:])
 		if err == nil {
-			return errHolds
+			return errConditionHolds
 		}
-		if errors.Is(err, errUnknownCondition) || errors.Is(err, errMissing) {
-			return err // such a condition could never hold
+		if errors.Is(err, errUnknownCondition) || errors.Is(err, errMissingArguments) {
+			return err // the condition is malformed and could never hold
 		}
 	}
 	return nil
 }
 
-func (w *world) checkNow(ctx context.Context, args arguments) error {
-	return w.check(ctx, args.words)
+func (h *harness) checkNow(ctx context.Context, args arguments) error {
+	return h.check(ctx, args.words)
 }
 
-// waitFor waits until a condition holds. After the timeout it returns what is wanting.
-func (w *world) waitFor(ctx context.Context, timeout time.Duration, condition ...string) error {
+// waitFor waits until a condition holds. After the timeout it returns the error of the last check.
+func (h *harness) waitFor(ctx context.Context, timeout time.Duration, condition ...string) error {
 	end := time.Now().Add(timeout)
 	for {
-		err := w.check(ctx, condition)
+		err := h.check(ctx, condition)
 		if err == nil || !time.Now().Before(end) {
 			return err
 		}
@@ -71,45 +71,45 @@
 	}
 }
 
-// calm lets time pass without faults: each accepted job must be answered for by every controller that runs, and none
-// may wait beside room.
-func (w *world) calm(ctx context.Context, args arguments) error {
+// checkRecovery checks the system for a while after faults: every running controller must answer polls of each accepted
+// job, with no gap longer than answerTimeout, and no job may wait while machines have room for it.
+func (h *harness) checkRecovery(ctx context.Context, args arguments) error {
 	const (
-		interval  = 5 * time.Second
-		forgotten = 75 * time.Second
+		interval      = 5 * time.Second
+		answerTimeout = 75 * time.Second
 	)
-	begun := time.Now()
-	answered := map[wire.JobID]time.Time{} // when a job was last answered for, by its id
-	for end := begun.Add(secondsOf(args.words[0])); time.Now().Before(end); time.Sleep(interval) {
-		for _, id := range w.checker.AcceptedJobs() {
-			everywhere, err := w.answeredEverywhere(ctx, id)
+	start := time.Now()
+	answered := map[wire.JobID]time.Time{} // when all running controllers last answered for a job
+	for end := start.Add(parseSeconds(args.words[0])); time.Now().Before(end); time.Sleep(interval) {
+		for _, id := range h.checker.AcceptedJobs() {
+			everywhere, err := h.answeredEverywhere(ctx, id)
 			if err != nil {
 				return err
 			}
 			since, before := answered[id]
 			if !before {
-				since = begun
+				since = start
 			}
 			if everywhere {
 				answered[id] = time.Now()
-			} else if time.Since(since) > forgotten {
-				return fmt.Errorf("no question about %s is answered for %s", id, time.Since(since))
+			} else if time.Since(since) > answerTimeout {
+				return fmt.Errorf("the controllers have not all answered a poll of %s for %s", id, time.Since(since))
 			}
 		}
-		w.checker.CheckStarvation(w.cloud.RunningMachines())
+		h.checker.CheckStarvation(h.cloud.RunningMachines())
 	}
 	return nil
 }
 
-// answeredEverywhere reports whether every controller that runs answers for a job.
-func (w *world) answeredEverywhere(ctx context.Context, id wire.JobID) (bool, error) {
+// answeredEverywhere reports whether every running controller answers a poll of a job with code 200.
+func (h *harness) answeredEverywhere(ctx context.Context, id wire.JobID) (bool, error) {
 	everywhere := true
-	for _, member := range w.members {
-		code, _, err := w.poll(ctx, member, id)
+	for _, member := range h.members {
+		code, _, err := h.poll(ctx, member, id)
 		if err != nil {
 			return false, err
 		}
-		if code != http.StatusOK && w.nodes[member].running() {
+		if code != http.StatusOK && h.controllers[member].running() {
 			everywhere = false
 		}
 	}
--- a/internal/scenario/gangs/gangs_test.go
+++ b/internal/scenario/gangs/gangs_test.go
@@ -1,4 +1,4 @@
-// Package gangs holds the scenarios of gangs, whose tasks run together or not at all.
+// Package gangs holds the scenarios of gangs: jobs whose tasks all run at the same time or not at all.
 package gangs
 
 import (
--- a/internal/scenario/leaders/leaders_test.go
+++ b/internal/scenario/leaders/leaders_test.go
@@ -1,5 +1,4 @@
-// Package leaders holds the scenarios in which controllers fail, are cut off or lose their workers, and leadership
-// changes.
+// Package leaders holds the scenarios in which controllers crash, restart or are partitioned, and leadership changes.
 package leaders
 
 import (
--- a/internal/scenario/loopback/burst_test.go
+++ b/internal/scenario/loopback/burst_test.go
@@ -1,4 +1,4 @@
-// Package loopback holds the scenarios that are played over real connections on the loopback interface, in real time.
+// Package loopback holds the scenarios that run over real connections on the loopback interface, in real time.
 package loopback
 
 import (
@@ -19,22 +19,23 @@
 	"saffronbend/wire"
 )
 
-// Figures of the burst scenario.
+// Parameters of the scenario rebalancing-burst.
 const (
 	burstMachines = 24
-	// burstBounce is the cooldown of a task in its options, less what the first of two orders may have been late by.
-	burstBounce = 6*time.Second - 2*time.Second
-	burstSample = 500 * time.Millisecond
+	// bounceTime is the shortest time allowed between two moves of a task: the task cooldown in the scenario's options,
+	// 6 s, less 2 s by which the first of two commands may have been late.
+	bounceTime     = 6*time.Second - 2*time.Second
+	sampleInterval = 500 * time.Millisecond
 )
 
-// burst reads the scenario of a burst; off: with moves switched off.
-func burst(t *testing.T, off bool) *scenario.Scenario {
+// readBurst reads the scenario rebalancing-burst, on request with rebalancing disabled in its options.
+func readBurst(t *testing.T, disabled bool) *scenario.Scenario {
 	t.Helper()
-	data, err := os.ReadFile("testdata/spread-burst.txtar")
+	data, err := os.ReadFile("testdata/rebalancing-burst.txtar")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if off {
+	if disabled {
 		data = bytes.ReplaceAll(data, []byte("spread { enabled: true"), []byte("spread { enabled: false"))
 	}
 	s, err := scenario.Parse(data)
@@ -44,25 +45,27 @@
 	return s
 }
 
-// TestBurstOnLoopback plays a burst over real connections and writes the load of each machine over time, by team. The
-// runner holds the workers' logs against the disruption budgets.
+// Guards against tasks that are not moved, or moved back and forth, while the load changes. TestBurstOnLoopback runs
+// the scenario over real connections and logs the load of each machine over time, by team. The scenario runner checks
+// the workers' logs against the disruption budgets.
 func TestBurstOnLoopback(t *testing.T) {
 	var logs bytes.Buffer
-	events, err := burst(t, false).PlayOn(t.Context(), newLoopback(t), &logs)
+	events, err := readBurst(t, false).RunOn(t.Context(), newLoopback(t), &logs)
 	if err != nil {
 		t.Log(logs.String())
 		t.Fatal(err)
 	}
 	logLoads(t, events)
-	sum := worklog.SummarizeRebalancing(events, burstMachines, burstSample, burstBounce)
-	t.Logf("%+v", sum)
+	summary := worklog.SummarizeRebalancing(events, burstMachines, sampleInterval, bounceTime)
+	t.Logf("%+v", summary)
 	logWaits(t, events)
-	if sum.Moves == 0 || sum.RepeatedMoves > 0 {
-		t.Errorf("%d moves, %d of them of tasks that had been moved within the cooldown", sum.Moves, sum.RepeatedMoves)
+	if summary.Moves == 0 || summary.RepeatedMoves > 0 {
+		t.Errorf("%d moves, %d of them of tasks that had been moved within the cooldown",
+			summary.Moves, summary.RepeatedMoves)
 	}
 }
 
-// newLoopback makes a network with real connections.
+// newLoopback returns a network with real connections.
 func newLoopback(t *testing.T) *fake.Network {
 	t.Helper()
 	network, err := fake.NewLoopback()
@@ -72,7 +75,7 @@
 	return network
 }
 
-// logWaits writes how long each team's tasks waited.
+// logWaits logs how long each team's tasks waited.
 func logWaits(t *testing.T, events []worklog.Event) {
 	t.Helper()
 	for team, waits := range worklog.WaitTimes(events) {
@@ -80,13 +83,13 @@
 	}
 }
 
-// quantiles returns the quantiles of times in milliseconds.
+// quantiles formats the quantiles of times in milliseconds.
 func quantiles(times *hdrhistogram.Histogram) string {
 	p50, p90 := times.ValueAtQuantile(50), times.ValueAtQuantile(90)
 	return fmt.Sprintf("p50 %d ms, p90 %d ms, at most %d ms", p50, p90, times.Max())
 }
 
-// logLoads writes a line for each second and a column for each machine: the tasks of red and of blue on it.
+// logLoads logs a line for each second with a column for each machine: the tasks of teams red and blue on it.
 func logLoads(t *testing.T, events []worklog.Event) {
 	t.Helper()
 	samples := worklog.SampleLoad(events, time.Second)
@@ -109,35 +112,37 @@
 	}
 }
 
-// TestBurstOnAndOff plays the burst with moves and without, on simulated machines. Moves reduce the imbalance, and
-// don't bounce.
-func TestBurstOnAndOff(t *testing.T) {
+// Guards against moves that don't reduce the imbalance, or that move a task again within the cooldown.
+// TestBurstWithAndWithoutRebalancing runs the burst with rebalancing enabled and disabled, on the simulated network.
+func TestBurstWithAndWithoutRebalancing(t *testing.T) {
 	const repeats = 3
 	var imbalance [2]float64
 	for n := range repeats {
-		for i, off := range []bool{false, true} {
+		for i, disabled := range []bool{false, true} {
 			var events []worklog.Event
 			var err error
 			var logs bytes.Buffer
-			played := burst(t, off)
+			variant := readBurst(t, disabled)
 			synctest.Test(t, func(t *testing.T) {
-				events, err = played.PlayOn(t.Context(), fake.NewNetwork(), &logs)
+				events, err = variant.RunOn(t.Context(), fake.NewNetwork(), &logs)
 			})
 			if err != nil {
 				t.Log(logs.String())
 				t.Fatal(err)
 			}
-			sum := worklog.SummarizeRebalancing(events, burstMachines, burstSample, burstBounce)
-			t.Logf("repeat %d, moves off: %v: %+v", n, off, sum)
+			summary := worklog.SummarizeRebalancing(events, burstMachines, sampleInterval, bounceTime)
+			t.Logf("repeat %d, rebalancing disabled: %v: %+v", n, disabled, summary)
 			logWaits(t, events)
-			imbalance[i] += sum.Imbalance / repeats
-			if off && sum.Moves > 0 || sum.RepeatedMoves > 0 {
-				t.Errorf("%d moves, %d bounces", sum.Moves, sum.RepeatedMoves)
+			imbalance[i] += summary.Imbalance / repeats
+			if disabled && summary.Moves > 0 || summary.RepeatedMoves > 0 {
+				t.Errorf("%d moves, %d of them of tasks that had been moved within the cooldown",
+					summary.Moves, summary.RepeatedMoves)
 			}
 		}
 	}
-	const least = 0.9
-	if imbalance[0] > least*imbalance[1] {
-		t.Errorf("imbalance %.2f with moves, %.2f without", imbalance[0], imbalance[1])
+	const maxRatio = 0.9
+	if imbalance[0] > maxRatio*imbalance[1] {
+		t.Errorf("imbalance %.2f with rebalancing, %.2f without; want at most %.1f times as much",
+			imbalance[0], imbalance[1], maxRatio)
 	}
 }
--- a/internal/scenario/machines/machines_test.go
+++ b/internal/scenario/machines/machines_test.go
@@ -1,4 +1,4 @@
-// Package machines holds the scenarios in which machines, their links or the cloud fail, and that of a whole fleet.
+// Package machines holds the scenarios in which machines, their links or the cloud fail, and one with a large fleet.
 package machines
 
 import (
--- a/internal/scenario/operators.go
+++ b/internal/scenario/operators.go
@@ -11,21 +11,21 @@
 	"saffronbend/internal/operator"
 )
 
-// askEach asks the controllers that run, one after another, until one answers.
-func askEach[Client, Message any](
-	ctx context.Context, w *world,
+// askAnyController sends an operator's request to the running controllers, one after another, until one responds.
+func askAnyController[Client, Message any](
+	ctx context.Context, h *harness,
 	newClient func(dial call.Dialer, addr string) (Client, func()),
 	ask func(context.Context, Client) (*connect.Response[Message], error),
 ) (*Message, error) {
 	const timeout = 5 * time.Second
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	err := errNotRunning
-	for _, member := range w.members {
-		if !w.nodes[member].running() {
+	err := errNoController
+	for _, member := range h.members {
+		if !h.controllers[member].running() {
 			continue
 		}
-		client, closeIdle := newClient(w.operators.Dial, w.nodes[member].ip+":"+clusterPort)
+		client, closeIdle := newClient(h.operators.Dial, h.controllers[member].ip+":"+clusterPort)
 		var response *connect.Response[Message]
 		response, err = ask(ctx, client)
 		closeIdle()
@@ -36,18 +36,18 @@
 	return nil, err
 }
 
-// compareOutcome compares the outcome of an operator's command with the code that is wanted, or "ok".
+// compareOutcome compares the outcome of an operator's command, "ok" or an error code, with the expected one.
 func compareOutcome(err error, want string) error {
 	got := "ok"
 	if err != nil {
 		got = connect.CodeOf(err).String()
 		_, hasDelay := operator.RetryAfter(err)
 		if got == connect.CodeUnavailable.String() && !hasDelay {
-			return fmt.Errorf("unavailable does not say when to come back: %w", err)
+			return fmt.Errorf("code unavailable without a delay after which to retry: %w", err)
 		}
 	}
 	if want != "" && got != want {
-		return fmt.Errorf("answer %s (%w), want %s", got, err, want)
+		return fmt.Errorf("outcome %s (%w), want %s", got, err, want)
 	}
 	return nil
 }
--- a/internal/scenario/placement/placement_test.go
+++ b/internal/scenario/placement/placement_test.go
@@ -1,4 +1,4 @@
-// Package placement holds the scenarios of ordinary work: where tasks go, whose turn it is, and the limits of teams.
+// Package placement holds the scenarios of the placement of tasks: constraints, priorities and the limits of teams.
 package placement
 
 import (
--- a/internal/scenario/rebalancing.go
+++ b/internal/scenario/rebalancing.go
@@ -12,10 +12,10 @@
 	"saffronbend/internal/operator/operatorpb/operatorpbconnect"
 )
 
-// rebalancing carries out an operator's command about rebalancing at a controller.
-func (w *world) rebalancing(ctx context.Context, args arguments) error {
-	words, member := w.cutMember(args.words)
-	client, closeIdle := operator.NewRebalancingClient(w.operators.Dial, w.nodes[member].ip+":"+clusterPort)
+// rebalancing sends an operator's command about rebalancing to a controller.
+func (h *harness) rebalancing(ctx context.Context, args arguments) error {
+	words, member := h.splitMember(args.words)
+	client, closeIdle := operator.NewRebalancingClient(h.operators.Dial, h.controllers[member].ip+":"+clusterPort)
 	defer closeIdle()
 	change := connect.NewRequest(&operatorpb.ChangeSpreadRequest{})
 	var err error
@@ -32,36 +32,36 @@
 	return compareOutcome(err, args.want)
 }
 
-// rebalancingStatus asks for the load and the moves.
-func (w *world) rebalancingStatus(ctx context.Context) (*operatorpb.SpreadStatus, error) {
+// rebalancingStatus requests the load of the machines and the status of moves.
+func (h *harness) rebalancingStatus(ctx context.Context) (*operatorpb.SpreadStatus, error) {
 	get := func(
 		ctx context.Context, client operatorpbconnect.SpreadServiceClient,
 	) (*connect.Response[operatorpb.SpreadStatus], error) {
 		return client.GetSpread(ctx, connect.NewRequest(&operatorpb.GetSpreadRequest{}))
 	}
-	return askEach(ctx, w, operator.NewRebalancingClient, get)
+	return askAnyController(ctx, h, operator.NewRebalancingClient, get)
 }
 
-// testRebalancing tests a condition of the load and the moves. Words of reasons are joined by "_".
-func testRebalancing(ctx context.Context, w *world, words []string) error {
-	status, err := w.rebalancingStatus(ctx)
+// checkRebalancing checks a condition of rebalancing. In the expected reason, "_" stands for a space.
+func checkRebalancing(ctx context.Context, h *harness, words []string) error {
+	status, err := h.rebalancingStatus(ctx)
 	if err != nil {
 		return err
 	}
-	want := spaced(words[1])
+	want := withSpaces(words[1])
 	var got []string
 	switch words[0] {
-	case "waits": // for something that contains the words
+	case "waits-for": // holds if the reason why no moves are decided on contains the text
 		got = []string{status.WaitsFor}
-	case "held": // some task, with a reason that contains the words
+	case "held-back": // holds if the reason why some task is not moved contains the text
 		for _, held := range status.Held {
 			got = append(got, held.Reason)
 		}
-	case "decides":
+	case "active":
 		if status.WaitsFor == "" && words[1] == "yes" {
 			return nil
 		}
-		return fmt.Errorf("moves wait for %q", status.WaitsFor)
+		return fmt.Errorf("no moves are decided on: %q", status.WaitsFor)
 	default:
 		return errUnknownWord
 	}
@@ -70,8 +70,8 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("it is %q", got)
+	return fmt.Errorf("got %q", got)
 }
 
-// spaced returns the words of a reason, which are joined by "_" in a scenario.
-func spaced(words string) string { return strings.ReplaceAll(words, "_", " ") }
+// withSpaces returns the text of a reason, in which a scenario writes "_" for each space.
+func withSpaces(words string) string { return strings.ReplaceAll(words, "_", " ") }
--- a/internal/scenario/rebalancing/rebalancing_test.go
+++ b/internal/scenario/rebalancing/rebalancing_test.go
@@ -1,4 +1,4 @@
-// Package rebalancing holds the scenarios in which running tasks are moved to even out the load.
+// Package rebalancing holds the scenarios in which running tasks are moved to balance the load of machines.
 package rebalancing
 
 import (
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -10,22 +10,22 @@
 	"testing/synctest"
 )
 
-// extension is that of the files that hold scenarios.
+// extension is the file name extension of scenarios.
 const extension = ".txtar"
 
-// Run plays every scenario of a directory as a subtest, and every variant of one with a sweep as a subtest of that. The
-// log of the controllers is shown for those that fail, and with -v.
+// Run runs every scenario of a directory as a subtest, and every variant of a scenario with a sweep as a subtest of
+// that subtest. The controllers' log is shown for scenarios that fail, and with -v.
 //
-// It is for one test in each of the test packages below this one. They are packages, not tests of one package, since Go
-// runs the tests of several packages in several processes.
+// Each of the test packages below this one calls Run in one test. The scenarios are divided into packages because Go
+// runs the tests of different packages in parallel processes.
 func Run(t *testing.T, dir string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*"+extension))
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no scenarios in %s: %v", dir, err)
 	}
-	// With thousands of timers in one bubble, several threads make the race detector's runtime crash; and one makes the
-	// order of events vary less.
+	// With thousands of timers in one synctest bubble, several threads make the race detector's runtime crash. One
+	// thread also makes the order of events vary less.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), extension)
@@ -47,7 +47,7 @@
 	return scenario
 }
 
-// runVariants plays a scenario without a sweep in the test itself, and each variant of one with a sweep in a subtest.
+// runVariants runs a scenario without a sweep in the test itself, and each variant of one with a sweep in a subtest.
 func runVariants(t *testing.T, scenario *Scenario) {
 	t.Helper()
 	names, variants := scenario.Variants()
@@ -66,7 +66,7 @@
 	var err error
 	synctest.Test(t, func(t *testing.T) {
 		t.Helper()
-		err = scenario.Play(t.Context(), &logs)
+		err = scenario.Run(t.Context(), &logs)
 	})
 	if err != nil || testing.Verbose() {
 		t.Log(logs.String())
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,9 +1,9 @@
-// Package scenario plays scenarios: small text files that say what machines there are, what users do and what goes
-// wrong, and what must come of it. Whole controllers run against fakes of the store, the cloud and the workers on a
-// virtual clock; a checker watches the invariants of the protocol throughout.
+// Package scenario runs scenarios: small text files that describe a cluster, the requests of users, the faults to
+// inject, and the results to expect. Complete controllers run against fakes of the key-value store, the cloud and the
+// workers on a virtual clock, while a checker verifies the invariants of the protocol.
 //
-// A scenario is a txtar archive with the sections `world`, `steps` and, if need be, `options`, `records` and `sweep`.
-// README.md lists the words that they may use. The scenarios lie in the test packages below this one.
+// A scenario is a txtar archive with the sections `cluster`, `steps` and, optionally, `options`, `records` and `sweep`.
+// README.md documents the words that they may use. The scenarios are in the test packages below this one.
 package scenario
 
 import (
@@ -16,36 +16,36 @@
 
 // The sections of a scenario.
 const (
-	sectionWorld   = "world"
+	sectionCluster = "cluster"
 	sectionSteps   = "steps"
 	sectionOptions = "options"
 	sectionRecords = "records"
 	sectionSweep   = "sweep"
 )
 
-// commentMark begins a comment, which ends with the line.
+// commentMark starts a comment, which extends to the end of the line.
 const commentMark = "#"
 
-// Scenario is a parsed file.
+// Scenario is a parsed scenario file.
 type Scenario struct {
-	world, steps, records []string
-	options               []byte
-	sweep                 []variable
+	cluster, steps, records []string
+	options                 []byte
+	sweep                   []sweepVariable
 }
 
-// variable is a line of the sweep: the scenario is played with each of the values in the place of $name.
-type variable struct {
+// sweepVariable is a line of the section sweep: the scenario is run once with each of the values in place of $name.
+type sweepVariable struct {
 	name   string
 	values []string
 }
 
-// Parse reads a scenario.
+// Parse parses a scenario file.
 func Parse(data []byte) (*Scenario, error) {
 	scenario := new(Scenario)
 	for _, file := range txtar.Parse(data).Files {
 		switch file.Name {
-		case sectionWorld:
-			scenario.world = lines(file.Data)
+		case sectionCluster:
+			scenario.cluster = lines(file.Data)
 		case sectionSteps:
 			scenario.steps = lines(file.Data)
 		case sectionOptions:
@@ -55,7 +55,7 @@
 		case sectionSweep: // NAME VALUE | VALUE ...
 			for _, line := range lines(file.Data) {
 				name, values, _ := strings.Cut(line, " ")
-				scenario.sweep = append(scenario.sweep, variable{name, strings.Split(values, "|")})
+				scenario.sweep = append(scenario.sweep, sweepVariable{name, strings.Split(values, "|")})
 			}
 		default:
 			return nil, fmt.Errorf("unknown section %q", file.Name)
@@ -67,8 +67,8 @@
 	return scenario, nil
 }
 
-// Variants returns the scenario for each choice of values of its sweep, with what is chosen as its name. A scenario
-// without a sweep has itself as its only variant, without a name.
+// Variants returns a variant of the scenario for each combination of values of its sweep, named after the variables and
+// their values. A scenario without a sweep is its own only variant, with an empty name.
 func (s *Scenario) Variants() (names []string, variants []*Scenario) {
 	names, variants = []string{""}, []*Scenario{s}
 	for _, swept := range s.sweep {
@@ -78,7 +78,7 @@
 			for _, value := range swept.values {
 				value = strings.TrimSpace(value)
 				nextNames = append(nextNames, strings.TrimSpace(names[i]+" "+swept.name+" "+value))
-				nextVariants = append(nextVariants, base.with(swept.name, value))
+				nextVariants = append(nextVariants, base.withValue(swept.name, value))
 			}
 		}
 		names, variants = nextNames, nextVariants
@@ -86,16 +86,16 @@
 	return names, variants
 }
 
-// with returns a copy of the scenario with a value in the place of $name.
-func (s *Scenario) with(name, value string) *Scenario {
+// withValue returns a copy of the scenario with a value in place of $name.
+func (s *Scenario) withValue(name, value string) *Scenario {
 	variant := *s
-	variant.world = replace(s.world, "$"+name, value)
-	variant.steps = replace(s.steps, "$"+name, value)
+	variant.cluster = substitute(s.cluster, "$"+name, value)
+	variant.steps = substitute(s.steps, "$"+name, value)
 	return &variant
 }
 
-// replace puts a value, which may be several steps separated by semicolons, in a variable's place.
-func replace(lines []string, name, value string) []string {
+// substitute replaces a variable by its value, which may consist of several steps, separated by semicolons.
+func substitute(lines []string, name, value string) []string {
 	var out []string
 	for _, line := range lines {
 		for _, part := range strings.Split(strings.ReplaceAll(line, name, value), ";") {
@@ -107,7 +107,7 @@
 	return out
 }
 
-// lines returns the lines of a section that are left without comments and space.
+// lines returns the lines of a section without comments and surrounding space, and leaves out empty ones.
 func lines(section []byte) []string {
 	var out []string
 	for line := range strings.Lines(string(section)) {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -8,43 +8,43 @@
 	"testing"
 )
 
-// README.md explains every word that a scenario may use, and every entry of the tables has a help text.
-func TestWordsAreExplained(t *testing.T) {
+// README.md must document every word that a scenario may use, and every definition must have a help text.
+func TestReadmeDocumentsEveryWord(t *testing.T) {
 	readme, err := os.ReadFile("README.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	explained := func(kind, word string) {
+	documented := func(kind, word string) {
 		t.Helper()
 		if !regexp.MustCompile(`\b` + regexp.QuoteMeta(word) + `\b`).Match(readme) {
 			t.Errorf("%s %q is not in README.md", kind, word)
 		}
 	}
-	for word, entry := range commands {
-		explained("step", word)
+	for word, entry := range stepDefinitions {
+		documented("step", word)
 		if entry.help == "" {
 			t.Errorf("step %q has no help text", word)
 		}
 	}
-	for word, entry := range conditions {
-		explained("condition", word)
+	for word, entry := range conditionDefinitions {
+		documented("condition", word)
 		if entry.help == "" {
 			t.Errorf("condition %q has no help text", word)
 		}
 	}
 	for _, faults := range []map[string]serviceFault{stateFaults, cloudFaults} {
 		for word, entry := range faults {
-			explained("fault", word)
+			documented("fault", word)
 			if entry.help == "" {
 				t.Errorf("fault %q has no help text", word)
 			}
 		}
 	}
 	for word := range jobFields {
-		explained("field", word)
+		documented("field", word)
 	}
 	for word := range defaultValues {
-		explained("value", word)
+		documented("value", word)
 	}
 }
 
@@ -54,7 +54,7 @@
 		variants   []string
 		fails      bool
 	}{
-		{"no steps", "-- world --\nteam red\n", nil, true},
+		{"no steps", "-- cluster --\nteam red\n", nil, true},
 		{"unknown section", "-- words --\n-- steps --\nready\n", nil, true},
 		{"without a sweep", "-- steps --\nready # all\n", []string{""}, false},
 		{"with a sweep", "-- sweep --\na 1 | 2\nb x | y; z\n-- steps --\nready $a $b\n",
@@ -88,21 +88,21 @@
 }
 
 func TestStepErrors(t *testing.T) {
-	w := &world{}
+	h := &harness{}
 	for _, c := range []struct {
 		line string
 		want error
 	}{
 		{"dance", errUnknownWord},
-		{"submit", errMissing},
-		{"check job run-000001", errMissing},
-		{"state", errMissing},
-		{"state late tasks/", errMissing},
+		{"submit", errMissingArguments},
+		{"check job run-000001", errMissingArguments},
+		{"state", errMissingArguments},
+		{"state delay-transactions tasks/", errMissingArguments},
 		{"state sleeps", errUnknownWord},
 		{"never 1 dances", errUnknownCondition},
-		{"never 1 job run-000001", errMissing},
+		{"never 1 job run-000001", errMissingArguments},
 	} {
-		if err := w.step(t.Context(), c.line); !errors.Is(err, c.want) {
+		if err := h.step(t.Context(), c.line); !errors.Is(err, c.want) {
 			t.Errorf("%q: %v, want %v", c.line, err, c.want)
 		}
 	}
--- a/internal/scenario/store/store_test.go
+++ b/internal/scenario/store/store_test.go
@@ -1,4 +1,5 @@
-// Package store holds the scenarios of the key-value store: outages, late, lost and repeated writes, and its limits.
+// Package store holds the scenarios of faults of the key-value store: outages, delayed, lost and duplicate writes, and
+// lower limits.
 package store
 
 import (
