--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -8,17 +8,19 @@
 //
 // # States
 //
-//	            candidate                lease granted              claim succeeded
-//	following -------------> requestingLease -------------> claimingKey -------------> leading
-//	 ^ ^ ^                      |       ^                     |     |                     |
-//	 | | +-- request refused ---+       +--- lease expired ---+     |                     |
-//	 | +---------------------- key changed, outcome unknown --------+                     |
-//	 +------- lease expired, key changed, higher fencing token announced, term ended -----+
+//	            candidate                         lease granted              claim succeeded
+//	following ----------------------> requestingLease -------------> claimingKey -------------> leading
+//	 ^ ^ ^                               |       ^                     |     |                     |
+//	 | | +-- not granted, or granted ----+       +--- lease expired ---+     |                     |
+//	 | |     after the candidacy ended                                       |                     |
+//	 | +------------------------------- key changed, outcome unknown --------+                     |
+//	 +---------------- lease expired, key changed, higher fencing token announced, term ended -----+
 //
 // A controller becomes a candidate when the leader's key does not exist (its lease in the store has expired), when the
 // key names an earlier process of the same member, or when the leader's host refuses connections. A candidate that
 // already holds a lease goes from following directly to claimingKey. If another leader appears while a request is in
-// flight, the candidacy ends, but the outcome of the request is still awaited.
+// flight, the candidacy ends, but the outcome of the request is still awaited. A lease that is granted after the
+// candidacy has ended is kept for the next candidacy.
 //
 // # Safety
 //
@@ -62,7 +64,7 @@
 	Incarnation uint64
 	// LeaseTTL is the time to live of the lease that the leader's key is attached to.
 	LeaseTTL micros.Duration
-	// SafetyMargin is how long before its lease expires a leader stops starting new work, such as granting worker leases.
+	// SafetyMargin is how long before its lease expires a leader stops starting new work, such as launching tasks.
 	SafetyMargin micros.Duration
 }
 
@@ -76,7 +78,8 @@
 	Conflict
 	// LeaseExpired means that the lease named in the request no longer exists.
 	LeaseExpired
-	// OutcomeUnknown means that the store is unavailable, or that it is unknown whether it executed the request.
+	// OutcomeUnknown means that the request failed in any other way: the store did not serve it, for example because the
+	// store is unavailable, or it is unknown whether the store executed it.
 	OutcomeUnknown
 )
 
@@ -137,8 +140,10 @@
 	phase  phase
 
 	// record and version are the leader's key as last read, delivered by the watch, or announced by another controller.
-	// record is nil if the key does not exist. While keyKnown is false, the key must be read before record and version
-	// are used to start a candidacy.
+	// If the key does not exist, record is nil and version is the revision of the store at which the key was found missing
+	// or was deleted. The version of a key is the revision at which it was written, so a version below that revision
+	// belongs to a key that has been deleted since. While keyKnown is false, the key must be read before record and
+	// version are used to start a candidacy.
 	record       *state.LeaderRecord
 	version      uint64
 	keyKnown     bool
@@ -153,10 +158,10 @@
 	// lastRefusalClaimAt is when refused connections last started a candidacy; 0 if they never did.
 	lastRefusalClaimAt micros.Timestamp
 
-	// lease is this controller's lease in the store, 0 if it has none. leaseSentAt is when the last successful request
-	// that granted or renewed the lease was sent.
-	lease       uint64
-	leaseSentAt micros.Timestamp
+	// lease is this controller's lease in the store, 0 if it has none. leaseRequestSentAt is when the last successful
+	// request that granted or renewed the lease was sent.
+	lease              uint64
+	leaseRequestSentAt micros.Timestamp
 
 	// The following fields are used only in phase leading.
 	fencingToken    wire.FencingToken
@@ -192,7 +197,7 @@
 // obsolete, so none of its writes and commands take effect.
 func (e *Election) Leading() (isLeading bool, validUntil micros.Timestamp) {
 	ttl := e.config.LeaseTTL
-	return e.phase == leading, e.leaseSentAt.Add(ttl - ttl/clockDriftDivisor - e.config.SafetyMargin)
+	return e.phase == leading, e.leaseRequestSentAt.Add(ttl - ttl/clockDriftDivisor - e.config.SafetyMargin)
 }
 
 // Tick returns the requests that are due. The owner calls it every 100 ms, so a retry may be up to 100 ms later than
@@ -206,7 +211,7 @@
 	case !e.keyKnown:
 		return e.readLeader()
 	case e.candidate:
-		return e.advance()
+		return e.nextRequest()
 	}
 	return nil
 }
@@ -231,12 +236,12 @@
 // the key does not exist.
 func (e *Election) startCandidacy(replacedVersion uint64) []Effect {
 	e.candidate, e.replacedVersion = true, replacedVersion
-	return e.advance()
+	return e.nextRequest()
 }
 
-// advance returns the candidate's next request, unless one is in flight: GrantLease while this controller has no lease,
-// then ClaimLeadership.
-func (e *Election) advance() []Effect {
+// nextRequest returns the candidate's next request, unless one is in flight: GrantLease while this controller has no
+// lease, then ClaimLeadership.
+func (e *Election) nextRequest() []Effect {
 	if e.phase != following {
 		return nil
 	}
@@ -255,10 +260,12 @@
 // LeaderObserved applies the leader's key as returned by a read or delivered by the watch. A nil record means that the
 // key does not exist.
 func (e *Election) LeaderObserved(_ micros.Timestamp, record *state.LeaderRecord, version uint64) []Effect {
+	// This method does not distinguish the result of a read from a watch event. The worst consequence of a watch event is
+	// that another read is requested while one is in flight.
 	e.readInFlight = false
-	// The result of a read and a watch event may arrive out of order, so older versions are dropped. This check does not
-	// apply to a missing key: its version is a revision of the store (that of the read or of the deletion), which can't
-	// be compared with a version of the key.
+	// The result of a read and a watch event may arrive out of order, so older versions of the key are dropped. An older
+	// report that the key is missing is not dropped: it causes a claim that fails with a Conflict, after which the key is
+	// read again, or it ends this controller's term.
 	if record != nil && version < e.version {
 		return nil
 	}
@@ -267,7 +274,7 @@
 	switch {
 	case e.phase == leading:
 		if record == nil || wire.FencingToken(version) != e.fencingToken {
-			return e.stepDown("the leader's key has changed")
+			return e.stepDown("the leader's key has changed") // replaced or deleted
 		}
 	case record == nil:
 		return e.startCandidacy(0)
@@ -275,7 +282,8 @@
 		e.candidate = false
 	case e.phase != claimingKey:
 		// The key was written by an earlier process of this member, or by a claim that this process gave up on and that
-		// succeeded late. No controller acts as the leader under this key.
+		// succeeded late. No controller acts as the leader under this key. While a claim is in flight, the key may also be
+		// the one that this claim has written; LeadershipClaimed then decides what follows.
 		return e.startCandidacy(version)
 	}
 	return nil
@@ -290,8 +298,8 @@
 
 // LeaderAnnounced applies another controller's announcement that it leads under a fencing token. Fencing tokens only
 // increase, so a leader with a lower token has been replaced. A replaced leader that can't reach the store learns from
-// the announcement that it has been replaced, so its workers need not wait until the leader's lease has expired by the
-// leader's own clock.
+// the announcement that it has been replaced and steps down. Its workers can thus change to the new leader before the
+// replaced leader's lease has expired by that leader's own clock.
 func (e *Election) LeaderAnnounced(_ micros.Timestamp, member string, fencingToken wire.FencingToken) []Effect {
 	if fencingToken <= wire.FencingToken(e.version) || member == e.config.Member {
 		return nil
@@ -324,11 +332,11 @@
 		e.retryAt = now.Add(grantRetryDelay)
 		return nil
 	}
-	e.lease, e.leaseSentAt = lease, sentAt
+	e.lease, e.leaseRequestSentAt = lease, sentAt
 	if !e.candidate {
 		return nil
 	}
-	return e.advance()
+	return e.nextRequest()
 }
 
 // LeadershipClaimed applies the outcome of a ClaimLeadership request. If it succeeded, version is the version of the
@@ -340,7 +348,7 @@
 		return e.startTerm(now, version)
 	case LeaseExpired:
 		e.lease = 0
-		return e.advance()
+		return e.nextRequest()
 	case Conflict, OutcomeUnknown:
 		// The key is read again. The lease is abandoned, because a claim that succeeds late attaches the key to this
 		// lease, and that key must not be kept alive.
@@ -354,6 +362,7 @@
 	e.phase, e.candidate = leading, false
 	record := e.ownRecord()
 	e.record, e.version, e.fencingToken = &record, version, wire.FencingToken(version)
+	// The lease may have been granted for an earlier candidacy and soon expire, so it is renewed at the next Tick.
 	e.renewAt, e.renewalInFlight = now, false
 	return []Effect{StartTerm{FencingToken: e.fencingToken}}
 }
@@ -366,7 +375,7 @@
 	}
 	switch outcome {
 	case Succeeded:
-		e.leaseSentAt = max(e.leaseSentAt, sentAt)
+		e.leaseRequestSentAt = max(e.leaseRequestSentAt, sentAt)
 		e.renewAt = sentAt.Add(e.config.LeaseTTL / renewalsPerTTL)
 	case LeaseExpired:
 		return e.stepDown("the leader's lease has expired")
