--- a/internal/fake/store_http.go
+++ b/internal/fake/store_http.go
@@ -28,8 +28,8 @@
 
 // ServeHTTP serves the store's part of the protocol.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// The remote address has a port, on in-memory and on loopback networks. Otherwise, the IP address would be empty and
-	// match no host that is refused.
+	// SplitHostPort does not fail, since remote addresses have a port on in-memory and on loopback networks alike. If it
+	// failed, the IP address would be empty, and faults that RefuseHost injects would not affect the request.
 	ip, _, _ := net.SplitHostPort(r.RemoteAddr)
 	if s.unavailable(ip) {
 		writeJSON(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "outage"})
@@ -58,6 +58,7 @@
 		writeJSON(w, http.StatusOK, entry)
 		return
 	}
+	// Of the fields of TransactionResult, the body contains only the current revision.
 	writeJSON(w, http.StatusNotFound, wire.TransactionResult{Revision: s.revision})
 }
 
@@ -91,6 +92,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	// consume reports whether the fault affects this transaction.
 	if s.faults.delayedTransactions.consume(transaction) {
 		time.AfterFunc(s.faults.transactionDelay, func() {
 			s.mu.Lock()
@@ -131,20 +133,21 @@
 		writeJSON(w, http.StatusNotFound, wire.ErrorResponse{Error: messageNoLease})
 		return
 	}
-	lease.expiry.Reset(lease.ttl)
+	lease.expiry.Reset(lease.ttl) // restarts the timer that expires the lease
 	writeJSON(w, http.StatusOK, wire.StoreLease{ID: id})
 }
 
-// serveWatch waits for events, for as long as the request asks for. During an outage, an open watch stays open.
+// serveWatch waits for events, for as long as the request asks for. An outage does not end a watch that is already
+// open: the watch responds only when the outage is over, even if its time is up before.
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request, ip string) {
 	query := r.URL.Query()
 	// Missing and malformed parameters count as 0, which asks for all events without waiting.
-	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
+	after, _ := strconv.ParseUint(query.Get("from"), 10, 64)
 	blockMillis, _ := strconv.Atoi(query.Get("block_ms"))
 	timeout := time.NewTimer(time.Duration(blockMillis) * time.Millisecond)
 	defer timeout.Stop()
 	for timedOut := false; ; {
-		response, changed, delay := s.eventsSince(query.Get("prefix"), from)
+		response, changed, delay := s.eventsAfter(query.Get("prefix"), after)
 		if (len(response.Events) > 0 || timedOut) && !s.unavailable(ip) {
 			time.Sleep(delay)
 			writeJSON(w, http.StatusOK, response)
@@ -160,16 +163,17 @@
 	}
 }
 
-// eventsSince returns the events after a revision whose keys have a prefix, a channel that is closed when there may be
-// more events, and the delay that the response is to be sent with.
-func (s *Store) eventsSince(prefix string, from uint64) (
+// eventsAfter returns three values: the events on keys with the given prefix whose revisions are higher than after, a
+// channel that is closed when there may be more events, and the delay before the response is sent.
+func (s *Store) eventsAfter(prefix string, after uint64) (
 	response wire.WatchResponse, changed chan struct{}, delay time.Duration,
 ) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	response = wire.WatchResponse{Revision: s.revision, Events: []wire.WatchEvent{}}
 	for _, event := range s.events {
-		if event.Version > from && strings.HasPrefix(event.Put+event.Delete, prefix) {
+		// Either Put or Delete has the event's key; the other is empty.
+		if event.Version > after && strings.HasPrefix(event.Put+event.Delete, prefix) {
 			response.Events = append(response.Events, event)
 		}
 	}
--- a/internal/fake/store_test.go
+++ b/internal/fake/store_test.go
@@ -60,7 +60,7 @@
 	conditional := putTransaction("a")
 	conditional.If = []wire.Condition{{Key: "a", Version: 0}}
 	if status := transact(t, store, conditional); status != http.StatusOK {
-		t.Errorf("first transaction: status %d", status)
+		t.Errorf("first transaction: status %d, want %d", status, http.StatusOK)
 	}
 	var result wire.TransactionResult
 	if status := sendRequest(t, store, http.MethodPost, "/txn", conditional, &result); status != http.StatusConflict {
@@ -71,10 +71,13 @@
 	}
 	conditional.If[0].Version = 1
 	if status := transact(t, store, conditional); status != http.StatusOK {
-		t.Errorf("transaction with the current version: status %d", status)
+		t.Errorf("transaction with the current version: status %d, want %d", status, http.StatusOK)
 	}
 }
 
+// TestStoreLimits checks each limit with the largest transaction that it allows and with one that exceeds it. The value
+// that putTransaction stores has 7 bytes, including its quotes. For each change that Operations allows, a transaction
+// may have conditionsPerOperation conditions.
 func TestStoreLimits(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -137,7 +140,7 @@
 			t.Helper()
 			time.Sleep(ttl - time.Second)
 			if status := renew(); status != http.StatusOK {
-				t.Errorf("renewal: status %d", status)
+				t.Errorf("renewal: status %d, want %d", status, http.StatusOK)
 			}
 			time.Sleep(ttl - time.Second)
 		}, true},
@@ -148,7 +151,7 @@
 				t.Errorf("renewal after the expiry: status %d, want %d", status, http.StatusNotFound)
 			}
 		}, false},
-		{"not renewed since before an outage that has just ended", func(t *testing.T, store *Store, renew func() int) {
+		{"not renewed, but an outage ended less than a TTL ago", func(t *testing.T, store *Store, renew func() int) {
 			t.Helper()
 			store.SetOutage(true)
 			time.Sleep(2 * ttl)
@@ -165,7 +168,7 @@
 				var lease wire.StoreLease
 				grant := wire.StoreLeaseRequest{TTLMillis: ttl.Milliseconds()}
 				if status := sendRequest(t, store, http.MethodPost, "/grants", grant, &lease); status != http.StatusOK {
-					t.Fatalf("grant: status %d", status)
+					t.Fatalf("grant: status %d, want %d", status, http.StatusOK)
 				}
 				transaction := putTransaction("a")
 				transaction.Then[0].Lease = lease.ID
@@ -199,7 +202,7 @@
 				store := NewStore()
 				c.inject(store)
 				if status := transact(t, store, putTransaction("b")); status != http.StatusOK {
-					t.Errorf("transaction on a key with another prefix: status %d", status)
+					t.Errorf("transaction on a key with another prefix: status %d, want %d", status, http.StatusOK)
 				}
 				if status := transact(t, store, putTransaction("a1")); status != 0 {
 					t.Errorf("status %d, want no response", status)
@@ -212,7 +215,7 @@
 					t.Error("transaction not applied after the delay")
 				}
 				if status := transact(t, store, putTransaction("a2")); status != http.StatusOK {
-					t.Errorf("transaction after the end of the fault: status %d", status)
+					t.Errorf("transaction after the end of the fault: status %d, want %d", status, http.StatusOK)
 				}
 			})
 		})
@@ -230,8 +233,8 @@
 			store.Put(putTransaction("a2").Then)
 		})
 		var response wire.WatchResponse
-		const blocksTwoSeconds = "/watch?prefix=a&from=1&block_ms=2000"
-		sendRequest(t, store, http.MethodGet, blocksTwoSeconds, nil, &response)
+		const watchFromRevision1 = "/watch?prefix=a&from=1&block_ms=2000"
+		sendRequest(t, store, http.MethodGet, watchFromRevision1, nil, &response)
 		if len(response.Events) != 1 || response.Events[0].Put != "a2" || response.Revision != 3 {
 			t.Errorf("watch response %+v, want the change of a2 at revision 3", response)
 		}
--- a/internal/fleet/bins.go
+++ b/internal/fleet/bins.go
@@ -10,7 +10,8 @@
 	"saffronbend/wire"
 )
 
-// bin is the capacity of an existing or expected machine, for bin packing.
+// bin is the capacity of an existing or requested machine, for bin packing. Type demand defines the kinds of tasks that
+// are packed (urgent, expected and replacement tasks), type pool the pools that machines are requested from.
 type bin struct {
 	machine        wire.MachineID // empty: the machine doesn't exist yet
 	machineType    *wire.MachineType
@@ -19,13 +20,14 @@
 	reservedForJob wire.JobID // the only job that may use the machine; empty: any job may
 	free           resources.Vector
 	used           bool // a task was packed into the bin
-	// freedLater and freedSoon are the resources of running tasks that should end before long. freedLater counts those
-	// that should end within Tuning.ScaleOutHorizon; queued tasks that aren't urgent may use it. freedSoon counts those
-	// that should end well before a new machine would have booted; urgent queued tasks may use it.
-	freedLater, freedSoon resources.Vector
+	// freedWithinHorizon and freedBeforeBoot are the resources of running tasks that are expected to end soon; a task may
+	// count in both. freedWithinHorizon counts those that are expected to end within Tuning.ScaleOutHorizon; queued tasks
+	// that aren't urgent may use it. freedBeforeBoot counts those that are expected to end within half of the time in
+	// which a machine of this type boots; urgent queued tasks may use it.
+	freedWithinHorizon, freedBeforeBoot resources.Vector
 }
 
-// newBin returns the bin of an empty machine that is to be requested, or has been, from a pool.
+// newBin returns the bin of an empty machine of a pool. The machine has been requested, or is going to be.
 func newBin(machineType *wire.MachineType, p pool) *bin {
 	return &bin{
 		machineType: machineType,
@@ -35,11 +37,13 @@
 	}
 }
 
-// pack packs as many tasks of the demand as fit into the capacity that they may use, and returns their number.
+// pack packs as many tasks of the demand as fit into the part of the bin's capacity that capacityFor returns, and
+// returns their number.
 func (b *bin) pack(d *demand) int { return b.packUpTo(d, d.tasks, d.tasksByZone[b.zone]) }
 
-// packUpTo packs at most limit tasks and returns how many fit. tasksInZone is how many tasks the job already has in the
-// bin's zone.
+// packUpTo packs at most limit tasks and returns how many it has packed. tasksInZone is how many tasks the job already
+// has in the bin's zone. Afterwards, free may be negative: tasks may also be packed into resources that running tasks
+// have yet to free.
 func (b *bin) packUpTo(d *demand, limit, tasksInZone int) int {
 	if !b.isAvailableTo(d) {
 		return 0
@@ -51,26 +55,27 @@
 	if count <= 0 || !d.Allows(b.machineType, b.zone, b.spot) {
 		return 0
 	}
-	b.free = b.free.AddTasks(d.Vector, -float64(count))
+	b.free = b.free.AddTasks(d.Vector, -float64(count)) // subtracts the requirements of count tasks
 	b.used = true
 	return count
 }
 
-// isAvailableTo reports whether the bin isn't reserved for a job other than the demand's.
+// isAvailableTo reports whether the demand's job may use the bin: the bin is reserved for that job or for none.
 func (b *bin) isAvailableTo(d *demand) bool {
 	return b.reservedForJob == "" || b.reservedForJob == d.ID
 }
 
-// capacityFor returns the capacity that the demand's tasks may use: what is free and, except for expected tasks, gangs
-// and replacements, what tasks free that should end in time.
+// capacityFor returns the capacity that the demand's tasks may use. Expected tasks, replacements and the tasks of gangs
+// may use only what is free now. Other tasks may also use what running tasks are expected to free: freedBeforeBoot if
+// they are urgent, freedWithinHorizon if not. AddTasks with a count of 1 adds two amounts of resources.
 func (b *bin) capacityFor(d *demand) resources.Vector {
 	switch {
 	case d.expected, d.Gang, d.replacement:
 		return b.free // for a gang, because it needs all its capacity at once
 	case d.urgent:
-		return b.free.AddTasks(b.freedSoon, 1)
+		return b.free.AddTasks(b.freedBeforeBoot, 1)
 	default:
-		return b.free.AddTasks(b.freedLater, 1)
+		return b.free.AddTasks(b.freedWithinHorizon, 1)
 	}
 }
 
@@ -122,8 +127,9 @@
 	return b
 }
 
-// addFreedCapacity adds the resources of tasks that should end in time. Tasks that are far past their expected end
-// don't count, because it isn't known when they will end.
+// addFreedCapacity computes freedWithinHorizon and freedBeforeBoot from the leases of the tasks on the machine. Tasks
+// that are past their expected end by more than Tuning.LeaseGrace don't count, because it isn't known when they will
+// end.
 func (f *Fleet) addFreedCapacity(b *bin, machine *snapshot.Machine, now micros.Timestamp) {
 	for i := range machine.Leases {
 		leases := &machine.Leases[i]
@@ -133,10 +139,10 @@
 				continue
 			}
 			if remaining < f.cfg.Tuning.ScaleOutHorizon {
-				b.freedLater = b.freedLater.AddTasks(leases.Vector, 1)
+				b.freedWithinHorizon = b.freedWithinHorizon.AddTasks(leases.Vector, 1)
 			}
 			if remaining < micros.Seconds(b.machineType.BootS/2) {
-				b.freedSoon = b.freedSoon.AddTasks(leases.Vector, 1)
+				b.freedBeforeBoot = b.freedBeforeBoot.AddTasks(leases.Vector, 1)
 			}
 		}
 	}
