--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -32,12 +32,14 @@
 
 const (
 	// contactTimeout is how long after the last contact with the leader this controller begins to renew worker leases on
-	// the leader's behalf.
+	// the leader's behalf. Worker leases must last longer, or they expire before this controller can renew them. The
+	// duration of the leader's own lease doesn't matter: this controller begins only if the leader's key still has the
+	// leader's fencing token.
 	contactTimeout = 2500 * micros.Millisecond
 	// reconnectInterval is the delay before the stream of the leader's snapshots is opened again.
 	reconnectInterval = 150 * micros.Millisecond
-	// refusalThreshold is the number of consecutive connections refused by the leader's host after which the leader
-	// is reported as ended.
+	// refusalThreshold is how many connections the leader's host must refuse after the last snapshot before the leader is
+	// reported as ended. Other errors between the refusals don't reset the count.
 	refusalThreshold = 2
 )
 
@@ -124,7 +126,7 @@
 		err := f.client.FollowSnapshots(ctx, func(update *snapshot.Update) bool {
 			newest := replica.Apply(update)
 			if newest == nil {
-				return false
+				return false // An update was missed. The stream ends, and the next stream begins with a full snapshot.
 			}
 			receivedSnapshot, refusals = true, 0
 			f.recordContact()
@@ -150,7 +152,8 @@
 }
 
 // Heartbeat returns the response to a worker's heartbeat: either a renewal on the leader's behalf, or the leader's
-// response to the relayed heartbeat. It returns nil if the worker must send its heartbeats to the leader.
+// response to the relayed heartbeat. It returns nil if there is no response, because the heartbeat can't be relayed, or
+// because the worker should send its heartbeats to the leader again.
 //
 // A heartbeat is relayed only if the worker has the leader's fencing token and this controller has contact with the
 // leader, for example because only the network between the leader and the workers is partitioned. A worker that has the
@@ -163,14 +166,14 @@
 	if heartbeat.FencingToken != f.token || f.leaderContactLost() {
 		return nil
 	}
-	ingress.Yield(ctx)
+	ingress.Yield(ctx) // the next batch of low-priority requests must not wait for the leader's response
 	relayed, err := f.client.RelayHeartbeat(ctx, heartbeat)
 	if err != nil {
 		f.cfg.Log.Debug("cannot relay a heartbeat to the leader", "machine", heartbeat.Machine, "error", err)
 		return nil
 	}
 	if relayed.WorkerReachable {
-		return nil
+		return nil // The leader's pushes reach the worker again, so the worker is redirected to the leader.
 	}
 	return relayed.Response
 }
--- a/internal/leader/operators.go
+++ b/internal/leader/operators.go
@@ -21,8 +21,10 @@
 	statusMachines = 5
 )
 
-// runCommand executes an operator's command. If the leader can't make the command durable now, for whatever reason, the
-// error is operator.ErrUnavailable.
+// runCommand executes an operator's command. The error is operator.ErrUnavailable if the term isn't recovered within
+// recoveryTimeout, if the store doesn't serve this controller (state.ErrUnavailable), if the term ends
+// (eventloop.ErrStopped), or if the command takes longer than commandTimeout. In the last two cases, the command may
+// have taken effect, or may still take effect. Other errors of execute are returned unchanged.
 func runCommand[T any](ctx context.Context, t *Term, execute func(ctx context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
@@ -63,20 +65,22 @@
 	return runCommand(ctx, t, func(ctx context.Context) ([]drain.Status, error) { return t.drains.List(ctx, name) })
 }
 
-// RebalancingStatus returns the status of rebalancing with the given number of the most loaded machines. Rebalancing
-// must be enabled.
+// RebalancingStatus returns the status of rebalancing with the given number of the most loaded machines. The caller has
+// checked that the options enable rebalancing.
 func (t *Term) RebalancingStatus(ctx context.Context, machines int) (rebalance.Status, error) {
 	return runCommand(ctx, t, func(ctx context.Context) (rebalance.Status, error) {
 		return t.rebalancer.Status(ctx, machines)
 	})
 }
 
-// PauseRebalancing pauses or resumes rebalancing. Rebalancing must be enabled.
+// PauseRebalancing pauses or resumes rebalancing and returns the status. The caller has checked that the options enable
+// rebalancing.
 func (t *Term) PauseRebalancing(ctx context.Context, paused bool) (rebalance.Status, error) {
 	return runCommand(ctx, t, func(ctx context.Context) (rebalance.Status, error) {
 		if err := t.rebalancer.SetPaused(ctx, paused); err != nil {
 			return rebalance.Status{}, err
 		}
+		// If this call fails, rebalancing is paused or resumed nevertheless. The operator may repeat the command.
 		return t.rebalancer.Status(ctx, statusMachines)
 	})
 }
--- a/internal/leader/scaling/scaling_test.go
+++ b/internal/leader/scaling/scaling_test.go
@@ -17,6 +17,8 @@
 	"saffronbend/wire"
 )
 
+// TestListInterval checks that reading lists uses at most a quarter of the allowed request rate: the interval in
+// seconds is four times the number of pages, divided by the requests per second, but at least 1 s.
 func TestListInterval(t *testing.T) {
 	cases := map[string]struct {
 		machines          int
@@ -25,7 +27,7 @@
 	}{
 		"minimum interval":      {10, 100, micros.Second},
 		"one page":              {wire.MachinePageSize - 1, 2, 2 * micros.Second},
-		"eight pages":           {4000 - 1, 8, 4 * micros.Second},
+		"eight pages":           {8*wire.MachinePageSize - 1, 8, 4 * micros.Second},
 		"no known machines":     {0, 4, micros.Second},
 		"very low request rate": {0, 0.5, 8 * micros.Second},
 	}
@@ -38,9 +40,12 @@
 	}
 }
 
+// termStart is when the terms of the tests begin. No result depends on it.
+const termStart = micros.Timestamp(0)
+
 func TestObserveSnapshotDetectsOverdueHeartbeats(t *testing.T) {
 	const heartbeatInterval = 2 * micros.Second
-	const limit = 2*heartbeatInterval + micros.Second
+	const heartbeatTimeout = 2*heartbeatInterval + micros.Second
 	const now = micros.Timestamp(micros.Minute)
 	machine := func(sinceHeartbeat micros.Duration) *snapshot.Machine {
 		return &snapshot.Machine{State: wire.MachineRunning, LastHeartbeat: now.Add(-sinceHeartbeat)}
@@ -51,14 +56,14 @@
 		machine *snapshot.Machine
 		want    bool
 	}{
-		"heartbeat in time":     {machine(limit), false},
-		"heartbeat overdue":     {machine(limit + 1), true},
+		"heartbeat in time":     {machine(heartbeatTimeout), false},
+		"heartbeat overdue":     {machine(heartbeatTimeout + 1), true},
 		"machine starting":      {starting, false},
 		"machine being deleted": {deleting, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			executor := New(Config{Fleet: fleet.Config{HeartbeatInterval: heartbeatInterval}}, 0)
+			executor := New(Config{Fleet: fleet.Config{HeartbeatInterval: heartbeatInterval}}, termStart)
 			executor.ObserveSnapshot(now, &snapshot.Snapshot{Machines: []*snapshot.Machine{machine(0), c.machine}})
 			if got := executor.heartbeatOverdue.Load(); got != c.want {
 				t.Errorf("heartbeatOverdue = %v, want %v", got, c.want)
@@ -116,7 +121,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		loop := eventloop.New()
-		executor := New(Config{Log: slog.New(slog.DiscardHandler), Loop: loop, Cloud: fake, Manager: manager}, 0)
+		executor := New(Config{Log: slog.New(slog.DiscardHandler), Loop: loop, Cloud: fake, Manager: manager}, termStart)
 		f(ctx, executor)
 		for {
 			select {
@@ -136,10 +141,11 @@
 	cases := map[string]struct {
 		errs     []error
 		requests int
-		want     [][]wire.MachineID
+		want     [][]wire.MachineID // the machines in each report to the manager
 	}{
-		"created":                    {nil, 1, [][]wire.MachineID{{"m1"}}},
-		"created after two errors":   {[]error{errUnknown, errUnknown}, 3, [][]wire.MachineID{{"m1"}}},
+		"created":                  {nil, 1, [][]wire.MachineID{{"m1"}}},
+		"created after two errors": {[]error{errUnknown, errUnknown}, 3, [][]wire.MachineID{{"m1"}}},
+		// A refusal for lack of capacity is a known outcome: one report without machines.
 		"no capacity after an error": {[]error{errUnknown, cloud.ErrNoCapacity}, 2, [][]wire.MachineID{nil}},
 	}
 	for name, c := range cases {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -25,7 +25,8 @@
 )
 
 const (
-	// streamTimeout is the time without updates after which a follower considers a stream broken. It is also the timeout
+	// streamTimeout is the time without updates after which a follower considers a stream broken. The leader publishes a
+	// snapshot at least twice a second, also if nothing has changed (see leader.Term). streamTimeout is also the timeout
 	// for writing one update to a follower.
 	streamTimeout = 2 * time.Second
 	// maxRequestBytes is the maximum size of the body of a request.
@@ -45,7 +46,7 @@
 }
 
 // Serve serves the requests of other controllers and the additional routes on a listener. When ctx ends, it closes all
-// connections and returns nil.
+// connections and returns nil. If the listener fails before, Serve returns the listener's error, wrapped.
 func Serve(ctx context.Context, listener net.Listener, controller Controller, routes ...Route) error {
 	server := &http.Server{
 		Handler:           newRouter(controller, routes),
@@ -82,6 +83,8 @@
 		query := req.URL.Query()
 		// A malformed fencing token is parsed as 0, which is not the token of any term.
 		token, _ := strconv.ParseUint(query.Get("token"), 10, 64)
+		// next(since) waits for a snapshot newer than version since and returns the update from that version, or a full
+		// snapshot if since is 0. It returns nil once the term or the request's context has ended.
 		next := controller.Subscribe(req.Context(), query.Get("member"), wire.FencingToken(token))
 		if next == nil {
 			w.WriteHeader(http.StatusMisdirectedRequest)
@@ -93,7 +96,7 @@
 			// SetWriteDeadline fails only for writers without support for deadlines; the writers of net/http support them.
 			_ = response.SetWriteDeadline(time.Now().Add(streamTimeout))
 			if encoder.Encode(update) != nil || response.Flush() != nil {
-				return // The follower has disconnected; it will open another stream.
+				return // The follower has disconnected or does not read in time; it will open another stream.
 			}
 		}
 	}
