--- a/internal/manager/grants_test.go
+++ b/internal/manager/grants_test.go
@@ -81,7 +81,7 @@
 			func(_ *harness, _ *jobState, machine *machineState) { machine.reservedForJob = "run-1" }, placementAllowed},
 		{"the capacity was freed for a gang of higher priority", func(h *harness, _ *jobState, machine *machineState) {
 			h.submit("run-2", 2, func(job *wire.Job) { job.Kind, job.PriorityName = wire.KindGang, "high" })
-			machine.preempted = preemptedCapacity{forJob: "run-2", until: h.now + 1}
+			machine.preempted = preemptionHold{forJob: "run-2", expiresAt: h.now + 1}
 		}, refusedPreemptedForOther},
 		{"the job requires another zone",
 			func(_ *harness, job *jobState, _ *machineState) { job.record.Job.Zone = &zone }, refusedByMachineConstraints},
--- a/internal/manager/harness_test.go
+++ b/internal/manager/harness_test.go
@@ -180,8 +180,10 @@
 	})
 }
 
-// heartbeat sends a machine's heartbeat with tasks in a form such as "run-1/0 5 running". It returns the commands of
-// the response in a form such as "launch run-1/0 5", or "dropped" if there is no response.
+// heartbeat sends a machine's heartbeat that lists tasks in the form "TASK ATTEMPT STATE [EXIT-REASON]": "run-1/0 5
+// running" is attempt 5 of the first task of run-1, which runs, and "run-1/0 5 ended done" is the same attempt after it
+// has completed. heartbeat returns the commands of the response in a form such as "launch run-1/0 5", or "dropped" if
+// there is no response.
 func (h *harness) heartbeat(
 	machine wire.MachineID, fencingToken wire.FencingToken, incarnation wire.AgentIncarnation, tasks ...string,
 ) string {
--- a/internal/manager/health_test.go
+++ b/internal/manager/health_test.go
@@ -9,7 +9,8 @@
 	"saffronbend/wire"
 )
 
-// A job that fails on three machines backs off, and the third machine is not blamed for the failure.
+// A job whose task fails on three machines backs off, and the third failure is not counted against its machine: the
+// machine is not quarantined. The heartbeats' notation of tasks is described at harness.heartbeat.
 func TestJobThatFailsOnSeveralMachinesBacksOff(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a", "n-2-a", "n-3-a")
@@ -20,7 +21,7 @@
 		h.heartbeat(m, token, 1)
 		h.heartbeat(m, token, 1, fmt.Sprintf("run-1/0 %d ended error", firstAttempt+i))
 	}
-	h.want(h.grant("run-1", "n-3-a", 1), 0)
+	h.want(h.grant("run-1", "n-3-a", 1), 0) // the job backs off
 	h.want(h.m.machines.byID["n-3-a"].health.quarantineReason, "")
 	h.advance(3 * micros.Second)
 	h.start("n-3-a")
@@ -51,26 +52,29 @@
 	run("n-2-a", 40*micros.Second)
 	h.want(h.m.machines.byID["n-1-a"].health.quarantineReason, "")
 	h.start("n-2-a")
-	h.want(h.grant("run-1", "n-2-a", 1), 0)
-	h.want(h.grant("run-1", "n-1-a", 1), 0) // its heartbeat is overdue
+	h.want(h.grant("run-1", "n-2-a", 1), 0) // n-2-a is quarantined
+	h.want(h.grant("run-1", "n-1-a", 1), 0) // the heartbeat of n-1-a is overdue
 	h.start("n-1-a")
 	h.want(h.grant("run-1", "n-1-a", 1), 1)
 }
 
-// A run that began under an earlier leader appears shorter than it was. It must not be the reference for later runs, or
+// A run that began under an earlier leader appears shorter than it was. It must not be a reference for later runs, or
 // their machines would be quarantined as slow.
 func TestRunsOfEarlierLeaderAreNotCompared(t *testing.T) {
-	open := []wire.KeyValue{storedItem(state.OpenJobKey("run-1"), 5, record("run-1", 4, nil))}
+	const earlierAttempt = 90                    // identifier of the first of two attempts that an earlier leader granted
+	const openJobVersion, progressVersion = 5, 6 // of the job's stored records
+	open := []wire.KeyValue{storedItem(state.OpenJobKey("run-1"), openJobVersion, record("run-1", 4, nil))}
 	var active []state.Placement
 	for i := range 2 {
-		active = append(active, state.Placement{Task: i, Machine: "n-1-a", Attempt: wire.AttemptID(90 + i), Incarnation: 1})
+		attempt := wire.AttemptID(earlierAttempt + i)
+		active = append(active, state.Placement{Task: i, Machine: "n-1-a", Attempt: attempt, Incarnation: 1})
 	}
 	h := newHarness(t, open, []wire.KeyValue{
-		storedItem(state.ProgressKey("run-1", 0), 6, state.ProgressRecord{Active: active}),
+		storedItem(state.ProgressKey("run-1", 0), progressVersion, state.ProgressRecord{Active: active}),
 	})
 	h.heartbeat("n-1-a", token, 1, "run-1/0 90 running", "run-1/1 91 running")
 	h.advance(micros.Second / 2)
 	h.heartbeat("n-1-a", token, 1, "run-1/0 90 ended done", "run-1/1 91 ended done")
-	h.want(h.m.jobs.byID["run-1"].normalRuns, 0)
+	h.want(h.m.jobs.byID["run-1"].normalRuns, 0) // the runs that later runs are compared with
 	h.want(len(h.m.publisher.completedRuns), 0)
 }
--- a/internal/manager/machines.go
+++ b/internal/manager/machines.go
@@ -39,7 +39,7 @@
 	idleSince        micros.Timestamp // time since which it has had no attempts
 
 	reservedForJob wire.JobID // the only job that may be placed here; empty: not reserved
-	preempted      preemptedCapacity
+	preempted      preemptionHold
 	reservations   map[disruption.Task]*reservation // for successors of evicted attempts
 
 	publishedUsable bool // usable according to the last snapshot
--- a/internal/manager/preemption.go
+++ b/internal/manager/preemption.go
@@ -12,22 +12,23 @@
 )
 
 const (
-	// maxPreemptionsPerRound is the maximum number of preemptions in a round for jobs whose tasks are independent.
+	// maxPreemptionsPerRound is the maximum number of preemptions in a round for jobs that are not gangs.
 	maxPreemptionsPerRound = 4
 	// maxTasksPerJob is the maximum number of tasks of one job that a round plans.
 	maxTasksPerJob = 64
 	// checkpointMarginS is added to the time that a task needs to write its checkpoint, in seconds.
 	checkpointMarginS = 1
-	// gangPreemptionWaitFactor is how many times longer a job must have waited before a gang is preempted for it than
-	// before another task is: all tasks of a preempted gang have to fetch their image and wait for capacity again.
+	// gangPreemptionWaitFactor multiplies the PreemptAfter option: a gang is preempted only for a job that has waited so
+	// many times longer than for the preemption of other tasks, because it is more costly: all tasks of a preempted gang
+	// have to fetch their image and wait for capacity again.
 	gangPreemptionWaitFactor = 10
 )
 
-// preemptedCapacity is the capacity of a machine that preemption has freed for a gang. Jobs of lower priority cannot
-// use it before the time until.
-type preemptedCapacity struct {
-	forJob wire.JobID
-	until  micros.Timestamp
+// preemptionHold keeps the capacity of a machine on which tasks were preempted for a gang from jobs of a lower priority
+// than the gang's, until the hold expires.
+type preemptionHold struct {
+	forJob    wire.JobID // the gang
+	expiresAt micros.Timestamp
 }
 
 // preemptionTarget is a machine in a round of preemption, with its free resources, which include those of attempts that
@@ -95,16 +96,17 @@
 	return jobs
 }
 
-// waitingFor returns the jobs, in order of arrival, that have tasks that could be placed but of which none was placed
-// for longer than the given time. In a new term it returns none before the machines have had time to send heartbeats:
-// until then, jobs that were already waiting would find no capacity although there may be some.
-func (m *Manager) waitingFor(now micros.Timestamp, longer micros.Duration) []*jobState {
-	if now.Sub(m.termStart) <= min(longer, m.heartbeatTimeout()) {
+// waitingFor returns, in order of arrival, the jobs that have tasks that may be placed, but of which no task was placed
+// for longer than minWait. In a new term it returns none before the machines have had time to send heartbeats: until
+// then, the leader does not know the free capacity, so a job that waits under the new leader does not show that
+// capacity is missing.
+func (m *Manager) waitingFor(now micros.Timestamp, minWait micros.Duration) []*jobState {
+	if now.Sub(m.termStart) <= min(minWait, m.heartbeatTimeout()) {
 		return nil
 	}
 	return m.jobs.byArrival(func(job *jobState) bool {
 		return !job.final() && job.waiting > 0 && now >= job.backoffUntil && m.quota.headroom(job.spec()) > 0 &&
-			now.Sub(job.waitingSince) > longer
+			now.Sub(job.waitingSince) > minWait
 	})
 }
 
@@ -117,7 +119,7 @@
 		}
 		target := &preemptionTarget{machine: machine, free: m.freeResources(machine)}
 		for _, attempt := range machine.attempts {
-			if attempt.stopPending() {
+			if attempt.stopPending() { // its resources are about to be freed
 				target.free = target.free.AddTasks(resources.ForTask(attempt.spec()), 1)
 			} else if m.preemptible(now, attempt) {
 				target.victims = append(target.victims, attempt)
@@ -157,7 +159,8 @@
 }
 
 // mayPreempt reports whether a job may preempt a task of another job: if the other job has a lower priority, or if it
-// belongs to another team and exceeds that team's guarantee while the job's own team is still within its guarantee.
+// belongs to another team that uses more than its guarantee, while the job's own team is still within its guarantee. A
+// team's guarantee is the number of CPUs and GPUs that the settings assure it of; its limit may be higher.
 func (round *preemptionRound) mayPreempt(job, other *jobState) bool {
 	if other.spec().Priority() < job.spec().Priority() {
 		return true
@@ -221,6 +224,7 @@
 	least := micros.Forever
 	for _, target := range targets {
 		for _, attempt := range target.victims {
+			// A stop of a victim is requested only if the victim was preempted earlier in this round.
 			if attempt.stop.requested || !round.mayPreempt(job, attempt.job) {
 				continue
 			}
@@ -236,12 +240,13 @@
 	return victim, best
 }
 
-// shouldPreemptGang reports whether a gang may be preempted for a job: the job has waited long enough and uses at least
-// half of the CPUs that the gang would free.
+// shouldPreemptGang reports whether a gang may be preempted for a job: the job has waited long enough, and its waiting
+// tasks need at least half of the CPUs that the gang would free.
 func (round *preemptionRound) shouldPreemptGang(job, victim *jobState) bool {
-	used := 2 * float64(job.waiting) * job.spec().CPUs
+	twiceNeeded := 2 * float64(job.waiting) * job.spec().CPUs
 	freed := float64(len(victim.active)) * victim.spec().CPUs
-	return round.now.Sub(job.waitingSince) > gangPreemptionWaitFactor*round.m.cfg.Tuning.PreemptAfter && used >= freed
+	minWait := gangPreemptionWaitFactor * round.m.cfg.Tuning.PreemptAfter
+	return round.now.Sub(job.waitingSince) > minWait && twiceNeeded >= freed
 }
 
 // tasksFreedBy returns how many tasks leave a machine when an attempt on it is preempted: for an attempt of a gang,
@@ -277,11 +282,12 @@
 		m.stopAttempt(now, victim, graceS, disruption.Preemption)
 	}
 	for _, attempt := range preempted {
-		// An attempt that was never launched is already gone. It must not be selected again in this round.
+		// An attempt that was never launched has been released without a request to stop it. It is marked like the others,
+		// so that this round doesn't select it again.
 		attempt.stop.requested = true
 		if preemptor.gang != nil {
-			until := now.Add(micros.Seconds(graceS) + schedulingTime)
-			attempt.machine.preempted = preemptedCapacity{forJob: preemptor.id(), until: until}
+			expiresAt := now.Add(micros.Seconds(graceS) + schedulingTime)
+			attempt.machine.preempted = preemptionHold{forJob: preemptor.id(), expiresAt: expiresAt}
 		}
 		round.addFreedResources(attempt.machine, resources.ForTask(spec))
 	}
@@ -299,11 +305,11 @@
 // gang has not used it yet. A gang needs its capacity on all machines at once: if a preempted task were placed again on
 // one of them before the gang's scheduler has seen the capacity, the whole gang could not be placed.
 func (m *Manager) preemptedForOther(now micros.Timestamp, machine *machineState, job *jobState) bool {
-	capacity := &machine.preempted
-	if now >= capacity.until || capacity.forJob == job.id() {
+	hold := &machine.preempted
+	if now >= hold.expiresAt || hold.forJob == job.id() {
 		return false
 	}
-	preemptor := m.jobs.byID[capacity.forJob]
+	preemptor := m.jobs.byID[hold.forJob]
 	return preemptor != nil && !preemptor.final() && preemptor.waiting > 0 &&
 		preemptor.spec().Priority() > job.spec().Priority()
 }
@@ -317,12 +323,14 @@
 	return spec.CheckpointSaveS + checkpointMarginS
 }
 
-// preemptionCost returns the time that is lost if an attempt is preempted; for an attempt of a gang, the time that all
-// tasks of the gang lose. A gang that cannot write its checkpoint in time is never preempted.
+// preemptionCost returns the time that is lost if an attempt is preempted. For an attempt that is reported as running,
+// this is the time to write a checkpoint; another attempt loses nothing. For an attempt of a gang, it is the time that
+// all tasks of the gang lose, each of them as much as the given attempt. There, an attempt that isn't running counts as
+// a loss of 1 s, since every task of the gang has to fetch its image and wait for capacity again. A gang that cannot
+// write its checkpoint in time is never preempted.
 func preemptionCost(attempt *taskAttempt) micros.Duration {
 	tasks, lost := micros.Duration(1), micros.Duration(0)
 	if attempt.job.gang != nil {
-		// Every task of the gang has to fetch its image and wait for capacity again.
 		tasks, lost = micros.Duration(len(attempt.job.active)), micros.Second
 	}
 	if attempt.reportedState == wire.TaskRunning {
--- a/internal/manager/recovery.go
+++ b/internal/manager/recovery.go
@@ -14,13 +14,14 @@
 // progress are the records with the open-job and the progress prefix. wall is the wall-clock time in microseconds since
 // the epoch, from which the age of jobs is computed. New fails with a state.RecordError if a record cannot be decoded.
 //
-// A new leader knows exactly what these records say: the jobs, which of their tasks are done, and for each other task
-// whether an attempt of it may exist, on which machine, and with which identifier and agent incarnation. Since every
-// attempt is durable before its launch, no attempt of an earlier leader should be missing. If an agent nevertheless
-// reports a task that no record contains, adoptTask registers it. A recovered attempt counts against quota and capacity
-// until it has provably terminated. Leases, run times, images, health and connectivity are not recorded: they are
-// learned again from heartbeats, and a machine receives no new tasks until it has sent a heartbeat with this term's
-// token. RestoreDisruptions subsequently recovers the disruptions and the machines reserved for successors.
+// All that a new leader knows at first is in these records: the jobs, which of their tasks are done, and for each other
+// task whether an attempt of it may exist, on which machine, and with which identifier and agent incarnation. Since
+// every attempt is durable before its launch, no attempt of an earlier leader should be missing. If an agent
+// nevertheless reports a task that no record contains, adoptTask registers it. A recovered attempt counts against quota
+// and capacity until it has provably terminated. Leases, run times, images, health and connectivity are not recorded:
+// they are learned again from heartbeats, and a machine receives no new tasks until it has sent a heartbeat with this
+// term's token. RestoreDisruptions subsequently recovers the disruptions and the capacity that is reserved on machines
+// for the successors of evicted attempts.
 func New(now micros.Timestamp, cfg Config, wall int64, openJobs, progress []wire.KeyValue) (*Manager, error) {
 	m := newEmptyManager(now, cfg)
 	if err := m.recoverJobs(now, wall, openJobs); err != nil {
@@ -58,8 +59,8 @@
 	return m
 }
 
-// recoverJobs adds the jobs in the order in which they were accepted. The key-value store lists them by identifier, and
-// identifiers are chosen by users.
+// recoverJobs adds the jobs in the order in which they were accepted. It has to sort them, since the key-value store
+// lists them by identifier, and users choose the identifiers.
 func (m *Manager) recoverJobs(now micros.Timestamp, wall int64, openJobs []wire.KeyValue) error {
 	type versionedRecord struct {
 		record  state.OpenJobRecord
@@ -82,7 +83,7 @@
 }
 
 // recoverProgress restores done tasks and attempts from the progress records. A record without a job was created again
-// by a late copy of an earlier leader's write. It is ignored and deleted.
+// by a late copy of an earlier leader's write. It is ignored and deleted, and so is a record with an invalid key.
 func (m *Manager) recoverProgress(now micros.Timestamp, progress []wire.KeyValue) error {
 	for _, item := range progress {
 		id, shardIndex, ok := state.ParseProgressKey(item.Key)
@@ -104,8 +105,9 @@
 	return nil
 }
 
-// recoverAttempts registers the attempts that earlier leaders placed. The expiry of their leases is not recorded, so
-// they are treated as granted now, for the duration of a first lease.
+// recoverAttempts registers the attempts that earlier leaders placed. The expiry of their task leases is not recorded.
+// The leases are therefore taken to be granted now, for the duration of the first lease of a job. A placement is
+// skipped if the job has no such task, or if the task is already known as done or has an attempt.
 func (m *Manager) recoverAttempts(now micros.Timestamp, job *jobState, placements []state.Placement) {
 	for _, placement := range placements {
 		if placement.Task < 0 || placement.Task >= len(job.taskPhases) || job.taskPhases[placement.Task] != taskWaiting {
@@ -130,9 +132,11 @@
 	if len(job.active) == 0 && job.done == 0 {
 		job.waitingSince = job.acceptedAt
 	}
-	m.finishGangRecovery(now, job)
+	m.finishGangRecovery(now, job) // changes nothing if the job is no gang or is final
 	if job.final() {
 		m.stopJob(now, job) // cancelled under an earlier leader: its tasks may still be running
 	}
+	// An earlier leader may have ended before it wrote the completion of a job whose tasks are all done, or deleted the
+	// records of a final job. For other jobs, nothing is queued.
 	m.writes.queueFinalWrites(job)
 }
