--- a/cmd/saffronbend/main.go
+++ b/cmd/saffronbend/main.go
@@ -20,7 +20,8 @@
 // errNoConfig is returned when a command needs the settings file and --config is not given.
 var errNoConfig = errors.New("--config FILE is missing")
 
-// cli is the root of the command line. kong derives commands, flags and arguments from the field names and the struct
+// cli is the root of the command line. The platform's administrators write the settings file, the operators the options
+// file. kong derives commands, flags and arguments from the field names and the struct
 // tags of this type and of the command types, and uses the type names in error messages.
 type cli struct {
 	Config  string           `help:"The platform's settings file (TOML)." placeholder:"FILE"`
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -15,8 +15,10 @@
 
 const msgDescriptionTooLong = "the description is too long"
 
-// submit serves a job submission. Submissions are idempotent: a job that was accepted once is never rejected later,
-// even if the settings or the machine types have changed since.
+// submit serves a job submission. Submissions are idempotent: if a job was accepted before, the response to a repeated
+// submission is the job's state, even if the changed settings or machine types would not allow the job any more. The
+// exceptions are a body that can't be read or is no valid job (status 400) and a controller that doesn't know the
+// machine types yet or gets no answer from the store (status 503); neither changes anything for the accepted job.
 func (a *API) submit(w http.ResponseWriter, req *http.Request, _ httprouter.Params) {
 	ctx, cancel := context.WithTimeout(req.Context(), writeTimeout)
 	defer cancel()
@@ -82,6 +84,7 @@
 		a.log.Debug("job accepted", "job", job.ID, "class", job.Class, "team", job.Team, "tasks", job.Tasks)
 		a.writeJobStatus(w, http.StatusCreated, job.ID, wire.JobPending)
 	case errors.Is(err, state.ErrUnavailable):
+		// Nothing was written, and the store does not serve this controller now. So the stored state is not read either.
 		writeUnavailable(w, "the state service does not serve now")
 	case errors.Is(err, state.ErrRejected):
 		// The record is within the configured size limit: the store's limit has been lowered below the configured one.
@@ -89,8 +92,8 @@
 			"key", state.OpenJobKey(job.ID), "bytes", len(records.openJob), "error", err)
 		a.rejectTooLong(ctx, w, job.ID)
 	default:
-		// Either the job was accepted before or the outcome of the write is unknown. The stored state determines the
-		// response.
+		// Either the job was accepted before, which is a conflict, or the outcome of the write is unknown. The stored state
+		// determines the response.
 		a.rejectUnlessAccepted(ctx, w, job.ID, func() { writeUnavailable(w, msgOutcomeUnknown) })
 	}
 }
@@ -98,8 +101,8 @@
 // jobRecords holds the encoded records of a job. Both are always written in one transaction, so that they have the same
 // version.
 type jobRecords struct {
-	status  []byte
-	openJob []byte
+	status  []byte // a state.JobStatusRecord: the job's state, which is kept forever
+	openJob []byte // a state.OpenJobRecord: the job's description, for the leader, until the job's last task is gone
 }
 
 func encodeRecords(openJob state.OpenJobRecord, jobState wire.JobState) (jobRecords, error) {
--- a/internal/rebalance/load.go
+++ b/internal/rebalance/load.go
@@ -34,14 +34,14 @@
 	return used
 }
 
-func (u *usage) add(team wire.TeamName, task resources.Vector) {
-	u.total = u.total.AddTasks(task, 1)
-	u.teams[team] = u.teams[team].AddTasks(task, 1)
+func (u *usage) add(team wire.TeamName, need resources.Vector) {
+	u.total = u.total.AddTasks(need, 1)
+	u.teams[team] = u.teams[team].AddTasks(need, 1)
 }
 
-func (u *usage) remove(team wire.TeamName, task resources.Vector) {
-	u.total = u.total.AddTasks(task, -1)
-	u.teams[team] = u.teams[team].AddTasks(task, -1)
+func (u *usage) remove(team wire.TeamName, need resources.Vector) {
+	u.total = u.total.AddTasks(need, -1)
+	u.teams[team] = u.teams[team].AddTasks(need, -1)
 }
 
 // load returns the dominant share of all tasks on the machine, 0 to 1.
@@ -57,10 +57,16 @@
 	enforced bool
 }
 
-// potential returns the machine's term of the potential function that moves reduce. The term is half the square of the
-// load plus, if the team's cap is enforced, half the square of the share that the team uses beyond its cap, weighted by
-// the machine's size. The sum of the terms of all machines is smallest when loads are equal. Each move reduces the sum,
-// so a sequence of moves can't form a cycle while the set of tasks stays the same.
+// potential returns the machine's term of the potential function that moves of the team's tasks reduce. The term is
+// half the square of the load plus, if the team's cap is enforced, half the square of the share that the team uses
+// beyond its cap, weighted by the number of the machine's CPUs.
+//
+// Each move reduces the sum of the terms of all machines. Without enforced caps, this sum is the same for all teams, so
+// a sequence of moves can't form a cycle while the set of tasks stays the same. With enforced caps, each team has a sum
+// of its own. However, a move of one team's task doesn't change what other teams use beyond their caps. So it reduces
+// the sum that includes this excess of all teams with an enforced cap, and a sequence of moves can't form a cycle while
+// the set of tasks and the set of these teams stay the same. If no cap is enforced and CPUs are the dominant resource
+// everywhere, the sum is smallest when all loads are equal.
 func (u *usage) potential(team wire.TeamName, limit teamCap) float64 {
 	load := u.load()
 	squares := load * load
@@ -71,19 +77,20 @@
 	return u.capacity.CPUs * squares / 2
 }
 
-// imbalanceReduction returns by how much the move of a task reduces the potential, per unit of the task's share of the
-// source machine. Between machines of equal capacity, without an enforced cap, it is the difference of their loads
-// minus the task's share.
+// imbalanceReduction returns by how much the move of a task reduces the sum of the potentials of both machines, divided
+// by the task's dominant share of the source machine and by the number of that machine's CPUs. Between machines of
+// equal capacity with the same dominant resource, without an enforced cap, it is the difference of their loads minus
+// the task's share. It applies the move to from and to, and reverts it before it returns.
 func imbalanceReduction(from, to *usage, attempt *Attempt, limit teamCap) float64 {
-	team, task := attempt.Team, attempt.Resources
+	team, need := attempt.Team, attempt.Resources
 	potential := func() float64 { return from.potential(team, limit) + to.potential(team, limit) }
 	before := potential()
-	from.remove(team, task)
-	to.add(team, task)
+	from.remove(team, need)
+	to.add(team, need)
 	after := potential()
-	to.remove(team, task)
-	from.add(team, task)
-	moved := task.DominantShare(from.capacity) * from.capacity.CPUs
+	to.remove(team, need)
+	from.add(team, need)
+	moved := need.DominantShare(from.capacity) * from.capacity.CPUs
 	if moved <= 0 {
 		return 0
 	}
--- a/internal/settings/rebalancing.go
+++ b/internal/settings/rebalancing.go
@@ -17,9 +17,9 @@
 
 // Defaults of the rebalancing options.
 const (
-	defaultTeamCap               = 0.5
-	defaultMargin                = 3
-	defaultMinImbalanceReduction = 0.25
+	defaultTeamCap               = 0.5  // share of a machine
+	defaultMargin                = 3    // ratio of a move's gain to its cost
+	defaultMinImbalanceReduction = 0.25 // share of a machine
 	defaultTaskCooldownS         = 600
 	defaultTeamCooldownS         = 30
 	defaultMachineCooldownS      = 300
@@ -28,8 +28,8 @@
 
 // Bounds of the rebalancing options.
 const (
-	minMargin         = 1
-	maxMargin         = 1000
+	minMargin         = 1    // ratio of a move's gain to its cost
+	maxMargin         = 1000 // ratio of a move's gain to its cost
 	maxMovesPerMinute = 10_000
 )
 
--- a/internal/state/progress.go
+++ b/internal/state/progress.go
@@ -42,18 +42,21 @@
 	return emptyRecordBytes + tokenBytes + hex.EncodedLen(bitmapBytes(tasks))
 }
 
-// MinValueKB is the lowest value size limit of the store, in KiB, with which the service can work.
+// MinValueKB is the lowest limit of the size of a value in the store, in KiB, with which the service can work. Below
+// it, ProgressShardSize does not guarantee that progress records fit.
 const MinValueKB = 1
 
 // ProgressShardSize returns the number of tasks per progress record of a job, chosen so that the placements of these
-// tasks always fit into a value of valueKB KiB.
+// tasks always fit into a value of valueKB KiB, if valueKB is at least MinValueKB.
 //
-// The tasks of a gang are placed all together or not at all, so a gang could never start if the limit were lowered
-// below the size that its placements need. The shards of a gang therefore fit even the lowest possible limit.
+// The shard size is fixed when a job is accepted, but the store's limit may be lowered later. Tasks of other jobs can
+// then still be placed a few at a time. The tasks of a gang are placed all together or not at all, so a gang could
+// never start if its placements no longer fit. The shards of a gang therefore fit a limit of MinValueKB.
 func ProgressShardSize(kind wire.JobKind, valueKB float64) int {
 	const (
-		bytesPerKB    = 1024
-		bytesPerTask  = 80 // upper bound for a placement and one bit of the bitmap
+		bytesPerKB   = 1024
+		bytesPerTask = 80 // enough for the encoded placement of a task and the task's bit in the bitmap
+		// bytesReserved is enough for the rest of the record: the names of the fields and the idempotency token.
 		bytesReserved = 200
 		minTasks      = 4
 		maxTasks      = 256
