--- a/internal/scale/drain_test.go
+++ b/internal/scale/drain_test.go
@@ -16,12 +16,16 @@
 // is stopped until it runs again.
 type disruptionStats struct {
 	stoppedAt     map[string]micros.Timestamp // stop time of each task that does not run again yet
-	durations     *hdrhistogram.Histogram
-	maxConcurrent int // largest number of tasks that were disrupted at the same time
+	durations     *hdrhistogram.Histogram     // durations of disruptions, in milliseconds of simulated time
+	maxConcurrent int                         // largest number of tasks that were disrupted at the same time
 }
 
 func newDisruptionStats() *disruptionStats {
-	return &disruptionStats{stoppedAt: map[string]micros.Timestamp{}, durations: hdrhistogram.New(1, 10*60*1000, 3)}
+	const minMillis, maxMillis, significantDigits = 1, 10 * 60 * 1000, 3
+	return &disruptionStats{
+		stoppedAt: map[string]micros.Timestamp{},
+		durations: hdrhistogram.New(minMillis, maxMillis, significantDigits),
+	}
 }
 
 // observe records the end of the disruption of each task that runs again.
@@ -41,9 +45,10 @@
 type drainRun struct {
 	*disruptionStats
 	planner *drain.Planner
-	deleted int // machines
+	deleted int // number of machines that were deleted
 }
 
+// round runs one round of the drain and deletes the machines that are empty.
 func (d *drainRun) round(c *cluster) {
 	d.observe(c)
 	snapshot := c.manager.DrainSnapshot(c.now)
@@ -56,7 +61,7 @@
 	for _, id := range actions.ScaleIn {
 		w := c.workers[machineIndex(c.tb, id)]
 		if len(w.running) > 0 {
-			c.tb.Fatalf("%s is deleted while tasks run on it", id)
+			c.tb.Fatalf("the drain has %s deleted, on which %d tasks run", id, len(w.running))
 		}
 		w.deleted = true
 		d.deleted++
@@ -77,10 +82,12 @@
 // startLoad starts a term and submits a number of long tasks. It returns when all of them run and the workers have
 // reported them as running.
 func (c *cluster) startLoad(tasks int) {
-	const maxTasksPerJob, steps = 1000, 12
+	const maxTasksPerJob = 1000
+	// 12 steps are longer than a heartbeat interval, so every worker sends at least one heartbeat.
+	const settlingSteps = 12
 	c.taskDuration = 24 * 60 * micros.Minute
 	c.startTerm()
-	for range steps {
+	for range settlingSteps {
 		c.step()
 	}
 	jobs := max(1, tasks/maxTasksPerJob)
@@ -88,22 +95,26 @@
 		c.submit(wire.JobID(fmt.Sprintf("run-%06d", j+1)), tasks/jobs)
 	}
 	c.runUntil(2*micros.Minute, "all tasks running", func() bool { return len(c.machineOf) == tasks/jobs*jobs })
-	for range steps {
+	for range settlingSteps {
 		c.step()
 	}
 }
 
 // drainTenth drains a tenth of a fleet that runs four tasks per machine on average, under a disruption budget. It
-// returns how long the drain took.
-func drainTenth(tb testing.TB, machines int, limit string) (elapsed micros.Duration, run *drainRun) {
+// returns how long the drain took in simulated time.
+func drainTenth(tb testing.TB, machines int, budget string) (elapsed micros.Duration, run *drainRun) {
 	tb.Helper()
-	const tasksPerMachine = 4
-	budget, err := disruption.ParseBudget(limit)
+	const (
+		tasksPerMachine = 4
+		wallClock       = 0 // time of day; the result does not depend on it, because the drain has no deadline
+		recordVersion   = 1 // of the drain's record
+	)
+	defaultBudget, err := disruption.ParseBudget(budget)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	run = &drainRun{disruptionStats: newDisruptionStats(),
-		planner: drain.New(drain.Config{Teams: []wire.TeamName{"red"}, DefaultBudget: budget, StepSize: machines})}
+		planner: drain.New(drain.Config{Teams: []wire.TeamName{"red"}, DefaultBudget: defaultBudget, StepSize: machines})}
 	c := newCluster(tb, machines)
 	c.disruptions, c.planRound = run.disruptionStats, func() { run.round(c) }
 	c.startLoad(machines * tasksPerMachine)
@@ -113,11 +124,12 @@
 			loaded = append(loaded, w.id)
 		}
 	}
-	plan, err := run.planner.Prepare(drain.Request{Name: "tenth", Machines: loaded}, 0, c.manager.KnownMachines(c.now))
+	request := drain.Request{Name: "tenth", Machines: loaded}
+	plan, err := run.planner.Prepare(request, wallClock, c.manager.KnownMachines(c.now))
 	if err != nil {
 		tb.Fatal(err)
 	}
-	if err := run.planner.Apply(plan.Record, plan.Machines, 1); err != nil {
+	if err := run.planner.Apply(plan.Record, plan.Machines, recordVersion); err != nil {
 		tb.Fatal(err)
 	}
 	c.manager.SetCordons(c.now, run.planner.Cordons(), nil)
@@ -131,7 +143,8 @@
 func TestDrainStaysWithinBudget(t *testing.T) {
 	const budget = 5
 	elapsed, run := drainTenth(t, 100, fmt.Sprint(budget))
-	t.Logf("%.1f s, %d disruptions", elapsed.Seconds(), run.durations.TotalCount())
+	t.Logf("the drain took %.1f s of simulated time and disrupted tasks %d times", elapsed.Seconds(),
+		run.durations.TotalCount())
 	if run.maxConcurrent > budget {
 		t.Errorf("%d tasks were disrupted at the same time, more than the budget of %d", run.maxConcurrent, budget)
 	}
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -103,36 +103,37 @@
 	return nil, fmt.Errorf("no host %q", name)
 }
 
-// serviceFault is a fault of the key-value store or of the cloud.
+// serviceFault is a fault of the key-value store or of the cloud, or the end of a fault.
 type serviceFault struct {
-	usage   string // its arguments
-	help    string
-	minArgs int // the least number of arguments
+	usage   string // the arguments of the fault; S is a number of seconds, N a count that is 1 by default
+	help    string // the effect of the fault
+	minArgs int    // the least number of arguments
 	apply   func(h *harness, words []string)
 }
 
 // stateFaults holds the faults of the key-value store by their first word.
 var stateFaults = map[string]serviceFault{
-	"outage":  {"", "it does not serve", 0, func(h *harness, _ []string) { h.state.SetOutage(true) }},
-	"recover": {"", "it serves again", 0, func(h *harness, _ []string) { h.state.SetOutage(false) }},
-	"refuse": {"MEMBER", "it refuses requests of the controller", 1, func(h *harness, words []string) {
+	"outage": {"", "the store does not serve requests", 0, func(h *harness, _ []string) { h.state.SetOutage(true) }},
+	"recover": {"", "the store serves requests again after an outage", 0,
+		func(h *harness, _ []string) { h.state.SetOutage(false) }},
+	"refuse": {"MEMBER", "the store refuses the controller's requests", 1, func(h *harness, words []string) {
 		h.state.RefuseHost(h.controllers[h.resolveMember(words[0])].ip, true)
 	}},
-	"serve": {"MEMBER", "it serves the controller again", 1, func(h *harness, words []string) {
+	"serve": {"MEMBER", "the store serves the controller's requests again", 1, func(h *harness, words []string) {
 		h.state.RefuseHost(h.controllers[h.resolveMember(words[0])].ip, false)
 	}},
-	"delay-watches": {"S", "responses to watches are delayed by S", 1, func(h *harness, words []string) {
+	"delay-watches": {"S", "responses to watches are delayed by S seconds", 1, func(h *harness, words []string) {
 		h.state.SetWatchDelay(parseSeconds(words[0]))
 	}},
-	"delay-transactions": {"PREFIX S [N]", "the next transactions on such keys are applied S later", 2,
+	"delay-transactions": {"PREFIX S [N]", "the next N transactions on keys with the prefix are applied S s later", 2,
 		func(h *harness, words []string) {
 			h.state.DelayTransactions(words[0], parseSeconds(words[1]), parseCount(words[2:]))
 		}},
-	"lose-responses": {"PREFIX [N]", "the responses to the next transactions on such keys are lost", 1,
+	"lose-responses": {"PREFIX [N]", "the responses to the next N transactions on keys with the prefix are lost", 1,
 		func(h *harness, words []string) { h.state.LoseResponses(words[0], parseCount(words[1:])) }},
-	"duplicate-requests": {"S", "requests that were executed are executed again S later", 1,
+	"duplicate-requests": {"S", "each request that was executed is executed again S seconds later", 1,
 		func(h *harness, words []string) { h.duplicators[nameState].SetDelay(parseSeconds(words[0])) }},
-	"set-limits": {"BYTES OPS WRITES", "limits of a value, a transaction, and writes a second", 3,
+	"set-limits": {"BYTES OPS WRITES", "limits of a value's size, a transaction's changes, and changes a second", 3,
 		func(h *harness, words []string) {
 			h.state.SetLimits(fake.StoreLimits{
 				ValueBytes: parseInteger(words[0]), Operations: parseInteger(words[1]), WriteRPS: parseNumber(words[2]),
@@ -142,12 +143,13 @@
 
 // cloudFaults holds the faults of the cloud by their first word.
 var cloudFaults = map[string]serviceFault{
-	"outage":  {"", "it does not serve", 0, func(h *harness, _ []string) { h.cloud.SetOutage(true) }},
-	"recover": {"", "it serves again", 0, func(h *harness, _ []string) { h.cloud.SetOutage(false) }},
+	"outage": {"", "the cloud does not serve requests", 0, func(h *harness, _ []string) { h.cloud.SetOutage(true) }},
+	"recover": {"", "the cloud serves requests again after an outage", 0,
+		func(h *harness, _ []string) { h.cloud.SetOutage(false) }},
 	"lose-response": {"", "the response to the next rental is lost", 0, func(h *harness, _ []string) {
 		h.cloud.LoseNextResponse()
 	}},
-	"duplicate-requests": {"S", "requests that were executed are executed again S later", 1,
+	"duplicate-requests": {"S", "each request that was executed is executed again S seconds later", 1,
 		func(h *harness, words []string) { h.duplicators[nameCloud].SetDelay(parseSeconds(words[0])) }},
 }
 
@@ -179,8 +181,8 @@
 	return parseInteger(words[0])
 }
 
-// pick gives a name to the last of the listed machines that still runs a task of a job. Over real connections it can't
-// be predicted which of the machines that are drained are already empty when a step runs.
+// pick gives a name to the last of the listed machines that still runs a task of a job. Later steps use the name. Over
+// real connections, a scenario can't predict which of the machines that are drained are already empty when a step runs.
 func (h *harness) pick(_ context.Context, args arguments) error {
 	name, job, machines := args.words[0], args.words[1], strings.Split(args.words[2], ",")
 	running := slices.Collect(maps.Values(h.checker.Placements(wire.JobID(job))))
@@ -188,14 +190,15 @@
 		id := wire.MachineID(machine)
 		if slices.Contains(running, id) {
 			h.pickedMachines[name] = id
-			h.log.Info("picked", "name", name, "machine", id)
+			h.log.Info("picked a machine that runs a task of the job", "name", name, "machine", id)
 			return nil
 		}
 	}
 	return fmt.Errorf("no task of %s runs on any of the listed machines", job)
 }
 
-// machine returns the machine with an id, or with a name that the step pick has given; worker is nil if there is none.
+// machine returns the machine with an ID, or with a name that the step pick has given. worker is nil if the cloud has
+// no such machine.
 func (h *harness) machine(name string) (id wire.MachineID, worker *fake.Worker) {
 	id = wire.MachineID(name)
 	if picked, ok := h.pickedMachines[name]; ok {
@@ -244,7 +247,9 @@
 	worker.AnnounceReclaim(parseSeconds(words[0]))
 }
 
-func addExistingTask(_ *harness, _ wire.MachineID, worker *fake.Worker, words []string) {
+// deliverStartCommand makes the worker execute a start command, as if a controller of an earlier version had sent it.
+// The words are the task, the attempt and the controller's fencing token.
+func deliverStartCommand(_ *harness, _ wire.MachineID, worker *fake.Worker, words []string) {
 	worker.DeliverStartCommand(words[0], wire.AttemptID(parseNumber(words[1])), wire.FencingToken(parseNumber(words[2])))
 }
 
--- a/internal/scenario/steps.go
+++ b/internal/scenario/steps.go
@@ -79,7 +79,7 @@
 	"announce-reclaim": {"MACHINE S", "the cloud announces that it reclaims the machine", 2,
 		machineStep(announceReclaim)},
 	"existing-task": {"MACHINE TASK ATTEMPT TOKEN", "the machine has a task that an earlier version has launched", 4,
-		machineStep(addExistingTask)},
+		machineStep(deliverStartCommand)},
 	"record-heartbeats": {"MACHINE [N]", "the next heartbeat (N of them) is recorded", 1,
 		machineStep(recordHeartbeats)},
 	"replay-heartbeats": {"MACHINE", "copies of recorded heartbeats arrive at every controller", 1,
