--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -31,9 +31,9 @@
 	startWorker func(Machine) *Worker
 
 	mu               sync.Mutex
-	machines         map[wire.MachineID]*cloudMachine // by ID
-	requests         map[string][]wire.MachineID      // IDs of the machines that each request rented, by request ID
-	capacity         map[machinePool]int              // number of machines that can still be rented
+	machines         map[wire.MachineID]*cloudMachine // machines by ID
+	requests         map[string][]wire.MachineID      // IDs of the machines that each request created, by request ID
+	capacity         map[machinePool]int              // number of machines that can still be created
 	lastNumber       int
 	scaledOut        int
 	outage           bool
@@ -43,7 +43,7 @@
 // cloudMachine is a machine that is booting, up or failed.
 type cloudMachine struct {
 	listing   wire.Machine
-	rentedAt  time.Time
+	createdAt time.Time
 	worker    *Worker     // nil until the machine is up
 	bootTimer *time.Timer // nil for machines that are up from the start
 }
@@ -67,7 +67,7 @@
 	}
 }
 
-// SetCapacity sets how many more machines of a type in a zone can be rented, either spot machines or others.
+// SetCapacity sets how many more machines of a type in a zone can be created, either spot machines or others.
 func (c *Cloud) SetCapacity(machineType, zone string, spot bool, machines int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,7 +88,7 @@
 	c.loseNextResponse = true
 }
 
-// ScaledOut returns how many machines have been rented so far, including those that have been returned.
+// ScaledOut returns how many machines have been created on request so far, including those that have been deleted.
 func (c *Cloud) ScaledOut() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,7 +182,7 @@
 	machine = &cloudMachine{
 		listing: wire.Machine{ID: id, Addr: machineIP(c.lastNumber) + ":" + workerPort, Type: pool.machineType,
 			Zone: pool.zone, Spot: pool.spot, State: wire.MachineStarting},
-		rentedAt: time.Now(),
+		createdAt: time.Now(),
 	}
 	c.machines[id] = machine
 	return id, machine
@@ -199,13 +199,13 @@
 	listing.State = wire.MachineRunning
 }
 
-// provision adds a machine and returns its ID. The machine is up after its boot time, unless it is returned before. A
+// provision adds a machine and returns its ID. The machine is up after its boot time, unless it is deleted before. A
 // machine without boot time is up and listed immediately. The caller holds the lock.
 func (c *Cloud) provision(pool machinePool, bootTime time.Duration) wire.MachineID {
 	id, machine := c.newMachine(pool)
 	if bootTime == 0 {
 		c.bootMachine(machine)
-		machine.rentedAt = machine.rentedAt.Add(-initialMachineAge)
+		machine.createdAt = machine.createdAt.Add(-initialMachineAge)
 		return id
 	}
 	machine.bootTimer = time.AfterFunc(bootTime, func() {
@@ -218,8 +218,8 @@
 	return id
 }
 
-// scaleOut rents the machines that a request asks for, as far as the capacity allows, and returns their IDs, or none if
-// there is no capacity. A repeated request returns the IDs that the first one returned. The caller holds the lock.
+// scaleOut creates the machines that a request asks for, as far as the capacity allows, and returns their IDs, or none
+// if there is no capacity. A repeated request returns the IDs that the first one returned. The caller holds the lock.
 func (c *Cloud) scaleOut(request wire.ScaleOutRequest) []wire.MachineID {
 	if ids, repeated := c.requests[request.RequestID]; repeated {
 		return ids
@@ -239,7 +239,7 @@
 	return ids
 }
 
-// bootTime returns the time from renting a machine of a type until it is up.
+// bootTime returns the time from the creation of a machine of a type until it is up.
 func (c *Cloud) bootTime(machineType string) time.Duration {
 	for _, known := range c.types {
 		if known.Name == machineType {
--- a/internal/fake/cloud_http.go
+++ b/internal/fake/cloud_http.go
@@ -13,8 +13,8 @@
 const (
 	// cloudPageSize is the maximum number of machines in a page of the list of machines.
 	cloudPageSize = 500
-	// maxMachinesPerReturn and maxMachinesPerScaleOut are the maximum numbers of machines of one request.
-	maxMachinesPerReturn   = 100
+	// maxMachinesPerScaleIn and maxMachinesPerScaleOut are the maximum numbers of machines of one request.
+	maxMachinesPerScaleIn  = 100
 	maxMachinesPerScaleOut = 50
 )
 
@@ -45,7 +45,7 @@
 	page := wire.MachinePage{Machines: []wire.Machine{}}
 	for _, id := range slices.Sorted(maps.Keys(c.machines)) {
 		machine := c.machines[id]
-		age := time.Since(machine.rentedAt)
+		age := time.Since(machine.createdAt)
 		if id <= from || age < c.listLag {
 			continue
 		}
@@ -81,7 +81,7 @@
 
 func (c *Cloud) serveReturn(w http.ResponseWriter, r *http.Request) {
 	var request wire.MachineIDs
-	if json.NewDecoder(r.Body).Decode(&request) != nil || len(request.IDs) > maxMachinesPerReturn {
+	if json.NewDecoder(r.Body).Decode(&request) != nil || len(request.IDs) > maxMachinesPerScaleIn {
 		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: messageMalformed})
 		return
 	}
--- a/internal/fake/cloud_test.go
+++ b/internal/fake/cloud_test.go
@@ -16,8 +16,8 @@
 	testListLag  = 5 * time.Second
 )
 
-// newTestCloud returns a cloud for a test in a synctest bubble. Three machines can be rented in zone a; the heartbeats
-// of their workers are not answered. When the test ends, the machines are reclaimed.
+// newTestCloud returns a cloud for a test in a synctest bubble. Three machines can be created in zone a; the heartbeats
+// of their workers get no response. When the test ends, the machines are reclaimed.
 func newTestCloud(t *testing.T) *Cloud {
 	t.Helper()
 	types := []wire.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8, BootS: testBootTime.Seconds()}}
@@ -64,19 +64,19 @@
 		_, first := scaleOut(t, cloud, "r1", 2)
 		_, second := scaleOut(t, cloud, "r1", 2)
 		if len(first) != 2 || !slices.Equal(first, second) || cloud.ScaledOut() != 2 {
-			t.Errorf("machines %v, then %v, %d rented; want the same two machines", first, second, cloud.ScaledOut())
+			t.Errorf("machines %v, then %v, %d created; want the same two machines", first, second, cloud.ScaledOut())
 		}
 	})
 }
 
-// TestCapacity checks that a request gets as many machines as there is capacity for, that it is refused without
-// capacity, and that a returned machine can be rented again under another ID.
-func TestCapacity(t *testing.T) {
+// TestScaleOutIsLimitedByCapacity checks that a request gets as many machines as there is capacity for, that it is
+// rejected without capacity, and that a deleted machine makes capacity for another one with another ID.
+func TestScaleOutIsLimitedByCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cloud := newTestCloud(t)
 		_, ids := scaleOut(t, cloud, "r1", 5)
 		if len(ids) != 3 || cloud.MachineCount() != 3 || cloud.MachinesInZone("a") != 3 {
-			t.Fatalf("rented %v, want 3 machines", ids)
+			t.Fatalf("created %v, want 3 machines", ids)
 		}
 		if status, _ := scaleOut(t, cloud, "r2", 1); status != http.StatusServiceUnavailable {
 			t.Errorf("scale-out without capacity: status %d", status)
@@ -86,14 +86,14 @@
 			t.Errorf("return of a machine: status %d", status)
 		}
 		if _, more := scaleOut(t, cloud, "r3", 1); len(more) != 1 || slices.Contains(ids, more[0]) {
-			t.Errorf("rented %v after %v, want one machine with a new ID", more, ids)
+			t.Errorf("created %v after %v, want one machine with a new ID", more, ids)
 		}
 	})
 }
 
-// TestMachineStates checks that a machine is listed after the list lag, that it is listed as running after its boot
-// time, and that a failed machine is listed as failed.
-func TestMachineStates(t *testing.T) {
+// TestListedMachineStates checks that a machine is listed after the list lag, that it is listed as running after its
+// boot time, and that a failed machine is listed as failed.
+func TestListedMachineStates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cloud := newTestCloud(t)
 		_, ids := scaleOut(t, cloud, "r1", 1)
@@ -119,9 +119,9 @@
 	})
 }
 
-// TestReclaimedMachine checks that a machine that is up from the start is listed immediately, and that a reclaimed
-// machine is neither listed nor has a worker.
-func TestReclaimedMachine(t *testing.T) {
+// TestReclaimedMachineIsNotListed checks that a machine that is up from the start is listed immediately, and that a
+// reclaimed machine is neither listed nor has a worker.
+func TestReclaimedMachineIsNotListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cloud := newTestCloud(t)
 		id := cloud.AddMachine("small", "a", true)
@@ -135,7 +135,7 @@
 	})
 }
 
-func TestCloudRefusals(t *testing.T) {
+func TestCloudRejectsInvalidRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cloud := newTestCloud(t)
 		for _, c := range []struct {
@@ -147,7 +147,7 @@
 			{"no machines", "/machines", wire.ScaleOutRequest{RequestID: "r", Type: "small"}, http.StatusBadRequest},
 			{"too many machines", "/machines", wire.ScaleOutRequest{RequestID: "r", Count: maxMachinesPerScaleOut + 1},
 				http.StatusBadRequest},
-			{"too many returned", "/machines/delete", wire.MachineIDs{IDs: make([]wire.MachineID, maxMachinesPerReturn+1)},
+			{"too many deleted", "/machines/delete", wire.MachineIDs{IDs: make([]wire.MachineID, maxMachinesPerScaleIn+1)},
 				http.StatusBadRequest},
 			{"unknown path", "/nothing", nil, http.StatusNotFound},
 		} {
--- a/internal/fake/conn.go
+++ b/internal/fake/conn.go
@@ -69,11 +69,11 @@
 	mu       sync.Mutex
 	buffer   []byte // data that is delivered to the reader
 	ended    bool   // the writer has closed the pipe, and that is delivered to the reader
-	held     bool   // data and the end of the data are held back from the reader
+	held     bool   // data and the end of the data are held and not delivered to the reader
 	heldData []byte
 	heldEnd  bool
 	err      error         // the error of all reads and writes; nil: none
-	deadline time.Time     // of reads; zero: none
+	deadline time.Time     // deadline for reads; zero: none
 	changed  chan struct{} // closed and replaced when a waiting read may be able to proceed
 }
 
@@ -124,7 +124,8 @@
 	}
 }
 
-// setHeld sets whether data is held back from the reader. Setting it to false delivers the held data.
+// setHeld sets whether data is held instead of being delivered to the reader. Setting it to false delivers the held
+// data.
 func (p *pipe) setHeld(held bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fake/duplicator_test.go
+++ b/internal/fake/duplicator_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// TestDuplicator checks that a request that succeeded is repeated after the delay with the same body, and that other
-// requests are not repeated.
-func TestDuplicator(t *testing.T) {
+// TestDuplicatorRepeatsOnlySuccessfulRequests checks that a request that succeeded is repeated after the delay with the
+// same body, and that other requests are not repeated.
+func TestDuplicatorRepeatsOnlySuccessfulRequests(t *testing.T) {
 	const delay = 5 * time.Second
 	for _, c := range []struct {
 		name         string
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -21,7 +21,7 @@
 
 	mu            sync.Mutex
 	attempts      map[gangKey]*gangAttempt
-	savedProgress map[wire.JobID]time.Duration // by job
+	savedProgress map[wire.JobID]time.Duration // saved progress of each job
 }
 
 // gangKey identifies an attempt of a gang.
@@ -162,7 +162,7 @@
 	case attempt.endReason == wire.ExitStopped && member.stopCommanded:
 		return gangOutcome{running: true, exitReason: wire.ExitStopped, checkpointSaved: true}
 	case !attempt.memberLostAt.IsZero() && now.Sub(attempt.memberLostAt) >= g.peerTimeout/2:
-		return gangOutcome{running: true, exitReason: wire.ExitGangPeerGone}
+		return gangOutcome{running: true, exitReason: wire.ExitGangPeerTerminated}
 	case !attempt.stoppedAt.IsZero():
 		return g.stoppingOutcome(task.job, attempt, now)
 	case attempt.memberLostAt.IsZero() && now.Sub(attempt.startedAt) >= runTime-attempt.restoredProgress:
@@ -207,7 +207,7 @@
 	}
 	if stopping >= g.peerTimeout {
 		g.recordMemberLoss(job, attempt, now.Add(-g.peerTimeout))
-		return gangOutcome{running: true, exitReason: wire.ExitGangPeerGone}
+		return gangOutcome{running: true, exitReason: wire.ExitGangPeerTerminated}
 	}
 	return gangOutcome{running: true}
 }
--- a/internal/fake/gangs_test.go
+++ b/internal/fake/gangs_test.go
@@ -72,12 +72,12 @@
 			g.poll(7*time.Second, 0, 1)
 			g.runtime.leave(g.tasks[1])
 			return g.poll(testPeerTimeout/2, 0)
-		}, first(gangOutcome{running: true, exitReason: wire.ExitGangPeerGone}), 5 * time.Second},
+		}, first(gangOutcome{running: true, exitReason: wire.ExitGangPeerTerminated}), 5 * time.Second},
 		{"has a peer on a machine that hangs", func(g *gangTest) [2]gangOutcome {
 			g.runtime.join(g.tasks[1])
 			g.poll(time.Second, 0, 1)
 			return g.poll(unresponsiveAfter+testPeerTimeout/2+2*gangPollInterval, 0)
-		}, first(gangOutcome{running: true, exitReason: wire.ExitGangPeerGone}), 0},
+		}, first(gangOutcome{running: true, exitReason: wire.ExitGangPeerTerminated}), 0},
 		{"is stopped and saves a checkpoint", func(g *gangTest) [2]gangOutcome {
 			g.runtime.join(g.tasks[1])
 			g.poll(7*time.Second, 0, 1)
@@ -90,7 +90,7 @@
 			g.poll(7*time.Second, 0, 1)
 			g.runtime.stopCommanded(g.tasks[0])
 			return g.poll(testPeerTimeout, 0, 1)
-		}, both(gangOutcome{running: true, exitReason: wire.ExitGangPeerGone}), 5 * time.Second},
+		}, both(gangOutcome{running: true, exitReason: wire.ExitGangPeerTerminated}), 5 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/fake/host.go
+++ b/internal/fake/host.go
@@ -21,10 +21,10 @@
 	net *Network
 	ip  string
 	// The network's lock guards the fields below.
-	dead      bool
-	listeners map[string]*listener // by address with port
-	conns     map[*conn]bool
-	sockets   *sockets // nil unless the network is a loopback network
+	terminated bool
+	listeners  map[string]*listener // listeners by address with port
+	conns      map[*conn]bool
+	sockets    *sockets // nil unless the network is a loopback network
 }
 
 // Kill terminates a host abruptly: its connections are reset, and new connections to it are refused.
@@ -34,7 +34,7 @@
 	}
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
-	h.dead = true
+	h.terminated = true
 	for c := range h.conns {
 		c.fail(syscall.ECONNRESET)
 	}
@@ -50,7 +50,7 @@
 	}
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
-	if h.dead {
+	if h.terminated {
 		return nil, net.ErrClosed
 	}
 	if _, taken := h.listeners[addr]; taken {
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if h.dead {
+	if h.terminated {
 		return nil, nil, net.ErrClosed
 	}
 	remote := n.hosts[ip]
@@ -100,7 +100,7 @@
 		return nil, n.changed, nil
 	}
 	l := remote.listeners[addr]
-	if remote.dead || n.links[pairOf(h.ip, ip)].mode == LinkRefused || l == nil {
+	if remote.terminated || n.links[pairOf(h.ip, ip)].mode == LinkRefused || l == nil {
 		return nil, nil, dialError(addr, syscall.ECONNREFUSED)
 	}
 	near, far := newConnPair(h, remote, addr)
--- a/internal/fake/loopback.go
+++ b/internal/fake/loopback.go
@@ -24,10 +24,10 @@
 type sockets struct {
 	block int // the second byte of the loopback addresses that 10.0.b.c is mapped to
 
-	mu        sync.Mutex
-	dead      bool
-	listeners map[net.Listener]bool
-	conns     map[net.Conn]bool
+	mu         sync.Mutex
+	terminated bool
+	listeners  map[net.Listener]bool
+	conns      map[net.Conn]bool
 }
 
 // NewLoopback returns a network whose hosts use real connections on this machine's loopback addresses. Hosts can be
@@ -94,8 +94,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.dead {
-		_ = inner.Close() // the host is dead, so an error does not matter
+	if s.terminated {
+		_ = inner.Close() // the host is terminated, so an error does not matter
 		return nil, net.ErrClosed
 	}
 	s.listeners[inner] = true
@@ -119,8 +119,8 @@
 func (s *sockets) track(inner net.Conn) (net.Conn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.dead {
-		_ = inner.Close() // the host is dead, so an error does not matter
+	if s.terminated {
+		_ = inner.Close() // the host is terminated, so an error does not matter
 		return nil, net.ErrClosed
 	}
 	s.conns[inner] = true
@@ -131,7 +131,7 @@
 func (s *sockets) kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dead = true
+	s.terminated = true
 	for inner := range s.listeners {
 		_ = inner.Close()
 	}
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -35,7 +35,7 @@
 // Network connects hosts. Each host has one IP address.
 type Network struct {
 	mu      sync.Mutex
-	hosts   map[string]*Host // by IP address
+	hosts   map[string]*Host // hosts by IP address
 	links   map[hostPair]link
 	changed chan struct{} // closed and replaced when a waiting dial may be able to proceed
 	// loopback is set for networks that use real connections. Their addresses are in the given block, which the
@@ -88,7 +88,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	host.dead = true
+	host.terminated = true
 	for c := range host.conns {
 		c.in.setHeld(true)
 		c.out.setHeld(true)
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -15,7 +15,7 @@
 // part of the protocol (ServeHTTP); the methods that inject faults are in store_faults.go.
 type Store struct {
 	mu        sync.Mutex
-	entries   map[string]wire.KeyValue // by key
+	entries   map[string]wire.KeyValue // stored entries by key
 	revision  uint64
 	events    []wire.WatchEvent // all changes, in order
 	leases    map[uint64]*storeLease
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -11,11 +11,11 @@
 // storeFaults are the faults that are injected into a store. The store's lock guards its fields.
 type storeFaults struct {
 	outage              bool
-	refusedHosts        map[string]bool  // by IP address
+	refusedHosts        map[string]bool  // IP addresses of the hosts whose requests are refused
 	delayedTransactions transactionFault // are applied after transactionDelay, without a response
 	transactionDelay    time.Duration
 	lostResponses       transactionFault // are applied immediately, without a response
-	watchDelay          time.Duration    // of the responses to watches
+	watchDelay          time.Duration    // delay of the responses to watches
 }
 
 // transactionFault selects the transactions that a fault affects: the next ones that change a key with a prefix.
--- a/internal/fake/store_test.go
+++ b/internal/fake/store_test.go
@@ -53,9 +53,9 @@
 	return sendRequest(t, store, http.MethodPost, "/txn", transaction, nil)
 }
 
-// TestStoreConditions checks that a transaction is applied only if the keys have the versions that its conditions
+// TestStoreChecksConditions checks that a transaction is applied only if the keys have the versions that its conditions
 // require.
-func TestStoreConditions(t *testing.T) {
+func TestStoreChecksConditions(t *testing.T) {
 	store := NewStore()
 	conditional := putTransaction("a")
 	conditional.If = []wire.Condition{{Key: "a", Version: 0}}
@@ -75,10 +75,10 @@
 	}
 }
 
-// TestStoreLimits checks each limit with the largest transaction that it allows and with one that exceeds it. The value
-// that putTransaction stores has 7 bytes, including its quotes. For each change that Operations allows, a transaction
-// may have conditionsPerOperation conditions.
-func TestStoreLimits(t *testing.T) {
+// TestStoreRejectsTransactionsBeyondLimits checks each limit with the largest transaction that it allows and with one
+// that exceeds it. The value that putTransaction stores has 7 bytes, including its quotes. For each change that
+// Operations allows, a transaction may have conditionsPerOperation conditions.
+func TestStoreRejectsTransactionsBeyondLimits(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		limits      StoreLimits
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestStoreWriteRate checks that the limit of changes per second allows a burst of as many changes as one second
-// allows, and as many again a second later.
-func TestStoreWriteRate(t *testing.T) {
+// TestStoreWriteRateAllowsBurst checks that the limit of changes per second allows a burst of as many changes as one
+// second allows, and as many again a second later.
+func TestStoreWriteRateAllowsBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
 		store.SetLimits(StoreLimits{WriteRPS: 2})
@@ -126,7 +126,7 @@
 	})
 }
 
-func TestStoreLease(t *testing.T) {
+func TestStoreLeaseExpiresUnlessRenewed(t *testing.T) {
 	const ttl = 10 * time.Second
 	for _, c := range []struct {
 		name     string
@@ -222,9 +222,9 @@
 	}
 }
 
-// TestStoreWatch checks that a watch returns the events on keys with its prefix after its revision, and that it returns
-// no events after the time for which it may block.
-func TestStoreWatch(t *testing.T) {
+// TestStoreWatchReturnsLaterEvents checks that a watch returns the events on keys with its prefix after its revision,
+// and that it returns no events after the time for which it may block.
+func TestStoreWatchReturnsLaterEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
 		transact(t, store, putTransaction("a1"))
@@ -246,8 +246,9 @@
 	})
 }
 
-// TestStoreList checks that pages are sorted by key, and that each page reports whether more entries follow.
-func TestStoreList(t *testing.T) {
+// TestStoreListReturnsSortedPages checks that pages are sorted by key, and that each page reports whether more entries
+// follow.
+func TestStoreListReturnsSortedPages(t *testing.T) {
 	store := NewStore()
 	transact(t, store, putTransaction("a2", "a1", "b", "a3"))
 	for _, c := range []struct {
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -23,11 +23,11 @@
 // WorkerConfig is the configuration that the workers of one simulated cluster share.
 type WorkerConfig struct {
 	// HeartbeatInterval is the mean time between heartbeats. LeaseDuration is how long a worker keeps its tasks after it
-	// sent the last heartbeat that was answered.
+	// sent the last heartbeat that got a response.
 	HeartbeatInterval, LeaseDuration time.Duration
 	Network                          *Network
 	Controllers                      []Controller
-	MachineTypes                     map[string]*wire.MachineType // by name
+	MachineTypes                     map[string]*wire.MachineType // machine types by name
 	Checker                          *invariant.Checker
 	Gangs                            *GangRuntime
 }
@@ -57,7 +57,7 @@
 	// connection is used by heartbeats, of which at most one is in flight.
 	connection heartbeatConnection
 	// duplicateClient sends delayed duplicates of heartbeats. It has a host of its own, since duplicates can arrive after
-	// the machine is gone, as packets on a network can.
+	// the machine is deleted, as packets on a network can.
 	duplicateClient *http.Client
 	// resumed is closed to end a hang; it is nil while the worker does not hang. Hang, Resume and Stop access it without
 	// synchronization, so one goroutine has to call them all.
@@ -68,7 +68,7 @@
 	incarnation  wire.AgentIncarnation
 	sequence     wire.HeartbeatSeq
 	fencingToken wire.FencingToken
-	// leaseRenewedAt is when the last heartbeat that was answered was sent.
+	// leaseRenewedAt is when the last heartbeat that got a response was sent.
 	leaseRenewedAt time.Time
 	// tokenChangedAt is when a higher fencing token last counted as a change of state, see adoptToken.
 	tokenChangedAt time.Time
@@ -112,7 +112,7 @@
 	server := &http.Server{Handler: http.HandlerFunc(w.servePush)}
 	go func() { _ = server.Serve(listener) }() // fails when the worker closes the server
 	go func() {
-		defer func() { _ = server.Close() }() // the machine is gone, so an error does not matter
+		defer func() { _ = server.Close() }() // the machine is stopped, so an error does not matter
 		w.run(ctx)
 	}()
 	return w
--- a/internal/fake/worker_faults.go
+++ b/internal/fake/worker_faults.go
@@ -59,7 +59,8 @@
 // longer by a factor.
 func (w *Worker) SetSlowdown(factor float64) { w.inbox <- func() { w.faults.slowdown = factor } }
 
-// DuplicateHeartbeats makes a duplicate of every heartbeat arrive after a delay, also when the machine is gone by then.
+// DuplicateHeartbeats makes a duplicate of every heartbeat arrive after a delay, also when the machine is deleted by
+// then.
 func (w *Worker) DuplicateHeartbeats(delay time.Duration) {
 	w.inbox <- func() { w.faults.heartbeatDuplicateDelay = delay }
 }
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -185,8 +185,8 @@
 	}
 }
 
-// TestTaskStates checks the state of a task that the heartbeats report after commands and after some time.
-func TestTaskStates(t *testing.T) {
+// TestReportedTaskStates checks the state of a task that the heartbeats report after commands and after some time.
+func TestReportedTaskStates(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		commands []wire.Command
@@ -224,9 +224,9 @@
 	}
 }
 
-// TestCheckpoint checks that a running task saves a checkpoint before it stops if the command's grace period is long
-// enough.
-func TestCheckpoint(t *testing.T) {
+// TestCheckpointIsSavedOnlyWithinGracePeriod checks that a running task saves a checkpoint before it stops if the
+// command's grace period is long enough.
+func TestCheckpointIsSavedOnlyWithinGracePeriod(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		graceS float64
@@ -259,9 +259,9 @@
 	}
 }
 
-// TestLeaseExpiry checks that the tasks are killed and the next incarnation begins if no heartbeat is answered for the
-// lease's duration, also on a machine that hangs.
-func TestLeaseExpiry(t *testing.T) {
+// TestExpiredLeaseKillsTasksAndBeginsIncarnation checks that the tasks are killed and the next incarnation begins if no
+// heartbeat gets a response for the lease's duration, also on a machine that hangs.
+func TestExpiredLeaseKillsTasksAndBeginsIncarnation(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		fail        func(w *workerTest)
@@ -345,8 +345,9 @@
 	}
 }
 
-// TestDuplicateHeartbeats checks that duplicates of heartbeats arrive after a delay, also when the machine is gone.
-func TestDuplicateHeartbeats(t *testing.T) {
+// TestDuplicateHeartbeatsArriveAfterDelay checks that duplicates of heartbeats arrive after a delay, also when the
+// machine is deleted.
+func TestDuplicateHeartbeatsArriveAfterDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorkerTest(t)
 		w.worker.DuplicateHeartbeats(20 * time.Second)
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -6,15 +6,15 @@
 // for an event. A Gang doesn't know about machines, leases or times. It isn't safe for concurrent use: it is owned by
 // the goroutine that owns the job.
 //
-// An attempt is one run of all tasks of the gang. A task of the attempt is released once it is proven that it doesn't
-// run and never will.
+// An attempt is one run of all tasks of the gang. A task of the attempt has terminated once it is proven that it
+// doesn't run and never will.
 //
 //	Idle -- placed --> Granted -- all durable --> Launched -- one runs --> Running -- one is done --> Complete
 //	 ^                    |                          |                      |   |
 //	 |                    |                          |                      |   '-- preempted --> Checkpointing
 //	 |                    v                          v                      v                       |    |
-//	 |- all released - Aborting <-- aborted, or a task is released before any has saved progress ---'    |
-//	 '- all released, one of them after it has saved the progress ---------------------------------------'
+//	 |-all terminated- Aborting <-- aborted, or a task terminates before any has saved progress ----'    |
+//	 '-all terminated, one of them after it has saved the progress --------------------------------------'
 //
 // The transitions, with the action that is returned. An event that isn't listed for a phase leaves the phase as it is
 // and returns None:
@@ -31,11 +31,11 @@
 //	Preempt            Granted, Launched                Aborting       Stop
 //	Abort              Granted to Checkpointing         Aborting       Stop
 //	TaskDone           all but Complete                 Complete       Finish
-//	TaskReleased       the last task, all but Complete  Idle           None
-//	TaskReleased       Checkpointing, progress saved    Checkpointing  None
-//	TaskReleased       else, Granted to Checkpointing   Aborting       Stop
+//	TaskTerminated     the last task, all but Complete  Idle           None
+//	TaskTerminated     Checkpointing, progress saved    Checkpointing  None
+//	TaskTerminated     else, Granted to Checkpointing   Aborting       Stop
 //
-// A new attempt begins only from Idle, after every task of the previous attempt was released. So the tasks of two
+// A new attempt begins only from Idle, after every task of the previous attempt has terminated. So the tasks of two
 // attempts never run at the same time, and no task is replaced within an attempt.
 package gang
 
@@ -55,7 +55,7 @@
 	// Checkpointing: all tasks are asked to write a checkpoint and stop. The progress is saved once one task has written
 	// it.
 	Checkpointing
-	// Aborting: the attempt has failed because a task was released, or the attempt was aborted; the other tasks are being
+	// Aborting: the attempt has failed because a task terminated, or the attempt was aborted; the other tasks are being
 	// stopped.
 	Aborting
 	// Complete: a task has completed its work, so all tasks count as done, whatever is reported about the others.
@@ -192,9 +192,9 @@
 	return Finish
 }
 
-// TaskReleased records that a task of the attempt provably doesn't run and never will. saved says that the task has
+// TaskTerminated records that a task of the attempt provably doesn't run and never will. saved says that the task has
 // written the gang's checkpoint.
-func (g *Gang) TaskReleased(saved bool) Action {
+func (g *Gang) TaskTerminated(saved bool) Action {
 	g.existing--
 	g.progressSaved = g.progressSaved || saved
 	switch {
--- a/internal/gang/gang_test.go
+++ b/internal/gang/gang_test.go
@@ -5,28 +5,28 @@
 	"testing"
 )
 
-// TestLifeCycle applies scripts of events to a gang of three tasks. The steps of a script are separated by ";". A step
-// is a list of events, optionally followed by "=", the expected phase and the expected action of the last event, unless
-// that is None.
-func TestLifeCycle(t *testing.T) {
+// TestEventsLeadToPhasesAndActions applies scripts of events to a gang of three tasks. The steps of a script are
+// separated by ";". A step is a list of events, optionally followed by "=", the expected phase and the expected action
+// of the last event, unless that is None.
+func TestEventsLeadToPhasesAndActions(t *testing.T) {
 	for _, test := range []struct{ name, script string }{
 		{"launched when all placements are durable",
 			"placed placed placed = granted; durable durable = granted; durable = launched launch"},
 		{"one task done completes the gang",
 			"launched; running = running; done = complete finish; done = complete; " +
-				"released released released = complete"},
-		{"a task released before it runs aborts the attempt",
-			"launched; released = aborting stop; released = aborting; released = idle"},
-		{"a task released while all run aborts the attempt, and the next attempt waits for the last task",
-			"launched; running; released = aborting stop; checkpointing = aborting; released released = idle; " +
+				"terminated terminated terminated = complete"},
+		{"a task terminated before it runs aborts the attempt",
+			"launched; terminated = aborting stop; terminated = aborting; terminated = idle"},
+		{"a task terminated while all run aborts the attempt, and the next attempt waits for the last task",
+			"launched; running; terminated = aborting stop; checkpointing = aborting; terminated terminated = idle; " +
 				"placed = granted"},
-		{"a task released before all placements are durable aborts the attempt",
-			"placed placed placed durable; released = aborting stop; durable = aborting; released released = idle"},
+		{"a task terminated before all placements are durable aborts the attempt",
+			"placed placed placed durable; terminated = aborting stop; durable = aborting; terminated terminated = idle"},
 		{"preemption succeeds once one task has saved the checkpoint",
 			"launched; running; preempt = checkpointing checkpoint; preempt = checkpointing; " +
-				"released-saved = checkpointing; released = checkpointing; released = idle"},
-		{"preemption fails if a task is released before any has saved the checkpoint",
-			"launched; running; preempt = checkpointing checkpoint; released = aborting stop; released released = idle"},
+				"terminated-saved = checkpointing; terminated = checkpointing; terminated = idle"},
+		{"preemption fails if a task terminates before any has saved the checkpoint",
+			"launched; running; preempt = checkpointing checkpoint; terminated = aborting stop; terminated terminated = idle"},
 		{"preemption before any task runs is an abort",
 			"launched; preempt = aborting stop"},
 		{"preemption of an idle gang does nothing",
@@ -34,18 +34,18 @@
 		{"a new leader recovers all tasks",
 			"recovered recovered recovered; recovery-done = launched; running = running"},
 		{"a new leader recovers some of the tasks",
-			"recovered recovered; recovery-done = aborting stop; released released = idle"},
+			"recovered recovered; recovery-done = aborting stop; terminated terminated = idle"},
 		{"a new leader recovers no task",
 			"recovery-done = idle"},
 		{"a new leader recovers a running gang that an earlier leader has asked to checkpoint",
 			"recovered recovered recovered; recovery-done; running; checkpointing = checkpointing checkpoint; " +
-				"checkpointing = checkpointing; released-saved released released = idle"},
+				"checkpointing = checkpointing; terminated-saved terminated terminated = idle"},
 		{"a new leader recovers a gang of which a task is checkpointing already",
 			"recovered recovered recovered; recovery-done; checkpointing = checkpointing checkpoint"},
-		{"a task that is done after another was released completes the gang",
-			"recovered recovered recovered; recovery-done; released = aborting stop; done = complete finish"},
+		{"a task that is done after another terminated completes the gang",
+			"recovered recovered recovered; recovery-done; terminated = aborting stop; done = complete finish"},
 		{"aborted while it runs",
-			"launched; running; abort = aborting stop; abort = aborting; released released released = idle"},
+			"launched; running; abort = aborting stop; abort = aborting; terminated terminated terminated = idle"},
 		{"aborted while it checkpoints",
 			"launched; running; preempt; abort = aborting stop"},
 	} {
@@ -102,8 +102,8 @@
 		return gang.Abort()
 	case "done":
 		return gang.TaskDone()
-	case "released", "released-saved":
-		return gang.TaskReleased(event == "released-saved")
+	case "terminated", "terminated-saved":
+		return gang.TaskTerminated(event == "terminated-saved")
 	default:
 		t.Fatalf("unknown event %q", event)
 	}
--- a/internal/leader/delay_test.go
+++ b/internal/leader/delay_test.go
@@ -6,7 +6,7 @@
 	"saffronbend/internal/micros"
 )
 
-func TestDelayDetector(t *testing.T) {
+func TestDelayDetectorReportsLateTicks(t *testing.T) {
 	detector := delayDetector{interval: 500 * micros.Millisecond}
 	steps := []struct {
 		after micros.Duration
--- a/internal/leader/drains/drains.go
+++ b/internal/leader/drains/drains.go
@@ -28,7 +28,7 @@
 	Evict(now micros.Timestamp, task disruption.Task) drain.EvictionOutcome
 	KnownMachines(now micros.Timestamp) []drain.KnownMachine
 	SetCordons(now micros.Timestamp, cordons map[wire.MachineID]bool, vacated []drain.VacatedPool)
-	SetReplacements(tasks []disruption.Task)
+	SetPendingReplacements(tasks []disruption.Task)
 }
 
 // Scaler deletes machines. It is called on the term's goroutine only.
@@ -84,14 +84,14 @@
 // Round has the planner decide on evictions and on the deletion of empty machines, and executes its decisions.
 func (e *Executor) Round(ctx context.Context, now micros.Timestamp) {
 	if !e.planner.HasCordons() {
-		e.cfg.Manager.SetReplacements(nil)
+		e.cfg.Manager.SetPendingReplacements(nil)
 		return
 	}
 	current := e.cfg.Manager.DrainSnapshot(now)
 	current.WallClock = e.cfg.Clock.UnixMicro()
 	evict := func(task disruption.Task) drain.EvictionOutcome { return e.cfg.Manager.Evict(now, task) }
 	actions := e.planner.Plan(current, evict, routine.Budget(e.cfg.Tuning.RoundBudget))
-	e.cfg.Manager.SetReplacements(actions.NeedReplacement)
+	e.cfg.Manager.SetPendingReplacements(actions.NeedReplacement)
 	for _, machine := range actions.ScaleIn {
 		e.cfg.Log.Info("scaling in a machine", "machine", machine, "reason", "drained")
 	}
@@ -101,7 +101,7 @@
 	}
 }
 
-// complete makes durable, in the background, that a drain is done because all its machines are gone.
+// complete makes durable, in the background, that a drain is done because none of its machines exists any more.
 func (e *Executor) complete(ctx context.Context, name string) {
 	if e.completing[name] {
 		return
--- a/internal/leader/followers.go
+++ b/internal/leader/followers.go
@@ -21,7 +21,7 @@
 	controller    string // this controller, which leads
 	teams         []wire.TeamName
 	subscriptions map[*subscription]bool
-	lastContact   map[string]micros.Timestamp // by controller
+	lastContact   map[string]micros.Timestamp // time of the last contact with each controller
 	assignments   map[wire.TeamName]string    // controller by team
 }
 
@@ -31,13 +31,13 @@
 	updated    chan struct{} // has capacity 1, and holds an element if there may be a newer snapshot
 }
 
-func newFollowers(set *settings.Settings) *followers {
+func newFollowers(cfg *settings.Settings) *followers {
 	var teams []wire.TeamName
-	for _, team := range set.Deployment.Teams {
+	for _, team := range cfg.Deployment.Teams {
 		teams = append(teams, wire.TeamName(team.Name))
 	}
 	return &followers{
-		controller:    set.Member,
+		controller:    cfg.Member,
 		teams:         teams,
 		subscriptions: map[*subscription]bool{},
 		lastContact:   map[string]micros.Timestamp{},
--- a/internal/leader/followers_test.go
+++ b/internal/leader/followers_test.go
@@ -24,17 +24,17 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			set := &settings.Settings{Member: "c1"}
+			cfg := &settings.Settings{Member: "c1"}
 			for _, team := range []string{"red", "green", "blue"} {
-				set.Deployment.Teams = append(set.Deployment.Teams, settings.Team{Name: team})
+				cfg.Deployment.Teams = append(cfg.Deployment.Teams, settings.Team{Name: team})
 			}
-			tracked := newFollowers(set)
+			tracked := newFollowers(cfg)
 			for controller, ago := range c.contacts {
 				tracked.subscriptions[&subscription{controller: controller}] = true
 				tracked.recordContact(now.Add(-ago), controller)
 			}
 			assigned := tracked.assign(now)
-			if len(assigned) != len(set.Deployment.Teams) {
+			if len(assigned) != len(cfg.Deployment.Teams) {
 				t.Errorf("assignments are %v, want one for each of the three teams", assigned)
 			}
 			controllers := slices.Compact(slices.Sorted(maps.Values(assigned)))
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -33,7 +33,7 @@
 }
 
 func (t *Term) applyHeartbeat(now micros.Timestamp, heartbeat *wire.Heartbeat, relayedBy string) peer.RelayResponse {
-	if relayedBy != "" && t.manager.MayReturnToLeader(now, heartbeat.Machine) {
+	if relayedBy != "" && t.manager.PushesReachAgent(now, heartbeat.Machine) {
 		return peer.RelayResponse{WorkerReachable: true}
 	}
 	if !t.mayRenewWorkerLeases(now) {
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	writeRetryInterval    = 20 * micros.Millisecond // before the first retry; doubles with each retry
+	writeRetryInterval    = 20 * micros.Millisecond // delay before the first retry; doubles with each retry
 	maxWriteRetryInterval = 500 * micros.Millisecond
 )
 
@@ -45,7 +45,7 @@
 				return
 			}
 		case errors.Is(err, state.ErrRejected):
-			t.handleRefusedWrite(ctx, batch, largestValue, err)
+			t.handleRejectedWrite(ctx, batch, largestValue, err)
 			return
 		}
 		t.cfg.Log.Debug("retrying a write batch", "error", err)
@@ -59,7 +59,7 @@
 // on the leader's key, on the version of every record that it changes, and on the batch's open-job records.
 func (t *Term) encode(batch *manager.WriteBatch) (txn wire.Transaction, largestValue int, err error) {
 	txn.If = []wire.Condition{t.writer.Condition()}
-	for _, change := range slices.Concat(batch.Changes, batch.OpenRecordConditions) {
+	for _, change := range slices.Concat(batch.Changes, batch.OpenJobRecordConditions) {
 		condition := wire.Condition{Key: change.Key, Version: change.Version}
 		if !slices.Contains(txn.If, condition) {
 			txn.If = append(txn.If, condition)
@@ -80,16 +80,16 @@
 	return txn, largestValue, nil
 }
 
-// handleRefusedWrite tells the manager that the store refused a batch because the store's limits are now lower than
+// handleRejectedWrite informs the manager that the store rejected a batch because the store's limits are now lower than
 // those in the settings. Retrying the same batch would always fail, so the manager builds a smaller one.
-func (t *Term) handleRefusedWrite(ctx context.Context, batch *manager.WriteBatch, largestValue int, err error) {
+func (t *Term) handleRejectedWrite(ctx context.Context, batch *manager.WriteBatch, largestValue int, err error) {
 	keys := make([]string, len(batch.Changes))
 	for i, change := range batch.Changes {
 		keys[i] = change.Key
 	}
 	t.loop.Post(ctx, func(now micros.Timestamp) {
-		if !t.manager.WriteRefused(now, batch, largestValue) {
-			t.cfg.Log.Error("the key-value store refuses a write batch that can't be split further",
+		if !t.manager.WriteRejected(now, batch, largestValue) {
+			t.cfg.Log.Error("the key-value store rejects a write batch that can't be split further",
 				"keys", keys, "bytes", largestValue, "error", err)
 		}
 	})
@@ -142,7 +142,7 @@
 		return change.Value == nil
 	case change.IdempotencyMark != "":
 		var progress state.ProgressRecord
-		return json.Unmarshal(item.Value, &progress) == nil && progress.IdempotencyToken == change.IdempotencyMark
+		return json.Unmarshal(item.Value, &progress) == nil && progress.IdempotencyMark == change.IdempotencyMark
 	case change.Value == any(state.JobStatusRecord{State: wire.JobDone}):
 		var status state.JobStatusRecord
 		return json.Unmarshal(item.Value, &status) == nil && status.State == wire.JobDone
@@ -155,7 +155,7 @@
 // build the same batch again. It returns false if the records can't be read.
 func (t *Term) abandonBatch(ctx context.Context, batch *manager.WriteBatch) bool {
 	var update openjobs.Update
-	for _, condition := range batch.OpenRecordConditions {
+	for _, condition := range batch.OpenJobRecordConditions {
 		item, err := t.cfg.Store.Get(ctx, condition.Key)
 		if err != nil {
 			return false
@@ -186,10 +186,10 @@
 	}
 	t.loop.Post(ctx, func(now micros.Timestamp) {
 		for _, job := range jobs {
-			t.manager.OpenRecordChanged(now, t.resolved.At(), t.cfg.Clock.UnixMicro(), job.record, job.version)
+			t.manager.OpenJobRecordChanged(now, t.resolved.At(), t.cfg.Clock.UnixMicro(), job.record, job.version)
 		}
 		for _, job := range update.Removed {
-			t.manager.OpenRecordRemoved(job)
+			t.manager.OpenJobRecordRemoved(job)
 		}
 		t.manager.ForgetDeletionsUpTo(update.CompleteAt)
 		t.resolved.Advance(update.RequestedAt)
@@ -205,5 +205,5 @@
 		t.cfg.Log.Debug("cannot read the records of lease renewers", "error", err)
 		return
 	}
-	t.loop.Post(ctx, func(now micros.Timestamp) { t.manager.LeaseRenewersRead(now, requestedAt, items) })
+	t.loop.Post(ctx, func(now micros.Timestamp) { t.manager.ApplyLeaseRenewers(now, requestedAt, items) })
 }
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -15,7 +15,7 @@
 	"saffronbend/wire"
 )
 
-func TestPushOutcome(t *testing.T) {
+func TestPushOutcomeFromResultAndError(t *testing.T) {
 	cases := map[string]struct {
 		executed bool
 		err      error
@@ -35,9 +35,9 @@
 	}
 }
 
-func TestWasCommitted(t *testing.T) {
+func TestWasCommittedComparesStoredRecord(t *testing.T) {
 	stored := func(value string) *wire.KeyValue { return &wire.KeyValue{Value: json.RawMessage(value), Version: 9} }
-	progress := manager.RecordChange{Value: state.ProgressRecord{IdempotencyToken: "1.7"}, IdempotencyMark: "1.7"}
+	progress := manager.RecordChange{Value: state.ProgressRecord{IdempotencyMark: "1.7"}, IdempotencyMark: "1.7"}
 	deletion := manager.RecordChange{}
 	completion := manager.RecordChange{Value: state.JobStatusRecord{State: wire.JobDone}}
 	cases := map[string]struct {
@@ -45,14 +45,14 @@
 		item   *wire.KeyValue
 		want   bool
 	}{
-		"progress with the batch's mark":    {progress, stored(`{"w":"1.7"}`), true},
-		"progress with another mark":        {progress, stored(`{"w":"1.6"}`), false},
-		"progress that can't be decoded":    {progress, stored(`{`), false},
-		"progress that no longer exists":    {progress, nil, false},
-		"deletion, the record is gone":      {deletion, nil, true},
-		"deletion, the record still exists": {deletion, stored(`{}`), false},
-		"completion, the job is done":       {completion, stored(`{"status":"done"}`), true},
-		"completion, the job is cancelled":  {completion, stored(`{"status":"cancelled"}`), false},
+		"progress with the batch's mark":        {progress, stored(`{"w":"1.7"}`), true},
+		"progress with another mark":            {progress, stored(`{"w":"1.6"}`), false},
+		"progress that can't be decoded":        {progress, stored(`{`), false},
+		"progress that no longer exists":        {progress, nil, false},
+		"deletion, the record no longer exists": {deletion, nil, true},
+		"deletion, the record still exists":     {deletion, stored(`{}`), false},
+		"completion, the job is done":           {completion, stored(`{"status":"done"}`), true},
+		"completion, the job is cancelled":      {completion, stored(`{"status":"cancelled"}`), false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -63,14 +63,14 @@
 	}
 }
 
-func TestEncode(t *testing.T) {
+func TestEncodeAddsEachConditionOnce(t *testing.T) {
 	term := &Term{writer: fenced.NewWriter(nil, 7, 1, 10)}
 	txn, largest, err := term.encode(&manager.WriteBatch{
 		Changes: []manager.RecordChange{
 			{Key: "tasks/a/0", Version: 3, Value: "four"},
 			{Key: "tasks/b/0", Version: 4},
 		},
-		OpenRecordConditions: []manager.RecordChange{
+		OpenJobRecordConditions: []manager.RecordChange{
 			{Key: "open/a", Version: 5},
 			{Key: "tasks/b/0", Version: 4}, // duplicates the condition of the change
 		},
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -127,37 +127,37 @@
 		connectionsPerPush = 16
 		minCommandPushes   = 4
 	)
-	set := t.cfg.Settings
-	deployment := &set.Deployment
+	cfg := t.cfg.Settings
+	deployment := &cfg.Deployment
 	return manager.Config{
 		FencingToken:      t.token,
 		Teams:             deployment.Teams,
-		WorkerLease:       set.WorkerLease(),
+		WorkerLease:       cfg.WorkerLease(),
 		HeartbeatInterval: micros.Seconds(deployment.Workers.ReportS),
 		LeaseMargin:       leaseMargin,
 		CancelTimeout:     micros.Seconds(deployment.Workers.CancelS),
-		GangWaitTimeout:   set.GangWaitTimeout(),
-		GangPeerTimeout:   set.GangPeerTimeout(),
+		GangWaitTimeout:   cfg.GangWaitTimeout(),
+		GangPeerTimeout:   cfg.GangPeerTimeout(),
 		ListLag:           micros.Seconds(deployment.Cloud.ListLagS),
-		Tuning:            set.Tuning,
-		TrackDisruptions:  set.Tuning.Drains.Enabled,
-		ReservationTTL:    set.Tuning.Drains.ReservationTTL,
+		Tuning:            cfg.Tuning,
+		TrackDisruptions:  cfg.Tuning.Drains.Enabled,
+		ReservationTTL:    cfg.Tuning.Drains.ReservationTTL,
 		MaxCommandPushes:  max(minCommandPushes, deployment.Limits.MaxConnections/connectionsPerPush),
 		StoreLimits:       deployment.State.Effective(),
 	}
 }
 
 func (t *Term) scalingConfig() scaling.Config {
-	set := t.cfg.Settings
-	deployment := &set.Deployment
+	cfg := t.cfg.Settings
+	deployment := &cfg.Deployment
 	return scaling.Config{
 		Fleet: fleet.Config{
 			FencingToken:      t.token,
-			LeaseDuration:     set.WorkerLease(),
+			LeaseDuration:     cfg.WorkerLease(),
 			HeartbeatInterval: micros.Seconds(deployment.Workers.ReportS),
 			ListLag:           micros.Seconds(deployment.Cloud.ListLagS),
-			Tuning:            set.Tuning,
-			UrgentClasses:     set.UrgentClasses(),
+			Tuning:            cfg.Tuning,
+			UrgentClasses:     cfg.UrgentClasses(),
 		},
 		RequestsPerSecond: deployment.Cloud.RPS,
 		ValueKB:           deployment.State.Effective().ValueKB,
--- a/internal/leader/scaling/scaling.go
+++ b/internal/leader/scaling/scaling.go
@@ -50,7 +50,7 @@
 type Manager interface {
 	SetTypes(types []wire.MachineType)
 	MachinesListed(now micros.Timestamp, machines []wire.Machine)
-	MachinesScaledOut(now micros.Timestamp, request wire.ScaleOutRequest, machines []wire.MachineID)
+	RegisterCreatedMachines(now micros.Timestamp, request wire.ScaleOutRequest, machines []wire.MachineID)
 	DeletionRequested(machines []wire.MachineID)
 	MachinesDeleted(now micros.Timestamp, machines []wire.MachineID)
 }
@@ -131,10 +131,10 @@
 	for {
 		machines, err := e.cfg.Cloud.ScaleOut(ctx, request)
 		if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
-			e.cfg.Log.Debug("scale-out request answered", "type", request.Type, "zone", request.Zone, "spot", request.Spot,
+			e.cfg.Log.Debug("scale-out request completed", "type", request.Type, "zone", request.Zone, "spot", request.Spot,
 				"requested", request.Count, "created", len(machines))
 			e.cfg.Loop.Post(ctx, func(now micros.Timestamp) {
-				e.cfg.Manager.MachinesScaledOut(now, request, machines)
+				e.cfg.Manager.RegisterCreatedMachines(now, request, machines)
 				e.fleet.RecordScaleOut(now, request, len(machines))
 			})
 			return
--- a/internal/leader/scaling/scaling_test.go
+++ b/internal/leader/scaling/scaling_test.go
@@ -102,7 +102,7 @@
 	scaledOut, deleted [][]wire.MachineID
 }
 
-func (m *fakeManager) MachinesScaledOut(_ micros.Timestamp, _ wire.ScaleOutRequest, machines []wire.MachineID) {
+func (m *fakeManager) RegisterCreatedMachines(_ micros.Timestamp, _ wire.ScaleOutRequest, machines []wire.MachineID) {
 	m.scaledOut = append(m.scaledOut, machines)
 }
 
--- a/internal/manager/agent.go
+++ b/internal/manager/agent.go
@@ -10,9 +10,9 @@
 // worker lease. It has no tasks at the beginning of an incarnation.
 type agentState struct {
 	reporting          bool                  // it has reported in this term, and its lease has not expired since
-	incarnation        wire.AgentIncarnation // the latest known; 0: none
-	latestSeq          wire.HeartbeatSeq     // of the latest message in this incarnation: a heartbeat or push response
-	heartbeatSeq       wire.HeartbeatSeq     // of the latest heartbeat in this incarnation
+	incarnation        wire.AgentIncarnation // latest known incarnation; 0: none
+	latestSeq          wire.HeartbeatSeq     // sequence number of the incarnation's latest heartbeat or push response
+	heartbeatSeq       wire.HeartbeatSeq     // sequence number of the incarnation's latest heartbeat
 	expiredIncarnation wire.AgentIncarnation // the latest incarnation whose lease has provably expired
 
 	// tokenAcknowledged is true if the latest message carries this term's fencing token. From then on, only responses
@@ -37,8 +37,8 @@
 type messageSource uint8
 
 const (
-	fromHeartbeat    messageSource = iota // in a heartbeat that the agent sent
-	fromPushResponse                      // in the agent's response to a push
+	fromHeartbeat    messageSource = iota // the message is a heartbeat that the agent sent
+	fromPushResponse                      // the message is the agent's response to a push
 )
 
 // stale reports whether a message is older than what is already known. A heartbeat may be delayed by minutes. Its agent
@@ -148,7 +148,8 @@
 	return m.cfg.HeartbeatInterval.Scale(1.25) + micros.Second
 }
 
-// heartbeatOverdue reports whether the heartbeat timeout has passed since a heartbeat of a machine was last answered.
+// heartbeatOverdue reports whether the heartbeat timeout has passed since the last response to a heartbeat of a
+// machine.
 func (m *Manager) heartbeatOverdue(now micros.Timestamp, machine *machineState) bool {
 	return now.Sub(machine.agent.lastResponseAt) > m.heartbeatTimeout()
 }
--- a/internal/manager/agent_test.go
+++ b/internal/manager/agent_test.go
@@ -7,8 +7,8 @@
 	"saffronbend/wire"
 )
 
-// Classifies messages of an agent: stale, overtaken by a push response and therefore answered nevertheless, or evidence
-// that the relay's responses reach the agent.
+// Classifies messages of an agent: stale; overtaken by a push response, in which case the agent still gets a response;
+// or evidence that the relay's responses reach the agent.
 func TestAgentMessageOrder(t *testing.T) {
 	agent := agentState{
 		incarnation: 3, latestSeq: 20, heartbeatSeq: 18, expiredIncarnation: 2, relayedBy: "c2",
@@ -41,7 +41,7 @@
 }
 
 // Checks how messages update the agent's reachability and the renewal time of its lease.
-func TestAgentConnectivity(t *testing.T) {
+func TestMessagesUpdateAgentConnectivity(t *testing.T) {
 	const now micros.Timestamp = 50
 	for _, c := range []struct {
 		name        string
@@ -72,7 +72,7 @@
 }
 
 // An agent whose heartbeats begin to be relayed is assumed to be unreachable by pushes until it returns to the leader.
-func TestAgentRelay(t *testing.T) {
+func TestRelayedAgentIsUnreachableByPush(t *testing.T) {
 	agent := agentState{pushReachable: true, probedAt: 9}
 	h := &harness{T: t}
 	h.want(agent.setRelay("c2"), true)
--- a/internal/manager/assignments.go
+++ b/internal/manager/assignments.go
@@ -8,7 +8,7 @@
 )
 
 // AssignTeams distributes teams evenly over controllers and returns the controller of each team, which places the
-// team's jobs. before holds the previous assignments: a team keeps its controller as long as the controller is alive,
+// team's jobs. before holds the previous assignments: a team keeps its controller as long as the controller is running,
 // unless the team has to be reassigned because one controller has at least two teams more than another. The result is
 // nil if there are no controllers.
 func AssignTeams(
@@ -28,7 +28,7 @@
 	after := map[wire.TeamName]string{}
 	for _, team := range teams {
 		if controller, ok := before[team]; ok {
-			if _, alive := load[controller]; alive {
+			if _, running := load[controller]; running {
 				after[team] = controller
 				load[controller]++
 			}
--- a/internal/manager/assignments_test.go
+++ b/internal/manager/assignments_test.go
@@ -7,7 +7,7 @@
 	"saffronbend/wire"
 )
 
-func TestAssignTeams(t *testing.T) {
+func TestAssignTeamsBalancesControllers(t *testing.T) {
 	type assignments = map[wire.TeamName]string
 	for _, c := range []struct {
 		name        string
@@ -21,7 +21,7 @@
 			assignments{"red": "c0", "blue": "c1", "green": "c0"}},
 		{"teams keep their controllers", assignments{"red": "c1", "blue": "c0"}, []wire.TeamName{"red", "blue"},
 			[]string{"c0", "c1"}, assignments{"red": "c1", "blue": "c0"}},
-		{"a controller is gone", assignments{"red": "c1", "blue": "c0"}, []wire.TeamName{"red", "blue"},
+		{"a controller no longer runs", assignments{"red": "c1", "blue": "c0"}, []wire.TeamName{"red", "blue"},
 			[]string{"c0", "c2"}, assignments{"red": "c2", "blue": "c0"}},
 		{"a controller joins", assignments{"red": "c0", "blue": "c0", "green": "c0"},
 			[]wire.TeamName{"red", "blue", "green"}, []string{"c0", "c1"},
--- a/internal/manager/attempts.go
+++ b/internal/manager/attempts.go
@@ -19,7 +19,7 @@
 // attemptIDs allocates the identifiers of the attempts of a term.
 type attemptIDs struct {
 	fencingToken wire.FencingToken
-	lastNumber   uint64 // of the latest attempt in this term
+	lastNumber   uint64 // number of the latest attempt in this term
 }
 
 // exhausted reports whether no identifiers are left in this term.
@@ -44,7 +44,7 @@
 	taskName       string         // set by registerAttempt
 	id             wire.AttemptID // shared by the tasks of a gang
 	machine        *machineState
-	incarnation    wire.AgentIncarnation // of the agent to which it was granted or which reported it
+	incarnation    wire.AgentIncarnation // incarnation of the agent to which it was granted or which reported it
 	placementBytes int                   // encoded size of its placement in the progress record
 
 	durable         bool // its placement is durable
@@ -181,7 +181,8 @@
 	m.publisher.markJob(job)
 }
 
-// stopAttempt requests that an attempt be stopped. An attempt that was never launched is released at once.
+// stopAttempt requests that an attempt be stopped. An attempt that was never launched has provably terminated and is
+// released at once.
 func (m *Manager) stopAttempt(now micros.Timestamp, attempt *taskAttempt, graceS float64, cause disruption.Cause) {
 	m.beginDisruption(now, attempt, cause)
 	if neverLaunched(attempt) {
--- a/internal/manager/cancellation_test.go
+++ b/internal/manager/cancellation_test.go
@@ -8,8 +8,8 @@
 	"saffronbend/wire"
 )
 
-// The period in which a late launch of a cancelled job is answered with a launch and a stop is measured from the
-// earliest time at which the cancellation can have been confirmed to the user.
+// The period in which the response to a heartbeat after a late launch of a cancelled job contains a launch and a stop
+// is measured from the earliest time at which the cancellation can have been confirmed to the user.
 func TestLateLaunchIsStoppedOnlyWithinTheCancelTimeout(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -29,9 +29,9 @@
 			h.advance(c.age)
 			h.revision++
 			cancelled := record("run-1", 1, nil).Finalized(wire.JobCancelled)
-			h.m.OpenRecordChanged(h.now, confirmedAt, 0, cancelled, h.revision)
-			answer := h.heartbeat("n-1-a", token, 1)
-			h.want(strings.Count(answer, "run-1/0"), c.commands)
+			h.m.OpenJobRecordChanged(h.now, confirmedAt, 0, cancelled, h.revision)
+			response := h.heartbeat("n-1-a", token, 1)
+			h.want(strings.Count(response, "run-1/0"), c.commands)
 		})
 	}
 }
--- a/internal/manager/costs_test.go
+++ b/internal/manager/costs_test.go
@@ -7,7 +7,7 @@
 )
 
 // Divides the cost of one hour of a machine by the use of its CPUs.
-func TestMachineCosts(t *testing.T) {
+func TestMachineCostsAreDividedByCPUs(t *testing.T) {
 	attempt := func(cpus float64, taskState wire.TaskState) *taskAttempt {
 		record := record("run-1", 1, func(job *wire.Job) { job.CPUs = cpus })
 		return &taskAttempt{job: &jobState{record: record}, reportedState: taskState}
--- a/internal/manager/disruptions.go
+++ b/internal/manager/disruptions.go
@@ -12,7 +12,7 @@
 // disruptionRecord tracks the record of the open disruptions in one progress shard. It is written in the same
 // transaction as the shard's progress record, so that a new leader finds every disrupted attempt in one or the other.
 type disruptionRecord struct {
-	version  uint64 // in the key-value store; 0: the record does not exist
+	version  uint64 // version of the record in the key-value store; 0: the record does not exist
 	stored   string // encoded entries as last committed
 	inFlight string // encoded entries in the write that is in flight
 }
@@ -153,7 +153,7 @@
 	record.inFlight = encoded
 	change = RecordChange{Key: state.DisruptionKey(job.id(), shardIndex), Version: record.version}
 	if len(open) > 0 {
-		change.Value = state.DisruptionRecord{Open: open, IdempotencyToken: mark}
+		change.Value = state.DisruptionRecord{Open: open, IdempotencyMark: mark}
 		change.IdempotencyMark = mark
 	}
 	return change, true
--- a/internal/manager/drains.go
+++ b/internal/manager/drains.go
@@ -13,11 +13,11 @@
 )
 
 // listLagFactor is the number of list lags that must pass in a new term before a machine that the cloud does not list
-// counts as gone: a list can be twice as old as usual, and can be older than the list before it.
+// counts as no longer existing: a list can be twice as old as usual, and can be older than the list before it.
 const listLagFactor = 4
 
-// SetCordons sets the cordoned machines, which receive no new tasks, and the vacated pools, in which the fleet rents
-// machines only if it cannot rent them elsewhere. Attempts on newly cordoned machines that have been granted but not
+// SetCordons sets the cordoned machines, which receive no new tasks, and the vacated pools, in which the fleet creates
+// machines only if it cannot create them elsewhere. Attempts on newly cordoned machines that have been granted but not
 // launched are withdrawn.
 func (m *Manager) SetCordons(now micros.Timestamp, cordons map[wire.MachineID]bool, vacatedPools []drain.VacatedPool) {
 	m.vacatedPools = vacatedPools
@@ -49,9 +49,9 @@
 	}
 }
 
-// SetReplacements sets the tasks that are to be evicted as soon as other machines have capacity for them. A task of a
-// gang stands for the whole gang. The next snapshot reports these tasks to the fleet.
-func (m *Manager) SetReplacements(tasks []disruption.Task) {
+// SetPendingReplacements sets the tasks that are to be evicted as soon as other machines have capacity for them. A task
+// of a gang stands for the whole gang. The next snapshot reports these tasks to the fleet.
+func (m *Manager) SetPendingReplacements(tasks []disruption.Task) {
 	clear(m.replacements)
 	for _, task := range tasks {
 		if job := m.jobs.byID[task.Job]; job != nil && job.gang != nil {
@@ -62,9 +62,9 @@
 	}
 }
 
-// publishedReplacements returns the jobs with tasks that cannot be evicted for lack of capacity on other machines.
+// pendingReplacements returns the jobs with tasks that cannot be evicted for lack of capacity on other machines.
 // Waiting is the number of these tasks of each job.
-func (m *Manager) publishedReplacements() []*snapshot.Job {
+func (m *Manager) pendingReplacements() []*snapshot.Job {
 	var jobs []*snapshot.Job
 	for _, id := range slices.Sorted(maps.Keys(m.replacements)) {
 		if job := m.jobs.byID[id]; job != nil && !job.final() {
--- a/internal/manager/estimates.go
+++ b/internal/manager/estimates.go
@@ -20,7 +20,7 @@
 		return
 	}
 	const (
-		weight     = 0.15 // of the newest job in the moving average
+		weight     = 0.15 // weight of the newest job in the moving average
 		maxBias    = 1.5  // limit for the logarithm of a single job
 		minRunTime = 0.1  // seconds
 	)
--- a/internal/manager/evictions.go
+++ b/internal/manager/evictions.go
@@ -85,22 +85,22 @@
 func (m *Manager) destinationsFor(
 	now micros.Timestamp, job *jobState, evicted []*taskAttempt,
 ) (destinations []*machineState, ok bool) {
-	released := map[*machineState]int{} // evicted tasks of the gang by machine
+	evictedTasks := map[*machineState]int{} // evicted tasks of the gang by machine
 	if job.gang != nil {
 		for _, attempt := range evicted {
-			released[attempt.machine]++
+			evictedTasks[attempt.machine]++
 		}
 	}
-	candidates := m.evictionDestinations(now, job, released)
+	candidates := m.evictionDestinations(now, job, evictedTasks)
 	if !job.spec().SameZone || job.gang == nil {
-		return m.fillMachines(candidates, job, released, len(evicted))
+		return m.fillMachines(candidates, job, evictedTasks, len(evicted))
 	}
 	zones := map[string][]*machineState{}
 	for _, machine := range candidates {
 		zones[machine.zone] = append(zones[machine.zone], machine)
 	}
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		if destinations, ok = m.fillMachines(zones[zone], job, released, len(evicted)); ok {
+		if destinations, ok = m.fillMachines(zones[zone], job, evictedTasks, len(evicted)); ok {
 			return destinations, true
 		}
 	}
@@ -110,11 +110,11 @@
 // fillMachines fills machines in the given order with a number of tasks of a job and returns the machine of each task.
 // ok is false if the machines cannot hold all of these tasks.
 func (m *Manager) fillMachines(
-	machines []*machineState, job *jobState, released map[*machineState]int, tasks int,
+	machines []*machineState, job *jobState, evictedTasks map[*machineState]int, tasks int,
 ) (filled []*machineState, ok bool) {
 	need := resources.ForTask(job.spec())
 	for _, machine := range machines {
-		free := m.freeResources(machine).AddTasks(need, float64(released[machine]))
+		free := m.freeResources(machine).AddTasks(need, float64(evictedTasks[machine]))
 		for range free.MaxTasks(need, tasks-len(filled)) {
 			filled = append(filled, machine)
 		}
@@ -123,10 +123,10 @@
 }
 
 // evictionDestinations returns the machines that can hold a task of a job: those that have the job's image first, then
-// those with the fewest free CPUs. released is the number of the job's tasks that the eviction removes from each
+// those with the fewest free CPUs. evictedTasks is the number of the job's tasks that the eviction removes from each
 // machine.
 func (m *Manager) evictionDestinations(
-	now micros.Timestamp, job *jobState, released map[*machineState]int,
+	now micros.Timestamp, job *jobState, evictedTasks map[*machineState]int,
 ) []*machineState {
 	type candidate struct {
 		machine  *machineState
@@ -139,7 +139,7 @@
 		if !m.mayHostSuccessor(now, machine, job) {
 			continue
 		}
-		if free := m.freeResources(machine); free.AddTasks(need, float64(released[machine])).Fits(need) {
+		if free := m.freeResources(machine); free.AddTasks(need, float64(evictedTasks[machine])).Fits(need) {
 			candidates = append(candidates, candidate{
 				machine: machine, hasImage: machine.images.ready(job.spec().Image), freeCPUs: free.CPUs,
 			})
--- a/internal/manager/exits.go
+++ b/internal/manager/exits.go
@@ -8,7 +8,8 @@
 	"saffronbend/wire"
 )
 
-// taskExit is a task that an agent lists as exited. The agent keeps listing it until it is told to clear it.
+// taskExit is a task that an agent lists as exited. The agent keeps listing it until it receives the command to clear
+// it.
 type taskExit struct {
 	machine *machineState
 	job     *jobState
--- a/internal/manager/gangs.go
+++ b/internal/manager/gangs.go
@@ -72,7 +72,8 @@
 }
 
 // abortUnlaunchableGangs aborts the attempt of each launched gang with a task on a machine that does not list the task
-// and has been unreachable for too long: the launch does not arrive there, and the other tasks would wait in vain.
+// and has been unreachable for too long: the launch does not arrive there, and the other tasks would wait until their
+// timeout.
 func (m *Manager) abortUnlaunchableGangs(now micros.Timestamp, machine *machineState) {
 	unreachableSince := machine.agent.unreachableSince
 	if unreachableSince == 0 || now.Sub(unreachableSince) < m.heartbeatTimeout() {
@@ -124,7 +125,7 @@
 }
 
 // canCheckpointInTime reports whether a checkpoint command would reach all tasks of a gang in time: each agent can be
-// reached, by a push or by the answer to its next heartbeat, and no machine is reclaimed before the checkpoint is
+// reached, by a push or by the response to its next heartbeat, and no machine is reclaimed before the checkpoint is
 // written.
 func (m *Manager) canCheckpointInTime(now micros.Timestamp, job *jobState) bool {
 	const pushDelay = micros.Second
--- a/internal/manager/gangs_test.go
+++ b/internal/manager/gangs_test.go
@@ -58,7 +58,7 @@
 func (h *harness) gangPhase() gang.Phase { return h.m.jobs.byID["run-1"].gang.Phase() }
 
 // When one task of a gang has exited, the other tasks are stopped. The gang can be granted again once all of its tasks
-// are gone.
+// have terminated.
 func TestGangStopsWhenOneTaskExits(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	id := h.runGang()
@@ -170,7 +170,7 @@
 	id := h.runGang()
 	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-1-a": true}, nil)
 	h.want(h.m.Evict(h.now, firstTask("run-1")), drain.NoCapacity)
-	h.m.SetReplacements([]disruption.Task{firstTask("run-1")})
+	h.m.SetPendingReplacements([]disruption.Task{firstTask("run-1")})
 	h.want(h.m.Snapshot(h.now).PendingReplacements[0].Waiting, 2)
 	h.start("n-3-a")
 	h.want(h.m.Evict(h.now, firstTask("run-1")), drain.Evicted)
--- a/internal/manager/grants.go
+++ b/internal/manager/grants.go
@@ -212,7 +212,7 @@
 		case attempt.machine.zone == zone:
 			inZone++
 		case attempt.machine.zone == "" || spec.SameZone:
-			return false // in another zone, or in an unknown one
+			return false // the task runs in another zone, or in an unknown one
 		}
 	}
 	return !spec.SpreadZones || inZone < maxTasksPerZone(spec)
--- a/internal/manager/grants_test.go
+++ b/internal/manager/grants_test.go
@@ -105,7 +105,7 @@
 }
 
 // A lease has one waiter at a time. Another job can replace a waiter whose time is up.
-func TestLeaseWaiter(t *testing.T) {
+func TestLeaseAdmitsOneWaiter(t *testing.T) {
 	const grace = 5
 	for _, c := range []struct {
 		name  string
--- a/internal/manager/harness_test.go
+++ b/internal/manager/harness_test.go
@@ -93,7 +93,7 @@
 func (h *harness) tick() {
 	h.m.Tick(h.now)
 	if h.m.NeedsLeaseRenewers() {
-		h.m.LeaseRenewersRead(h.now, h.now, h.renewers)
+		h.m.ApplyLeaseRenewers(h.now, h.now, h.renewers)
 		h.m.Tick(h.now)
 	}
 }
@@ -153,7 +153,7 @@
 // submit adds a job with the given number of tasks, as the watch would deliver it.
 func (h *harness) submit(id wire.JobID, tasks int, change func(*wire.Job)) {
 	h.revision++
-	h.m.OpenRecordChanged(h.now, h.now, 0, record(id, tasks, change), h.revision)
+	h.m.OpenJobRecordChanged(h.now, h.now, 0, record(id, tasks, change), h.revision)
 }
 
 // cancel cancels job run-1, which must have one task.
@@ -161,7 +161,7 @@
 	rec := record("run-1", 1, nil)
 	rec.FinalState = wire.JobCancelled
 	h.revision++
-	h.m.OpenRecordChanged(h.now, h.now, 0, rec, h.revision)
+	h.m.OpenJobRecordChanged(h.now, h.now, 0, rec, h.revision)
 }
 
 // Agents
--- a/internal/manager/heartbeat.go
+++ b/internal/manager/heartbeat.go
@@ -48,10 +48,10 @@
 	return response, false
 }
 
-// MayReturnToLeader reports whether an agent whose heartbeats are relayed may be told to send them to the leader again:
-// it has received a push since it turned to the relay. If the agent turns to a relay again nevertheless, its heartbeats
-// do not reach the leader, and they are relayed until another push has arrived.
-func (m *Manager) MayReturnToLeader(now micros.Timestamp, id wire.MachineID) bool {
+// PushesReachAgent reports whether pushes reach an agent whose heartbeats are relayed: the agent has received a push
+// since it turned to the relay. Its heartbeats may then be redirected to the leader. If the agent turns to a relay
+// again nevertheless, its heartbeats do not reach the leader, and they are relayed until another push has arrived.
+func (m *Manager) PushesReachAgent(now micros.Timestamp, id wire.MachineID) bool {
 	machine := m.machines.byID[id]
 	if machine == nil {
 		return false
--- a/internal/manager/heartbeat_test.go
+++ b/internal/manager/heartbeat_test.go
@@ -18,7 +18,7 @@
 
 // A heartbeat that was overtaken by a push response gets a response, since its agent would turn to another controller
 // otherwise. A copy of the heartbeat gets none.
-func TestHeartbeatOvertakenByPushResponseIsAnswered(t *testing.T) {
+func TestHeartbeatOvertakenByPushResponseGetsResponse(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.placeTask()
 	running := taskStatus("run-1/0", firstAttempt, "running")
@@ -69,7 +69,7 @@
 	h.want(len(pushes[0].Body.Commands), 0)
 	h.m.CommandPushDone(h.now, pushes[0], PushOutcomeUnknown, nil)
 	h.want(len(h.m.CommandPushes(h.now, true)), 0)
-	h.want(h.m.MayReturnToLeader(h.now, "n-1-a"), false)
+	h.want(h.m.PushesReachAgent(h.now, "n-1-a"), false)
 	// The heartbeat does not show that the launch arrived, but the agent has stayed with the controller that relayed the
 	// response, so it is reachable.
 	h.want(relay(), command("launch", "run-1/0", firstAttempt))
@@ -82,8 +82,8 @@
 	h.want(len(pushes), 1)
 	h.seq++
 	h.pushExecuted(pushes[0], pushResponse(1, h.seq))
-	h.want(h.m.MayReturnToLeader(h.now, "n-1-a"), true)
+	h.want(h.m.PushesReachAgent(h.now, "n-1-a"), true)
 	// The agent has turned to the relay again: pushes reach it, but its heartbeats do not reach the leader.
 	relay()
-	h.want(h.m.MayReturnToLeader(h.now, "n-1-a"), false)
+	h.want(h.m.PushesReachAgent(h.now, "n-1-a"), false)
 }
--- a/internal/manager/images_test.go
+++ b/internal/manager/images_test.go
@@ -9,7 +9,7 @@
 )
 
 // Checks which images the cache keeps: the most recently used ones that fit on the disk.
-func TestImageCache(t *testing.T) {
+func TestImageCacheKeepsRecentlyUsedImages(t *testing.T) {
 	type use struct {
 		at    micros.Timestamp
 		image string
@@ -45,7 +45,7 @@
 }
 
 // A fetch is abandoned when no task waits for the image any longer.
-func TestAbandonedFetches(t *testing.T) {
+func TestAbandonedFetchesAreDropped(t *testing.T) {
 	cache := imageCache{}
 	cache.use(1, &wire.Job{Image: "a"}, true, 0)
 	cache.use(1, &wire.Job{Image: "b"}, false, 0)
--- a/internal/manager/jobs.go
+++ b/internal/manager/jobs.go
@@ -25,8 +25,8 @@
 // jobState is a job whose open record exists.
 type jobState struct {
 	record     state.OpenJobRecord
-	version    uint64 // of the job's status record and open record
-	arrival    uint64 // orders jobs by acceptance
+	version    uint64 // version of the job's status record and open record
+	arrivalSeq uint64 // orders jobs by acceptance
 	acceptedAt micros.Timestamp
 	deadline   micros.Timestamp // 0: none
 	gang       *gang.Gang       // nil: its tasks are independent
@@ -45,7 +45,7 @@
 
 	// completionInFlight prevents a second completion while the write of the first one is in flight.
 	completionInFlight bool
-	writesHeldUntil    micros.Timestamp // no records of the job are written before this time, after a refused write
+	writeBackoffUntil  micros.Timestamp // no records of the job are written before this time, after a rejected write
 
 	// failuresByMachine counts the failed attempts on each machine since the job's last success. A job that fails on
 	// every machine backs off instead of being restarted in a hot loop.
@@ -149,7 +149,7 @@
 // add adds a job as the last in order of arrival.
 func (table *jobTable) add(job *jobState) {
 	table.arrivals++
-	job.arrival = table.arrivals
+	job.arrivalSeq = table.arrivals
 	table.byID[job.id()] = job
 }
 
@@ -167,12 +167,12 @@
 			jobs = append(jobs, job)
 		}
 	}
-	slices.SortFunc(jobs, func(a, b *jobState) int { return cmp.Compare(a.arrival, b.arrival) })
+	slices.SortFunc(jobs, func(a, b *jobState) int { return cmp.Compare(a.arrivalSeq, b.arrivalSeq) })
 	return jobs
 }
 
-func (m *Manager) addJob(now micros.Timestamp, wall int64, record state.OpenJobRecord, version uint64) *jobState {
-	age := max(0, micros.Duration(wall-record.AcceptedAt))
+func (m *Manager) addJob(now micros.Timestamp, unixMicros int64, record state.OpenJobRecord, version uint64) *jobState {
+	age := max(0, micros.Duration(unixMicros-record.AcceptedAt))
 	job := &jobState{
 		record:            record,
 		version:           version,
@@ -197,12 +197,12 @@
 	return job
 }
 
-// OpenRecordChanged applies a version of a job's open record that the watch has delivered: a new job or a cancellation.
-// A version that is not newer than the known one is ignored. wall is the wall clock time in microseconds since the
-// epoch. notBefore is the earliest time at which the change can have been confirmed to a user: changes that were
-// confirmed before notBefore have been delivered already.
-func (m *Manager) OpenRecordChanged(
-	now, notBefore micros.Timestamp, wall int64, record state.OpenJobRecord, version uint64,
+// OpenJobRecordChanged applies a version of a job's open record that the watch has delivered: a new job or a
+// cancellation. A version that is not newer than the known one is ignored. unixMicros is this controller's wall-clock
+// time, in microseconds since the Unix epoch. notBefore is the earliest time at which the change can have been
+// confirmed to a user: changes that were confirmed before notBefore have been delivered already.
+func (m *Manager) OpenJobRecordChanged(
+	now, notBefore micros.Timestamp, unixMicros int64, record state.OpenJobRecord, version uint64,
 ) {
 	id := record.Job.ID
 	if version <= m.jobs.removed[id] {
@@ -210,7 +210,7 @@
 	}
 	job := m.jobs.byID[id]
 	if job == nil {
-		job = m.addJob(now, wall, record, version)
+		job = m.addJob(now, unixMicros, record, version)
 		m.writes.queueFinalWrites(job)
 		return
 	}
@@ -224,14 +224,14 @@
 }
 
 // cancelJob applies the cancellation of a job. From now on, none of its tasks is granted or launched, and its records
-// are written only to delete them. Attempts that were never launched are gone at once; the others are stopped by a push
-// or by the answer to the next heartbeat. The records are deleted once every attempt is provably gone.
+// are written only to delete them. Attempts that were never launched have terminated; the others are stopped by a push
+// or by the response to the next heartbeat. The records are deleted once every attempt has provably terminated.
 //
 // A cancellation that has not been delivered to this leader yet takes effect, too. The write that makes a placement
 // durable is conditional on the version of the job's open record, so that no attempt of an already cancelled job is
 // launched. Worker leases are not renewed while the leader's knowledge of cancellations is older than the cancel
-// timeout allows, so that running attempts end by themselves. mayStopLateLaunch handles a launch whose push has an
-// unknown outcome.
+// timeout allows, so that running attempts terminate when their lease expires. mayStopLateLaunch handles a launch whose
+// push has an unknown outcome.
 func (m *Manager) cancelJob(now, notBefore micros.Timestamp, job *jobState, finalState wire.JobState) {
 	job.finalState = finalState
 	job.finalSince = min(now, notBefore)
@@ -253,8 +253,8 @@
 	}
 }
 
-// OpenRecordRemoved forgets the deletion of a job's open record once the watch has delivered that deletion.
-func (m *Manager) OpenRecordRemoved(id wire.JobID) { delete(m.jobs.removed, id) }
+// OpenJobRecordRemoved forgets the deletion of a job's open record once the watch has delivered that deletion.
+func (m *Manager) OpenJobRecordRemoved(id wire.JobID) { delete(m.jobs.removed, id) }
 
 // ForgetDeletionsUpTo forgets the deletions up to and including a revision when the watch resumes from that revision.
 func (m *Manager) ForgetDeletionsUpTo(revision uint64) {
--- a/internal/manager/launch_test.go
+++ b/internal/manager/launch_test.go
@@ -34,7 +34,7 @@
 func TestPushedLaunchStates(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		outcomes    []PushOutcome // of consecutive pushes
+		outcomes    []PushOutcome // outcomes of consecutive pushes
 		state       pushState
 		sent        bool // the agent may have received a launch
 		mayArrive   bool // a push without a response may still arrive
--- a/internal/manager/lease_expiry.go
+++ b/internal/manager/lease_expiry.go
@@ -40,9 +40,9 @@
 
 // leaseExpiry returns when the lease of a machine's agent expires, unless a controller not known to this leader has
 // renewed it. Only responses with this term's token renew the lease of an agent that has acknowledged the token. A
-// heartbeat was sent before this leader received it, so counting the lease from when the heartbeat was answered is on
-// the safe side. The lease of an incarnation that is first seen in a push response lasts its full duration although no
-// heartbeat of it has been answered. The agent's clock may differ from this controller's by 0.05% in either direction.
+// heartbeat was sent before this leader received it, so counting the lease from the response to the heartbeat is on the
+// safe side. The lease of an incarnation that is first seen in a push response lasts its full duration although no
+// heartbeat of it has got a response. The agent's clock may differ from this controller's by 0.05% in either direction.
 func (m *Manager) leaseExpiry(machine *machineState) micros.Timestamp {
 	clockDrift := m.cfg.WorkerLease / 500
 	renewed := max(machine.agent.leaseRenewedAt, m.leaseRenewers.lastActive)
@@ -67,7 +67,7 @@
 	return requested
 }
 
-// LeaseRenewersRead applies the records of the lease renewers, as read by a request that was sent at the given time.
-func (m *Manager) LeaseRenewersRead(now, sent micros.Timestamp, records []wire.KeyValue) {
+// ApplyLeaseRenewers applies the records of the lease renewers, as read by a request that was sent at the given time.
+func (m *Manager) ApplyLeaseRenewers(now, sent micros.Timestamp, records []wire.KeyValue) {
 	m.leaseRenewers.observe(now, sent, records)
 }
--- a/internal/manager/listing.go
+++ b/internal/manager/listing.go
@@ -78,7 +78,7 @@
 	if listed.Addr != "" {
 		machine.address = listed.Addr
 	}
-	// The time without heartbeats counts from when the machine has started, not from when it was rented.
+	// The time without heartbeats counts from when the machine has started, not from when it was created.
 	if listed.State == wire.MachineRunning && machine.listing.state != wire.MachineRunning && !machine.agent.reporting {
 		machine.agent.lastHeartbeatAt = now
 	}
--- a/internal/manager/machine_reservations.go
+++ b/internal/manager/machine_reservations.go
@@ -124,7 +124,7 @@
 // may be spread over zones, the returned zone is empty, which stands for any zone.
 func (round *machineReservationRound) zoneForGang(job *jobState) (best string, found bool) {
 	m := round.m
-	capacity, free := map[string]int{}, map[string]int{} // in tasks, by zone
+	capacity, free := map[string]int{}, map[string]int{} // numbers of tasks, by zone
 	for _, machine := range m.machines.byID {
 		if machine.reservedForJob != "" && machine.reservedForJob != job.id() ||
 			!m.mayHostWhenFree(round.now, machine, job) {
--- a/internal/manager/machines.go
+++ b/internal/manager/machines.go
@@ -10,16 +10,16 @@
 	"saffronbend/wire"
 )
 
-// machineState is the state of a machine that the cloud has rented out or listed, whose agent has reported, or that a
-// record refers to.
+// machineState is the state of a machine that the cloud has created on request or listed, whose agent has reported, or
+// that a record refers to.
 type machineState struct {
 	id           wire.MachineID
-	address      string // of its agent, HOST:PORT; empty: unknown
+	address      string // address of the machine's agent, HOST:PORT; empty: unknown
 	typeName     string
 	zone         string
 	spot         bool
 	machineType  *wire.MachineType // nil: unknown
-	registeredAt micros.Timestamp  // when it was rented, as far as known
+	registeredAt micros.Timestamp  // when it was created, as far as known
 
 	listing cloudListing
 	agent   agentState
@@ -29,7 +29,7 @@
 	deleting  bool             // its deletion has been requested
 	reclaimAt micros.Timestamp // when the cloud reclaims it; 0: no reclaim notice
 
-	attempts map[string]*taskAttempt // by task name
+	attempts map[string]*taskAttempt // attempts on the machine, by task name
 	// orphanTasks holds, by name, the tasks in the agent's latest message that belong to no known attempt. They are
 	// stopped, and use the machine's resources until then.
 	orphanTasks map[string]wire.TaskStatus
@@ -40,7 +40,7 @@
 
 	reservedForJob wire.JobID // the only job that may be placed here; empty: not reserved
 	preempted      preemptionHold
-	reservations   map[disruption.Task]*reservation // for successors of evicted attempts
+	reservations   map[disruption.Task]*reservation // resources reserved for successors of evicted attempts
 
 	publishedUsable bool // usable according to the last snapshot
 }
@@ -105,8 +105,8 @@
 	}
 }
 
-// MachinesScaledOut registers the machines that the cloud has rented out in response to a request.
-func (m *Manager) MachinesScaledOut(now micros.Timestamp, request wire.ScaleOutRequest, ids []wire.MachineID) {
+// RegisterCreatedMachines registers the machines that the cloud has created in response to a request.
+func (m *Manager) RegisterCreatedMachines(now micros.Timestamp, request wire.ScaleOutRequest, ids []wire.MachineID) {
 	for _, id := range ids {
 		if m.machines.deleted[id] {
 			continue
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -9,7 +9,7 @@
 // The leader's term calls the Manager from a single goroutine: it is not safe for concurrent use. The Manager performs
 // no I/O, starts no goroutines and reads no clock: the caller passes the current time, executes the writes and pushes
 // that the Manager returns, and reports their outcomes. The Manager does not choose machines for waiting tasks (see
-// package scheduler), does not rent or delete machines (see package fleet) and does not decide which controller leads
+// package scheduler), does not create or delete machines (see package fleet) and does not decide which controller leads
 // (see package election).
 //
 // docs/design.md argues why its rules are safe. In short: an attempt's placement is durable before its launch, a task
@@ -41,7 +41,7 @@
 	LeaseMargin micros.Duration
 	// CancelTimeout is the maximum time between the confirmation of a cancellation and its taking effect.
 	CancelTimeout micros.Duration
-	// GangWaitTimeout is how long a task waits for its gang peers before it gives up.
+	// GangWaitTimeout is how long a task waits for its gang peers before it exits.
 	GangWaitTimeout micros.Duration
 	// GangPeerTimeout is the maximum time until the tasks of a gang detect that a peer has terminated. It is also how
 	// long a task that has written its checkpoint waits for its peers.
--- a/internal/manager/moves.go
+++ b/internal/manager/moves.go
@@ -39,7 +39,8 @@
 }
 
 // mayStillReport reports whether a machine may be running tasks although it has not reported to this leader yet. It is
-// false once the machine's worker lease must have expired: an agent that gets no answer for that long stops its tasks.
+// false once the machine's worker lease must have expired: an agent that gets no response for that long stops its
+// tasks.
 func (m *Manager) mayStillReport(now micros.Timestamp, machine *machineState) bool {
 	if machine.agent.reporting && machine.agent.tokenAcknowledged || machine.deleting ||
 		machine.listing.state == wire.MachineFailed {
--- a/internal/manager/moves_test.go
+++ b/internal/manager/moves_test.go
@@ -67,7 +67,7 @@
 	h.m.SetCordons(h.now, map[wire.MachineID]bool{"n-2-a": true}, nil)
 	h.want(h.m.Move(h.now, firstTask("run-1"), "n-2-a"), rebalance.NoCapacity)
 	h.m.SetCordons(h.now, nil, nil)
-	h.m.OpenRecordChanged(h.now, h.now, 0, cancelledRecord("run-1"), h.revision+1)
+	h.m.OpenJobRecordChanged(h.now, h.now, 0, cancelledRecord("run-1"), h.revision+1)
 	h.want(h.m.Move(h.now, firstTask("run-1"), "n-2-a"), rebalance.AlreadyStopping)
 }
 
@@ -97,7 +97,7 @@
 	disruptions := []wire.KeyValue{storedItem("disruption/run-1/0", 6, state.DisruptionRecord{Open: []state.OpenDisruption{
 		{Task: 0, Attempt: earlierAttempt, Cause: "rebalance", ReservedMachine: "n-2-a"},
 	}})}
-	for name, reports := range map[string]bool{"the destination reports": true, "the destination is gone": false} {
+	for name, reports := range map[string]bool{"the destination reports": true, "the destination does not report": false} {
 		t.Run(name, func(t *testing.T) {
 			h := newDrainHarness(t, open, progress, disruptions)
 			h.want(h.openDisruptions(), "run-1/0 rebalance")
--- a/internal/manager/preemption.go
+++ b/internal/manager/preemption.go
@@ -14,8 +14,8 @@
 const (
 	// maxPreemptionsPerRound is the maximum number of preemptions in a round for jobs that are not gangs.
 	maxPreemptionsPerRound = 4
-	// maxTasksPerJob is the maximum number of tasks of one job that a round plans.
-	maxTasksPerJob = 64
+	// maxJobTasksPerRound is the maximum number of tasks of one job that a round plans.
+	maxJobTasksPerRound = 64
 	// checkpointMarginS is added to the time that a task needs to write its checkpoint, in seconds.
 	checkpointMarginS = 1
 	// gangPreemptionWaitFactor multiplies the PreemptAfter option: a gang is preempted only for a job that has waited so
@@ -195,7 +195,7 @@
 	need := resources.ForTask(job.spec())
 	targets := round.targetsFor(job)
 	next := 0 // targets before this index are full
-	for range min(job.waiting, round.m.quota.headroom(job.spec()), maxTasksPerJob) {
+	for range min(job.waiting, round.m.quota.headroom(job.spec()), maxJobTasksPerRound) {
 		for next < len(targets) && !targets[next].free.Fits(need) {
 			next++
 		}
@@ -282,8 +282,8 @@
 		m.stopAttempt(now, victim, graceS, disruption.Preemption)
 	}
 	for _, attempt := range preempted {
-		// An attempt that was never launched has been released without a request to stop it. It is marked like the others,
-		// so that this round doesn't select it again.
+		// An attempt that was never launched has been released without a request to stop it. It is marked like the others, so
+		// that this round doesn't select it again.
 		attempt.stop.requested = true
 		if preemptor.gang != nil {
 			expiresAt := now.Add(micros.Seconds(graceS) + schedulingTime)
--- a/internal/manager/published.go
+++ b/internal/manager/published.go
@@ -35,7 +35,7 @@
 		LastHeartbeat:    agent.lastHeartbeatAt,
 		UnreachableSince: agent.unreachableSince,
 		NeedsDeletion:    !agent.tokenAcknowledged && len(machine.attempts) > 0,
-		UsableSoon:       m.expectedSoon(now, machine),
+		UsableSoon:       m.usableSoon(now, machine),
 		ChangedInVersion: m.publisher.version,
 	}
 	published.Images, published.Fetching = machine.images.names()
@@ -45,9 +45,9 @@
 	return published
 }
 
-// expectedSoon reports whether a machine that may not be usable now is expected to become usable soon. A newly started
+// usableSoon reports whether a machine that may not be usable now is expected to become usable soon. A newly started
 // machine becomes usable with its second heartbeat, which is the first with this leader's fencing token.
-func (m *Manager) expectedSoon(now micros.Timestamp, machine *machineState) bool {
+func (m *Manager) usableSoon(now micros.Timestamp, machine *machineState) bool {
 	if machine.machineType == nil || machine.reclaimAt != 0 || machine.deleting || m.cordons[machine.id] ||
 		machine.health.quarantineReason != "" || machine.listing.state == wire.MachineFailed {
 		return false
@@ -60,7 +60,7 @@
 // publishedLeases returns the leases on a machine, grouped by job.
 func (m *Manager) publishedLeases(now micros.Timestamp, machine *machineState) []snapshot.JobLeases {
 	var leases []snapshot.JobLeases
-	indices := map[wire.JobID]int{} // in leases, by job
+	indices := map[wire.JobID]int{} // index of each job's entry in leases
 	for _, attempt := range attemptsByID(machine.attempts) {
 		spec := attempt.spec()
 		i, ok := indices[spec.ID]
@@ -105,7 +105,7 @@
 		AcceptedAt:   job.acceptedAt,
 		Deadline:     job.deadline,
 		WaitingSince: job.waitingSince,
-		ArrivalSeq:   job.arrival,
+		ArrivalSeq:   job.arrivalSeq,
 	}
 	if spec.SpreadZones {
 		published.MaxPerZone = maxTasksPerZone(spec)
--- a/internal/manager/publisher.go
+++ b/internal/manager/publisher.go
@@ -23,8 +23,8 @@
 type snapshotPublisher struct {
 	version       uint64
 	stale         bool                // something has changed since the last snapshot
-	machines      []*snapshot.Machine // in order of their identifiers
-	jobs          []*snapshot.Job     // in order of arrival
+	machines      []*snapshot.Machine // published machines, sorted by identifier
+	jobs          []*snapshot.Job     // published jobs, in order of arrival
 	dirtyMachines map[wire.MachineID]bool
 	dirtyJobs     map[wire.JobID]bool
 	removals      []removal
@@ -128,7 +128,7 @@
 		Machines:            publisher.machines,
 		Jobs:                publisher.jobs,
 		CompletedRuns:       publisher.publishCompletedRuns(),
-		PendingReplacements: m.publishedReplacements(),
+		PendingReplacements: m.pendingReplacements(),
 		VacatedPools:        m.vacatedPools,
 	}
 	publisher.trimHistory()
--- a/internal/manager/pushes.go
+++ b/internal/manager/pushes.go
@@ -14,7 +14,7 @@
 // CommandPush is a set of commands that is sent to an agent without waiting for its next heartbeat.
 type CommandPush struct {
 	Machine wire.MachineID
-	Addr    string // of the machine's agent, HOST:PORT
+	Addr    string // address of the machine's agent, HOST:PORT
 	Body    wire.CommandPush
 }
 
@@ -202,7 +202,7 @@
 	return false
 }
 
-// resolvePushedLaunch applies the outcome of a push to the attempt that it launches, unless that has been released.
+// resolvePushedLaunch applies the outcome of a push to the attempt that it launches, unless the attempt has terminated.
 func (machine *machineState) resolvePushedLaunch(command wire.Command, outcome PushOutcome) {
 	attempt := machine.attempts[command.Task]
 	if attempt != nil && attempt.id == command.Attempt {
--- a/internal/manager/pushes_test.go
+++ b/internal/manager/pushes_test.go
@@ -8,7 +8,7 @@
 	"saffronbend/wire"
 )
 
-// An agent that begins a new incarnation although its heartbeats are answered is unreachable. Its machine receives no
+// An agent that begins a new incarnation although its heartbeats get responses is unreachable. Its machine receives no
 // new tasks until there is evidence that it is reachable, here by executing an empty push.
 func TestUnreachableMachineGetsNoTasksUntilProbed(t *testing.T) {
 	h := newHarness(t, nil, nil)
@@ -54,7 +54,7 @@
 	h.placeTask()
 	pushes := h.m.CommandPushes(h.now, true)
 	h.want(len(pushes), 1)
-	h.want(h.heartbeat("n-1-a", token, 1), "") // in flight: neither released nor repeated
+	h.want(h.heartbeat("n-1-a", token, 1), "") // push in flight: not repeated, and not terminated
 	h.m.CommandPushDone(h.now, pushes[0], PushOutcomeUnknown, nil)
 	h.want(h.heartbeat("n-1-a", token, 1), command("launch", "run-1/0", firstAttempt))
 	h.want(h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "ended error")), "")
--- a/internal/manager/quota.go
+++ b/internal/manager/quota.go
@@ -8,7 +8,7 @@
 )
 
 // quotaUsage tracks the resources that each team uses of its guarantee and its limit. Every attempt that may exist
-// counts, including attempts that are being stopped, until it is provably gone.
+// counts, including attempts that are being stopped, until it has provably terminated.
 type quotaUsage map[wire.TeamName]*teamUsage
 
 type teamUsage struct {
--- a/internal/manager/quota_test.go
+++ b/internal/manager/quota_test.go
@@ -25,7 +25,7 @@
 	h.want(granted, 10) // the limit is 40 CPUs, and each task uses 4
 }
 
-func TestQuotaUsage(t *testing.T) {
+func TestQuotaHeadroomAndGuarantee(t *testing.T) {
 	job := func(team wire.TeamName, cpus, gpus float64) *wire.Job {
 		return &wire.Job{Team: team, CPUs: cpus, GPUs: gpus}
 	}
--- a/internal/manager/recovery.go
+++ b/internal/manager/recovery.go
@@ -11,8 +11,9 @@
 )
 
 // New returns the Manager of a term that begins now, recovered from the records in the key-value store. openJobs and
-// progress are the records with the open-job and the progress prefix. wall is the wall-clock time in microseconds since
-// the epoch, from which the age of jobs is computed. New fails with a state.RecordError if a record cannot be decoded.
+// progress are the records with the open-job and the progress prefix. unixMicros is this controller's wall-clock time
+// in microseconds since the Unix epoch, from which the age of jobs is computed. New fails with a state.RecordError if a
+// record cannot be decoded.
 //
 // All that a new leader knows at first is in these records: the jobs, which of their tasks are done, and for each other
 // task whether an attempt of it may exist, on which machine, and with which identifier and agent incarnation. Since
@@ -22,9 +23,9 @@
 // they are learned again from heartbeats, and a machine receives no new tasks until it has sent a heartbeat with this
 // term's token. RestoreDisruptions subsequently recovers the disruptions and the capacity that is reserved on machines
 // for the successors of evicted attempts.
-func New(now micros.Timestamp, cfg Config, wall int64, openJobs, progress []wire.KeyValue) (*Manager, error) {
+func New(now micros.Timestamp, cfg Config, unixMicros int64, openJobs, progress []wire.KeyValue) (*Manager, error) {
 	m := newEmptyManager(now, cfg)
-	if err := m.recoverJobs(now, wall, openJobs); err != nil {
+	if err := m.recoverJobs(now, unixMicros, openJobs); err != nil {
 		return nil, err
 	}
 	if err := m.recoverProgress(now, progress); err != nil {
@@ -61,7 +62,7 @@
 
 // recoverJobs adds the jobs in the order in which they were accepted. It has to sort them, since the key-value store
 // lists them by identifier, and users choose the identifiers.
-func (m *Manager) recoverJobs(now micros.Timestamp, wall int64, openJobs []wire.KeyValue) error {
+func (m *Manager) recoverJobs(now micros.Timestamp, unixMicros int64, openJobs []wire.KeyValue) error {
 	type versionedRecord struct {
 		record  state.OpenJobRecord
 		version uint64
@@ -77,7 +78,7 @@
 		return cmp.Compare(a.record.AcceptedAt, b.record.AcceptedAt)
 	})
 	for _, r := range records {
-		m.addJob(now, wall, r.record, r.version)
+		m.addJob(now, unixMicros, r.record, r.version)
 	}
 	return nil
 }
--- a/internal/manager/reservations.go
+++ b/internal/manager/reservations.go
@@ -120,7 +120,8 @@
 	}
 }
 
-// claimable reports whether a reservation's task may be placed: its previous attempt is gone, so the task is waiting.
+// claimable reports whether a reservation's task may be placed: its previous attempt has terminated, so the task is
+// waiting.
 func (m *Manager) claimable(reserved *reservation) bool {
 	job := m.jobs.byID[reserved.task.Job]
 	return job != nil && !job.final() && job.taskPhases[reserved.task.Index] == taskWaiting
--- a/internal/manager/termination.go
+++ b/internal/manager/termination.go
@@ -7,7 +7,7 @@
 )
 
 // terminationProof says why an attempt has provably terminated. This file is the only place that decides whether a task
-// may be started elsewhere: only after its attempt was released by releaseAttempt, which requires one of these proofs.
+// may be started elsewhere: only after releaseAttempt has released its attempt, which requires one of these proofs.
 // Missing messages prove nothing: neither missed heartbeats, nor a push without a response, nor a machine's absence
 // from the cloud's list.
 type terminationProof uint8
@@ -15,7 +15,7 @@
 const (
 	// provenNeverLaunched: this controller has sent no launch, and the attempt was granted in this term (neverLaunched).
 	provenNeverLaunched terminationProof = iota
-	// provenExited: the agent lists the attempt as exited because it was told to stop, because a gang peer had
+	// provenExited: the agent lists the attempt as exited because it was commanded to stop, because a gang peer had
 	// terminated, or because the task is done (exitProof).
 	provenExited
 	// provenFailed: the agent lists the attempt as exited on its own, without a result (exitProof).
@@ -47,7 +47,8 @@
 // unknown outcome. A push response may be more recent than the latest heartbeat and yet have been sent before the agent
 // received the response to that heartbeat. The check therefore uses the sequence number of the latest heartbeat.
 //
-// An attempt that was granted in this term and is not to be stopped is never released this way: it is launched again.
+// An attempt that was granted in this term and is not to be stopped never counts as terminated for this reason: it is
+// launched again.
 func absenceProvesTermination(attempt *taskAttempt, agent *agentState) bool {
 	if attempt.listed || !attempt.durable || attempt.incarnation != agent.incarnation || !agent.tokenAcknowledged {
 		return false
@@ -63,7 +64,7 @@
 // exitProof returns the proof that the status of an exited task provides.
 func exitProof(status wire.TaskStatus) terminationProof {
 	switch status.ExitReason {
-	case wire.ExitCompleted, wire.ExitStopped, wire.ExitGangPeerGone:
+	case wire.ExitCompleted, wire.ExitStopped, wire.ExitGangPeerTerminated:
 		return provenExited
 	default:
 		return provenFailed
@@ -100,7 +101,7 @@
 	}
 	m.publisher.markJob(job)
 	if job.gang != nil {
-		m.applyGangAction(now, job, job.gang.TaskReleased(attempt.checkpointSaved), disruption.Gang)
+		m.applyGangAction(now, job, job.gang.TaskTerminated(attempt.checkpointSaved), disruption.Gang)
 	}
 }
 
--- a/internal/manager/termination_test.go
+++ b/internal/manager/termination_test.go
@@ -24,7 +24,7 @@
 
 // A launch in the response to a heartbeat may be in transit until a later heartbeat arrives. It is then repeated with
 // the same identifier, and the task is not started elsewhere.
-func TestLaunchInTransitIsRepeatedAndNotReleased(t *testing.T) {
+func TestLaunchInTransitIsRepeatedAndNotTerminated(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a", "n-2-a")
 	h.submit("run-1", 1, nil)
@@ -61,7 +61,7 @@
 	h := newHarness(t, nil, nil)
 	h.placeTask()
 	h.heartbeat("n-1-a", token, 1, taskStatus("run-1/0", firstAttempt, "running"))
-	h.m.LeaseRenewersRead(h.now, h.now, nil)
+	h.m.ApplyLeaseRenewers(h.now, h.now, nil)
 	terminated := func() bool {
 		h.tick()
 		h.start("n-2-a")
@@ -86,7 +86,7 @@
 func TestLeaseRenewerActiveBetweenReads(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.placeTask()
-	h.m.LeaseRenewersRead(h.now, h.now, nil)
+	h.m.ApplyLeaseRenewers(h.now, h.now, nil)
 	h.advance(workerLease + 2*micros.Second)
 	h.renewers = []wire.KeyValue{{Key: state.LastRenewerKey("c2"), Version: 9}}
 	h.tick()
@@ -131,7 +131,7 @@
 }
 
 // The lease of an incarnation that is first seen in a push response lasts its full duration although no heartbeat of it
-// has been answered. The incarnation does not count as expired before that, and its machine is not probed repeatedly.
+// has got a response. The incarnation does not count as expired before that, and its machine is not probed repeatedly.
 func TestIncarnationFirstSeenInPushResponse(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a")
@@ -205,11 +205,11 @@
 	}
 }
 
-func TestExitProof(t *testing.T) {
+func TestExitProofDependsOnReason(t *testing.T) {
 	for reason, want := range map[wire.ExitReason]terminationProof{
 		wire.ExitCompleted:             provenExited,
 		wire.ExitStopped:               provenExited,
-		wire.ExitGangPeerGone:          provenExited,
+		wire.ExitGangPeerTerminated:    provenExited,
 		wire.ExitError:                 provenFailed,
 		wire.ExitInsufficientResources: provenFailed,
 		"unknown":                      provenFailed,
@@ -220,7 +220,7 @@
 	}
 }
 
-func TestLeaseRenewers(t *testing.T) {
+func TestLastActivityOfLeaseRenewers(t *testing.T) {
 	active := wire.KeyValue{Key: state.ActiveRenewerKey("c2"), Version: 9}
 	last := func(version uint64) wire.KeyValue {
 		return wire.KeyValue{Key: state.LastRenewerKey("c2"), Version: version}
--- a/internal/manager/write_limits.go
+++ b/internal/manager/write_limits.go
@@ -11,16 +11,16 @@
 const (
 	// completionOps is the number of changes that make a job final: to its status record and its open record.
 	completionOps = 2
-	// minWriteOps and minValueBytes are lower bounds for the limits after refused writes: a job must be able to become
+	// minWriteOps and minValueBytes are lower bounds for the limits after rejected writes: a job must be able to become
 	// final, and a progress record must be able to hold one placement.
 	minWriteOps   = completionOps
 	minValueBytes = 256
-	// refusedWriteBackoff is how long a job's records are not written after the key-value store refused a write of them
+	// rejectedWriteBackoff is how long a job's records are not written after the key-value store rejected a write of them
 	// that cannot be made smaller.
-	refusedWriteBackoff = micros.Minute
+	rejectedWriteBackoff = micros.Minute
 )
 
-// writeLimits bounds the size of writes. The limits are initially those in the settings. If the key-value store refuses
+// writeLimits bounds the size of writes. The limits are initially those in the settings. If the key-value store rejects
 // a write nevertheless, they are lowered. A record that was written under a higher limit may exceed the current one. It
 // is not written again until its contents fit.
 type writeLimits struct {
@@ -46,7 +46,7 @@
 	return placementBytes+additionalBytes+state.ProgressRecordOverhead(job.record.ShardSize) <= limits.maxValueBytes
 }
 
-// lower lowers the limits after a transaction was refused. changes is the number of its changes, largestBytes the size
+// lower lowers the limits after a transaction was rejected. changes is the number of its changes, largestBytes the size
 // of its largest value. It returns false if the limits cannot be lowered any further.
 func (limits *writeLimits) lower(changes, largestBytes int) bool {
 	switch {
@@ -60,19 +60,19 @@
 	return true
 }
 
-// WriteRefused handles a write that the key-value store will never execute in its current form, because the store's
+// WriteRejected handles a write that the key-value store will never execute in its current form, because the store's
 // limits are lower than those in the settings. largestBytes is the size of the largest value in the write. It returns
 // true if the limits were lowered: the pending changes are then written in smaller transactions. It returns false if
 // the limits cannot be lowered: the records in the write are then not written for a while.
-func (m *Manager) WriteRefused(now micros.Timestamp, batch *WriteBatch, largestBytes int) bool {
+func (m *Manager) WriteRejected(now micros.Timestamp, batch *WriteBatch, largestBytes int) bool {
 	lowered := m.writes.limits.lower(len(batch.Changes), largestBytes)
 	if lowered {
-		m.event("write limits lowered: key-value store refused a write within the configured limits",
+		m.event("write limits lowered: key-value store rejected a write within the configured limits",
 			"max_changes", m.writes.limits.maxOps, "max_value_bytes", m.writes.limits.maxValueBytes)
 	} else if write := m.writes.inFlight; write != nil {
 		for _, id := range write.jobIDs() {
 			if job := m.jobs.byID[id]; job != nil {
-				job.writesHeldUntil = now.Add(refusedWriteBackoff)
+				job.writeBackoffUntil = now.Add(rejectedWriteBackoff)
 			}
 		}
 	}
--- a/internal/manager/write_limits_test.go
+++ b/internal/manager/write_limits_test.go
@@ -69,9 +69,9 @@
 	h.checkWrite(batch, 1024, 4)
 }
 
-// A write that the key-value store refuses is never requested again unchanged. It is split, then its values are made
+// A write that the key-value store rejects is never requested again unchanged. It is split, then its values are made
 // smaller. If that is impossible, its records are not written for a while.
-func TestRefusedWritesAreMadeSmaller(t *testing.T) {
+func TestRejectedWritesAreMadeSmaller(t *testing.T) {
 	h := newHarness(t, nil, nil)
 	h.start("n-1-a")
 	for i := range 6 {
@@ -80,13 +80,13 @@
 	}
 	batch := h.m.NextWrite(h.now)
 	h.want(len(batch.Changes), 6)
-	h.want(h.m.WriteRefused(h.now, batch, 600), true)
+	h.want(h.m.WriteRejected(h.now, batch, 600), true)
 	batch = h.m.NextWrite(h.now)
 	h.want(len(batch.Changes), 3)
-	h.want(h.m.WriteRefused(h.now, batch, 600), true)
+	h.want(h.m.WriteRejected(h.now, batch, 600), true)
 	batch = h.m.NextWrite(h.now)
 	h.want(len(batch.Changes), 2)
-	h.want(h.m.WriteRefused(h.now, batch, 600), true) // the limit is now 450 bytes; unwritten placements are withdrawn
+	h.want(h.m.WriteRejected(h.now, batch, 600), true) // the limit is now 450 bytes; unwritten placements are withdrawn
 	for range 3 {
 		for i := range 6 {
 			h.grant(wire.JobID(fmt.Sprintf("run-%d", i)), "n-1-a", 8)
@@ -98,11 +98,11 @@
 	h.submit("run-9", 1, withSmallTasks)
 	h.grant("run-9", "n-1-a", 1)
 	batch = h.m.NextWrite(h.now)
-	h.want(h.m.WriteRefused(h.now, batch, 100), false)
+	h.want(h.m.WriteRejected(h.now, batch, 100), false)
 	if batch = h.m.NextWrite(h.now); batch != nil {
 		t.Errorf("write was requested again at once: %+v", batch.Changes)
 	}
-	h.advance(refusedWriteBackoff)
+	h.advance(rejectedWriteBackoff)
 	h.want(h.m.NextWrite(h.now) != nil, true)
 }
 
--- a/internal/manager/write_order.go
+++ b/internal/manager/write_order.go
@@ -8,9 +8,9 @@
 )
 
 // Progress records for which no launch waits are written with a delay, so that one write covers several changes. If the
-// leader's term ends in the meantime, nothing is lost: agents keep listing exited tasks until they are told to clear
-// them. The delay grows with the duration of writes. If writes take long, for example because the store allows only few
-// changes a second, such progress thereby yields to launches and to the results that users wait for.
+// leader's term ends in the meantime, nothing is lost: agents keep listing exited tasks until they receive the command
+// to clear them. The delay grows with the duration of writes. If writes take long, for example because the store allows
+// only few changes a second, such progress thereby yields to launches and to the results that users wait for.
 const (
 	minProgressDelay       = 2 * micros.Second
 	maxProgressDelay       = 15 * micros.Second
--- a/internal/manager/write_outcomes.go
+++ b/internal/manager/write_outcomes.go
@@ -85,7 +85,7 @@
 }
 
 // WriteConflicted handles a write that changed nothing because one of its conditions did not hold: a user has cancelled
-// one of its jobs in the meantime. The changes to its jobs must have been reported before, with OpenRecordChanged.
+// one of its jobs in the meantime. The changes to its jobs must have been reported before, with OpenJobRecordChanged.
 func (m *Manager) WriteConflicted(now micros.Timestamp, id uint64) {
 	write := m.writes.finish(id)
 	if write == nil {
--- a/internal/manager/writes.go
+++ b/internal/manager/writes.go
@@ -27,9 +27,9 @@
 type WriteBatch struct {
 	ID      uint64
 	Changes []RecordChange
-	// OpenRecordConditions are the open records of the jobs that the write completes or whose tasks it places, with their
-	// required versions: a user may have cancelled a job through another controller.
-	OpenRecordConditions []RecordChange
+	// OpenJobRecordConditions are the open records of the jobs that the write completes or whose tasks it places, with
+	// their required versions: a user may have cancelled a job through another controller.
+	OpenJobRecordConditions []RecordChange
 }
 
 // writePipeline holds the pending changes and the one write that is in flight.
@@ -43,7 +43,7 @@
 
 	inFlight     *writeInFlight // nil: none
 	lastID       uint64
-	lastDuration micros.Duration // of the last committed write
+	lastDuration micros.Duration // duration of the last committed write
 }
 
 // writeInFlight describes the write that is being executed, so that its outcome can be applied.
@@ -106,7 +106,7 @@
 
 // NextWrite returns the next transaction, or nil if none is due or one is in flight. A transaction contains first the
 // completions of jobs, then progress, then the deletion of the records of final jobs. The caller executes the
-// transaction and reports the outcome with WriteCommitted, WriteConflicted or WriteRefused.
+// transaction and reports the outcome with WriteCommitted, WriteConflicted or WriteRejected.
 //
 // NextWrite determines what is durable before a launch: an attempt is launched only after WriteCommitted for a
 // transaction that contains its placement, in the progress record of its task (writeBuilder.addShard), and the
@@ -143,7 +143,7 @@
 	manager         *Manager
 	now             micros.Timestamp
 	maxOps          int
-	idempotencyMark string // unique to the transaction
+	idempotencyMark string // mark that is unique to the transaction; see RecordChange.IdempotencyMark
 	batch           *WriteBatch
 	write           *writeInFlight
 }
@@ -164,7 +164,7 @@
 			m.writes.completions = slices.Delete(m.writes.completions, i, i+1)
 			continue
 		}
-		if builder.now < job.writesHeldUntil {
+		if builder.now < job.writeBackoffUntil {
 			i++
 			continue
 		}
@@ -241,7 +241,7 @@
 func (builder *writeBuilder) addShard(job *jobState, key shardKey) bool {
 	m := builder.manager
 	first, _ := job.taskRange(key.index)
-	if builder.remainingOps() <= 0 || builder.now < job.writesHeldUntil || !m.writes.limits.hasSpace(job, first, 0) {
+	if builder.remainingOps() <= 0 || builder.now < job.writeBackoffUntil || !m.writes.limits.hasSpace(job, first, 0) {
 		return false
 	}
 	disruptions, changed := m.disruptionChange(job, key.index, builder.idempotencyMark)
@@ -265,7 +265,7 @@
 	write := builder.write
 	write.shards = append(write.shards, key)
 	first, end := job.taskRange(key.index)
-	record := state.ProgressRecord{IdempotencyToken: builder.idempotencyMark}
+	record := state.ProgressRecord{IdempotencyMark: builder.idempotencyMark}
 	record.Done = state.EncodeDoneBitmap(end-first, func(i int) bool { return job.taskPhases[first+i] >= taskDone })
 	for task := first; task < end; task++ {
 		if job.taskPhases[task] == taskDone {
@@ -298,7 +298,7 @@
 			m.writes.cleanups = slices.Delete(m.writes.cleanups, i, i+1)
 			continue
 		}
-		if builder.now < job.writesHeldUntil {
+		if builder.now < job.writeBackoffUntil {
 			i++
 			continue
 		}
@@ -343,6 +343,6 @@
 	slices.Sort(builder.write.openJobs)
 	for _, id := range slices.Compact(builder.write.openJobs) {
 		condition := RecordChange{Key: state.OpenJobKey(id), Version: builder.manager.jobs.byID[id].version}
-		builder.batch.OpenRecordConditions = append(builder.batch.OpenRecordConditions, condition)
+		builder.batch.OpenJobRecordConditions = append(builder.batch.OpenJobRecordConditions, condition)
 	}
 }
--- a/internal/manager/writes_test.go
+++ b/internal/manager/writes_test.go
@@ -34,15 +34,15 @@
 	h.submit("run-2", 1, nil)
 	h.grant("run-1", "n-1-a", 1)
 	batch := h.m.NextWrite(h.now)
-	h.want(len(batch.OpenRecordConditions), 1)
-	h.want(batch.OpenRecordConditions[0].Key, state.OpenJobKey("run-1"))
-	h.want(batch.OpenRecordConditions[0].Version, h.revision-1)
+	h.want(len(batch.OpenJobRecordConditions), 1)
+	h.want(batch.OpenJobRecordConditions[0].Key, state.OpenJobKey("run-1"))
+	h.want(batch.OpenJobRecordConditions[0].Version, h.revision-1)
 	// The job was cancelled through another controller: the write fails and is not repeated.
 	rec := record("run-1", 1, nil).Finalized(wire.JobCancelled)
 	h.revision++
-	h.m.OpenRecordChanged(h.now, h.now, 0, rec, h.revision)
+	h.m.OpenJobRecordChanged(h.now, h.now, 0, rec, h.revision)
 	h.m.WriteConflicted(h.now, batch.ID)
 	batch = h.m.NextWrite(h.now)
-	h.want(batch != nil && len(batch.OpenRecordConditions) > 0, false)
+	h.want(batch != nil && len(batch.OpenJobRecordConditions) > 0, false)
 	h.want(len(h.m.CommandPushes(h.now, true)), 0)
 }
--- a/internal/scale/drain_test.go
+++ b/internal/scale/drain_test.go
@@ -55,7 +55,7 @@
 	snapshot.MachinesListed = true
 	evict := func(t disruption.Task) drain.EvictionOutcome { return c.manager.Evict(c.now, t) }
 	actions := d.planner.Plan(snapshot, evict, func() bool { return false })
-	c.manager.SetReplacements(actions.NeedReplacement)
+	c.manager.SetPendingReplacements(actions.NeedReplacement)
 	c.manager.DeletionRequested(actions.ScaleIn)
 	c.manager.MachinesDeleted(c.now, actions.ScaleIn)
 	for _, id := range actions.ScaleIn {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -55,7 +55,7 @@
 	fleet        *fleet.Fleet
 	workers      []*worker
 	machineOf    map[string]wire.MachineID // the machine on which each running task runs
-	startCounts  map[string]int            // by task
+	startCounts  map[string]int            // number of starts of each task
 	taskDuration micros.Duration
 	// disruptions records the disruptions of tasks, unless it is nil.
 	disruptions *disruptionStats
@@ -159,7 +159,7 @@
 	rec := state.OpenJobRecord{ShardSize: 90, AcceptedAt: int64(c.now), Job: job}
 	c.putRecord(state.JobStatusKey(id), state.JobStatusRecord{State: wire.JobPending})
 	c.putRecord(state.OpenJobKey(id), rec)
-	c.manager.OpenRecordChanged(c.now, c.now, int64(c.now), rec, c.revision)
+	c.manager.OpenJobRecordChanged(c.now, c.now, int64(c.now), rec, c.revision)
 }
 
 func (c *cluster) putRecord(key string, value any) {
--- a/internal/snapshot/machine.go
+++ b/internal/snapshot/machine.go
@@ -45,7 +45,7 @@
 	// UnreachableSince is the time since which there is no evidence that commands reach the machine's agent. 0 means that
 	// they do.
 	UnreachableSince micros.Timestamp `json:"-"`
-	// NeedsDeletion means that only the deletion of the machine can prove that its tasks are gone.
+	// NeedsDeletion means that only the deletion of the machine can prove that its tasks have terminated.
 	NeedsDeletion bool `json:"-"`
 	UsableSoon    bool `json:"-"` // may not be usable yet, but is expected to become usable soon
 	// IdleSince is the time since which no task can exist on the machine. 0 means that a task can exist on it.
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -32,7 +32,7 @@
 	// PendingReplacements lists the jobs with tasks that can't be evicted until there are free resources for them
 	// elsewhere. In these entries, Waiting is the number of such tasks. The list is only for package fleet.
 	PendingReplacements []*Job
-	// VacatedPools lists the pools in which package fleet rents machines only if it can't rent them elsewhere.
+	// VacatedPools lists the pools in which package fleet creates machines only if it can't create them elsewhere.
 	VacatedPools []drain.VacatedPool
 }
 
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -10,7 +10,7 @@
 // different versions can work on each other's data during a rolling upgrade; package upgrade tests this. Some stored
 // names differ from the Go names: "open/" holds OpenJobRecord, "tasks/" holds ProgressRecord, "care/" holds the keys of
 // lease renewers, "over" is the final state, "chunk" is the shard size, "run" and "s" are incarnations, and "w" is the
-// idempotency token.
+// idempotency mark.
 package state
 
 import (
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestGet(t *testing.T) {
+func TestGetReturnsEntryOrNil(t *testing.T) {
 	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/kv/open/run-1" {
 			respond(http.StatusOK, `{"k":"open/run-1","value":{"a":1},"stamp":412,"permit":7}`)(w, r)
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestCompareAndSwap(t *testing.T) {
+func TestCompareAndSwapReturnsRevision(t *testing.T) {
 	const want = `{"when":[{"k":"leader","stamp":41}],"then":[{"set":"a","value":1,"permit":7},{"delete":"b"}]}`
 	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -252,7 +252,7 @@
 	}
 }
 
-func TestGrantLease(t *testing.T) {
+func TestGrantLeaseReturnsID(t *testing.T) {
 	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil || r.URL.Path != "/grants" || string(body) != `{"life_ms":5000}` {
@@ -265,7 +265,7 @@
 	}
 }
 
-func TestRenewLease(t *testing.T) {
+func TestRenewLeaseReportsExpiredLease(t *testing.T) {
 	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPost || r.URL.Path != "/grants/7/renew" {
 			respond(http.StatusNotFound, `{"error":"no such lease"}`)(w, r)
@@ -281,7 +281,7 @@
 	}
 }
 
-func TestWatch(t *testing.T) {
+func TestWatchReturnsEventsOrErrCompacted(t *testing.T) {
 	client := newClient(t, func(w http.ResponseWriter, r *http.Request) {
 		query := r.URL.Query()
 		if r.URL.Path != "/watch" || query.Get("prefix") != "c/" || query.Get("block_ms") != "1500" {
--- a/internal/state/keys.go
+++ b/internal/state/keys.go
@@ -98,7 +98,7 @@
 // key is attached to a lease, so that it exists only while the member does so.
 func ActiveRenewerKey(member string) string { return activeRenewerPrefix + member }
 
-// LastRenewerKey returns the key whose version tells when the member last began to renew worker leases. The key is not
+// LastRenewerKey returns the key whose version shows when the member last began to renew worker leases. The key is not
 // attached to a lease and remains after the member has stopped.
 func LastRenewerKey(member string) string { return lastRenewerPrefix + member }
 
--- a/internal/state/keys_test.go
+++ b/internal/state/keys_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // The keys are part of the stored data, so they must not change.
-func TestKeys(t *testing.T) {
+func TestKeysDoNotChange(t *testing.T) {
 	cases := []struct{ name, got, want string }{
 		{"leader", LeaderKey, "leader"},
 		{"machine types", MachineTypesKey, "types"},
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestParseKeys(t *testing.T) {
+func TestParseKeysRejectsOtherKeys(t *testing.T) {
 	parsers := map[string]func(string) (string, int, bool){
 		"progress": withStringName(ParseProgressKey), "disruption": withStringName(ParseDisruptionKey),
 		"drain's machines": ParseDrainMachinesKey,
--- a/internal/state/progress.go
+++ b/internal/state/progress.go
@@ -11,11 +11,11 @@
 // ProgressRecord is the progress of a shard of a job's tasks. The record doesn't exist while no task of the shard has
 // been started.
 type ProgressRecord struct {
-	Done   string      `json:"d,omitempty"` // see EncodeDoneBitmap
+	Done   string      `json:"d,omitempty"` // bitmap of the completed tasks, see EncodeDoneBitmap
 	Active []Placement `json:"a,omitempty"`
-	// IdempotencyToken is unique to the write. If the outcome of a write is unknown, the token in the stored record shows
+	// IdempotencyMark is unique to the write. If the outcome of a write is unknown, the mark in the stored record shows
 	// whether the write was applied.
-	IdempotencyToken string `json:"w"`
+	IdempotencyMark string `json:"w"`
 }
 
 // Placement is an attempt of a task that may exist on a machine.
@@ -37,9 +37,9 @@
 func ProgressRecordOverhead(tasks int) int {
 	const (
 		emptyRecordBytes = len(`{"d":"","a":[],"w":""}`)
-		tokenBytes       = 2*13 + len(".") // two 64-bit numbers in base 36
+		markBytes        = 2*13 + len(".") // two 64-bit numbers in base 36
 	)
-	return emptyRecordBytes + tokenBytes + hex.EncodedLen(bitmapBytes(tasks))
+	return emptyRecordBytes + markBytes + hex.EncodedLen(bitmapBytes(tasks))
 }
 
 // MinValueKB is the lowest limit of the size of a value in the store, in KiB, with which the service can work. Below
--- a/internal/state/progress_test.go
+++ b/internal/state/progress_test.go
@@ -105,9 +105,9 @@
 	t.Helper()
 	digits := strings.Repeat("z", 13)
 	record := ProgressRecord{
-		Done:             EncodeDoneBitmap(tasks, func(int) bool { return true }),
-		Active:           slices.Repeat([]Placement{longestPlacement}, tasks),
-		IdempotencyToken: digits + "." + digits,
+		Done:            EncodeDoneBitmap(tasks, func(int) bool { return true }),
+		Active:          slices.Repeat([]Placement{longestPlacement}, tasks),
+		IdempotencyMark: digits + "." + digits,
 	}
 	encoded, err := json.Marshal(record)
 	if err != nil {
--- a/internal/state/ratelimit_test.go
+++ b/internal/state/ratelimit_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-func TestAdaptiveLimiter(t *testing.T) {
+func TestAdaptiveLimiterSlowsDownWhenRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limiter := newAdaptiveLimiter()
 		expectRate(t, limiter, 0)
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -36,8 +36,8 @@
 }
 
 // Finalized returns the record of the job in a final state. It keeps only the fields that are needed until the job's
-// last task is gone. The original job description may have been stored under a higher size limit than the present one
-// and must not have to be written at that size again.
+// last task has terminated. The original job description may have been stored under a higher size limit than the
+// present one and must not have to be written at that size again.
 func (r OpenJobRecord) Finalized(state wire.JobState) OpenJobRecord {
 	job := r.Job
 	r.Job = wire.Job{
@@ -52,8 +52,8 @@
 // attempt is not running yet.
 type DisruptionRecord struct {
 	Open []OpenDisruption `json:"o"`
-	// IdempotencyToken is unique to the write; see ProgressRecord.
-	IdempotencyToken string `json:"w"`
+	// IdempotencyMark is unique to the write; see ProgressRecord.
+	IdempotencyMark string `json:"w"`
 }
 
 // OpenDisruption is a disrupted task. Its encoding is no longer than that of a Placement.
@@ -61,7 +61,7 @@
 	Task    int            `json:"t"`
 	Attempt wire.AttemptID `json:"n"`
 	Cause   string         `json:"c"`
-	// ReservedMachine is the machine on which resources are reserved for the next attempt. Empty means none.
+	// ReservedMachine is the machine on which resources are reserved for the successor attempt. Empty means none.
 	ReservedMachine wire.MachineID `json:"m,omitempty"`
 }
 
@@ -77,8 +77,8 @@
 	EvictAtDeadline bool  `json:"evict,omitempty"`
 	// Budgets holds the disruption budgets by team, in the format of disruption.ParseBudget.
 	Budgets map[wire.TeamName]string `json:"budgets,omitempty"`
-	// Zone and Type are set if the drain vacates a whole zone, machine type or both. While it does, machines are rented
-	// there only if they can't be rented elsewhere.
+	// Zone and Type are set if the drain vacates a whole zone, machine type or both. While it does, machines are created
+	// there only if they can't be created elsewhere.
 	Zone string `json:"zone,omitempty"`
 	Type string `json:"type,omitempty"`
 	// MachineListID, MachinePages and MachineCount describe the stored list of the drain's machines; see DrainMachinesKey.
--- a/internal/state/records_test.go
+++ b/internal/state/records_test.go
@@ -18,7 +18,7 @@
 	}{
 		{"leader", &LeaderRecord{"c1", 3}, `{"member":"c1","run":3}`},
 		{"job status", &JobStatusRecord{wire.JobCancelled}, `{"status":"aborted"}`},
-		{"progress", &ProgressRecord{Done: "05", Active: []Placement{{1, "n-1", 9, 2}}, IdempotencyToken: "a.1"},
+		{"progress", &ProgressRecord{Done: "05", Active: []Placement{{1, "n-1", 9, 2}}, IdempotencyMark: "a.1"},
 			`{"d":"05","a":[{"t":1,"m":"n-1","n":9,"s":2}],"w":"a.1"}`},
 		{"empty progress", &ProgressRecord{}, `{"w":""}`},
 		{"disruption", &DisruptionRecord{Open: []OpenDisruption{{1, 9, "drain", "n-2"}, {Task: 2, Cause: "lost"}}},
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestFinalized(t *testing.T) {
+func TestFinalizedKeepsOnlyNeededFields(t *testing.T) {
 	zone := "a"
 	open := OpenJobRecord{AcceptedAt: 5, ShardSize: 16, Job: wire.Job{
 		ID: "run-1", Class: "c", Team: "red", Kind: wire.KindGang, PriorityName: "high", Tasks: 3, CPUs: 1, GPUs: 2,
--- a/internal/upgrade/frozen_test.go
+++ b/internal/upgrade/frozen_test.go
@@ -28,10 +28,10 @@
 		Write  string         `json:"w"`
 	}
 	oldPlacement struct {
-		Task    int    `json:"t"`
-		Machine string `json:"m"`
-		Attempt uint64 `json:"n"`
-		Session uint64 `json:"s"`
+		Task        int    `json:"t"`
+		Machine     string `json:"m"`
+		Attempt     uint64 `json:"n"`
+		Incarnation uint64 `json:"s"`
 	}
 	oldAsks struct {
 		Member   string       `json:"member"`
@@ -49,7 +49,7 @@
 		Lease   int64  `json:"lease,omitempty"`
 		Wait    uint64 `json:"wait,omitempty"`
 	}
-	oldAnswers struct {
+	oldLeaseResponses struct {
 		Version uint64      `json:"version"`
 		Results []oldResult `json:"results,omitempty"`
 	}
@@ -61,28 +61,28 @@
 		Token  uint64          `json:"token"`
 		Report *wire.Heartbeat `json:"report"`
 	}
-	oldRelayAnswer struct {
-		Answer  *wire.HeartbeatResponse `json:"answer,omitempty"`
-		Reached bool                    `json:"reached,omitempty"`
+	oldRelayResponse struct {
+		Response *wire.HeartbeatResponse `json:"answer,omitempty"`
+		Reached  bool                    `json:"reached,omitempty"`
 	}
 	oldAnnouncement struct {
 		Member string `json:"member"`
 		Token  uint64 `json:"token"`
 	}
 	oldUpdate struct {
-		Token    uint64             `json:"token"`
-		Base     uint64             `json:"base,omitempty"`
-		Version  uint64             `json:"version"`
-		Now      int64              `json:"now"`
-		StateOK  bool               `json:"state_ok"`
-		Assign   map[string]string  `json:"assign"`
-		Rooms    map[string]oldRoom `json:"rooms,omitempty"`
-		Machines []*oldMachine      `json:"machines,omitempty"`
-		Jobs     []*oldJob          `json:"jobs,omitempty"`
-		Gone     []string           `json:"gone,omitempty"`
-		Finished []oldFinished      `json:"finished,omitempty"`
-	}
-	oldRoom struct {
+		Token    uint64                      `json:"token"`
+		Base     uint64                      `json:"base,omitempty"`
+		Version  uint64                      `json:"version"`
+		Now      int64                       `json:"now"`
+		StateOK  bool                        `json:"state_ok"`
+		Assign   map[string]string           `json:"assign"`
+		Rooms    map[string]oldQuotaHeadroom `json:"rooms,omitempty"`
+		Machines []*oldMachine               `json:"machines,omitempty"`
+		Jobs     []*oldJob                   `json:"jobs,omitempty"`
+		Gone     []string                    `json:"gone,omitempty"`
+		Finished []oldFinished               `json:"finished,omitempty"`
+	}
+	oldQuotaHeadroom struct {
 		CPUs *float64 `json:"cpus,omitempty"`
 		GPUs *float64 `json:"gpus,omitempty"`
 	}
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -58,9 +58,9 @@
 	"types":        {func() any { return new([]wire.MachineType) }, func() any { return new([]wire.MachineType) }},
 	"update":       {func() any { return new(snapshot.Update) }, func() any { return new(oldUpdate) }},
 	"asks":         {func() any { return new(peer.LeaseRequests) }, func() any { return new(oldAsks) }},
-	"answers":      {func() any { return new(peer.LeaseResponses) }, func() any { return new(oldAnswers) }},
+	"answers":      {func() any { return new(peer.LeaseResponses) }, func() any { return new(oldLeaseResponses) }},
 	"relay":        {func() any { return new(peer.RelayedHeartbeat) }, func() any { return new(oldRelay) }},
-	"relay_answer": {func() any { return new(peer.RelayResponse) }, func() any { return new(oldRelayAnswer) }},
+	"relay_answer": {func() any { return new(peer.RelayResponse) }, func() any { return new(oldRelayResponse) }},
 	"announcement": {func() any { return new(peer.Announcement) }, func() any { return new(oldAnnouncement) }},
 	"hire":         {func() any { return new(wire.ScaleOutRequest) }, func() any { return new(wire.ScaleOutRequest) }},
 }
@@ -214,7 +214,7 @@
 	record := state.OpenJobRecord{Job: gang, AcceptedAt: acceptedAt, ShardSize: state.ProgressShardSize(gang.Kind, 2)}
 	put("open", state.OpenJobKey(gang.ID), record)
 	put("open", state.OpenJobKey(gang.ID), record.Finalized(wire.JobCancelled))
-	m.OpenRecordChanged(now, now, acceptedAt, record, 60)
+	m.OpenJobRecordChanged(now, now, acceptedAt, record, 60)
 	seq := wire.HeartbeatSeq(0)
 	sendHeartbeat := func(id wire.MachineID, tasks ...wire.TaskStatus) {
 		seq++
@@ -289,7 +289,7 @@
 // takeover is a leader of this version that has taken over from a leader of the production version.
 type takeover struct {
 	manager  *manager.Manager
-	sequence wire.HeartbeatSeq // of the last heartbeat
+	sequence wire.HeartbeatSeq // sequence number of the last heartbeat
 }
 
 // grant requests count leases on a machine and returns the number of leases granted.
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -32,8 +32,8 @@
 	Types []MachineType `json:"builds"`
 }
 
-// ScaleOutRequest is a request to rent machines. It is idempotent: the cloud answers a repeated RequestID with the same
-// response as the first time. A RequestID must therefore never be reused for a different request.
+// ScaleOutRequest is a request to create machines. It is idempotent: the response to a repeated RequestID is the same
+// as the first time. A RequestID must therefore never be reused for a different request.
 type ScaleOutRequest struct {
 	RequestID string `json:"hire"`
 	Type      string `json:"build"`
@@ -55,7 +55,7 @@
 	Zone  string       `json:"yard"`
 	Spot  bool         `json:"loaners"`
 	State MachineState `json:"status"`
-	AgeS  float64      `json:"held_s"` // time since the rental request
+	AgeS  float64      `json:"held_s"` // time since the request that created the machine
 }
 
 // MachinePage is one page of the cloud's list of machines, sorted by ID.
--- a/wire/heartbeat.go
+++ b/wire/heartbeat.go
@@ -36,7 +36,7 @@
 	ExitInsufficientResources ExitReason = "no_room"    // start rejected: the machine lacks resources
 	ExitConflictingAttempt    ExitReason = "in_use"     // start rejected: another attempt of the task is on the machine
 	ExitUnknownTask           ExitReason = "unknown"    // start rejected: there is no such job or task
-	ExitGangPeerGone          ExitReason = "mates_gone" // another task of the gang has exited
+	ExitGangPeerTerminated    ExitReason = "mates_gone" // another task of the gang has exited
 	ExitGangTimeout           ExitReason = "alone"      // the gang was not complete before the timeout
 )
 
--- a/wire/identifiers.go
+++ b/wire/identifiers.go
@@ -24,9 +24,9 @@
 // incarnations can't be compared. 0 means none.
 type HeartbeatSeq uint64
 
-// MachineID identifies a machine, such as n-000231. The cloud issues it when the machine is rented and never reuses it,
-// so late heartbeats of a deleted machine are never attributed to another machine. IDs sort in the order in which the
-// machines were created. An empty ID means none.
+// MachineID identifies a machine, such as n-000231. The cloud issues it when the machine is created and never reuses
+// it, so late heartbeats of a deleted machine are never attributed to another machine. IDs sort in the order in which
+// the machines were created. An empty ID means none.
 type MachineID string
 
 // JobID identifies a job, such as run-000412. The user who submits the job chooses the ID. An ID is never reused for
