--- a/internal/scenario/cluster.go
+++ b/internal/scenario/cluster.go
@@ -37,7 +37,7 @@
 const (
 	cacheGB      = 50
 	fetchGBPS    = 0.5
-	cpusPerPrice = 16 // of an on-demand machine
+	cpusPerPrice = 16 // number of CPUs that cost 1 per hour on an on-demand machine
 	spotDiscount = 3
 )
 
--- a/internal/scenario/conditions.go
+++ b/internal/scenario/conditions.go
@@ -12,7 +12,7 @@
 
 // conditionDefinition defines a kind of condition, which a step checks or waits for.
 type conditionDefinition struct {
-	usage   string // its arguments, the last of which is the expected value
+	usage   string // arguments of the condition, the last of which is the expected value
 	help    string
 	minArgs int // the least number of arguments
 	check   func(ctx context.Context, h *harness, words []string) error
@@ -21,10 +21,10 @@
 // conditionDefinitions holds the kinds of conditions by their first word.
 var conditionDefinitions = map[string]conditionDefinition{
 	// Jobs and their tasks.
-	"job": {"ID STATUS", "its status at a controller that answers with 200", 2,
+	"job": {"ID STATUS", "its status at a controller that responds with 200", 2,
 		exactly(jobStatus)},
-	"answered": {"ID yes", "every running controller answers a poll of the job with 200", 2,
-		exactly(answered)},
+	"answered": {"ID yes", "every running controller responds to a poll of the job with 200", 2,
+		exactly(respondsEverywhere)},
 	"starts":         {"ID N", "how often its tasks have started", 2, exactly(formatted(starts))},
 	"starts-at-most": {"ID N", "how often its tasks have started", 2, atMost(starts)},
 	"starts-after-cancel-at-most": {"N", "starts of tasks after a confirmed cancellation", 1,
@@ -49,7 +49,7 @@
 	"machines": {"N", "machines that the cloud has, in any state", 1, exactly(formatted(machineCount))},
 	"machines-in-zone": {"ZONE N", "machines that the cloud has in the zone", 2,
 		exactly(formatted(machinesInZone))},
-	"rented": {"N", "machines that have been rented so far", 1, exactly(formatted(rented))},
+	"scaled-out": {"N", "machines that have been created on request so far", 1, exactly(formatted(scaledOut))},
 	"command-pushes-at-most": {"MACHINE N", "pushes of commands to the machine, including empty ones", 2,
 		commandPushesAtMost},
 
@@ -132,7 +132,7 @@
 }
 func machineCount(h *harness, _ []string) int       { return h.cloud.MachineCount() }
 func machinesInZone(h *harness, words []string) int { return h.cloud.MachinesInZone(words[0]) }
-func rented(h *harness, _ []string) int             { return h.cloud.ScaledOut() }
+func scaledOut(h *harness, _ []string) int          { return h.cloud.ScaledOut() }
 func recordCount(h *harness, words []string) int    { return h.state.CountKeys(words[0]) }
 func rejectedTooLarge(h *harness, _ []string) int   { return h.state.RejectedTooLarge() }
 
@@ -167,7 +167,7 @@
 	return string(h.checker.Placements(wire.JobID(words[0]))[parseInteger(words[1])]), nil
 }
 
-// jobStatus returns the status from the first controller that answers with code 200. If none does, it returns the
+// jobStatus returns the status from the first controller that responds with code 200. If none does, it returns the
 // status from the last controller.
 func jobStatus(ctx context.Context, h *harness, words []string) (status string, err error) {
 	for _, member := range h.members {
@@ -180,7 +180,7 @@
 	return status, nil
 }
 
-func answered(ctx context.Context, h *harness, words []string) (string, error) {
+func respondsEverywhere(ctx context.Context, h *harness, words []string) (string, error) {
 	got := "yes"
 	for _, member := range h.members {
 		if !h.controllers[member].running() {
--- a/internal/scenario/expectations.go
+++ b/internal/scenario/expectations.go
@@ -71,29 +71,29 @@
 	}
 }
 
-// checkRecovery checks the system for a while after faults: every running controller must answer polls of each accepted
-// job, with no gap longer than answerTimeout, and no job may wait while machines have room for it.
+// checkRecovery checks the system for a while after faults: every running controller must respond to polls of each
+// accepted job, with no gap longer than responseTimeout, and no job may wait while machines have the capacity for it.
 func (h *harness) checkRecovery(ctx context.Context, args arguments) error {
 	const (
-		interval      = 5 * time.Second
-		answerTimeout = 75 * time.Second
+		interval        = 5 * time.Second
+		responseTimeout = 75 * time.Second
 	)
 	start := time.Now()
-	answered := map[wire.JobID]time.Time{} // when all running controllers last answered for a job
+	lastResponded := map[wire.JobID]time.Time{} // last time at which all running controllers responded
 	for end := start.Add(parseSeconds(args.words[0])); time.Now().Before(end); time.Sleep(interval) {
 		for _, id := range h.checker.AcceptedJobs() {
-			everywhere, err := h.answeredEverywhere(ctx, id)
+			everywhere, err := h.respondEverywhere(ctx, id)
 			if err != nil {
 				return err
 			}
-			since, before := answered[id]
+			since, before := lastResponded[id]
 			if !before {
 				since = start
 			}
 			if everywhere {
-				answered[id] = time.Now()
-			} else if time.Since(since) > answerTimeout {
-				return fmt.Errorf("the controllers have not all answered a poll of %s for %s", id, time.Since(since))
+				lastResponded[id] = time.Now()
+			} else if time.Since(since) > responseTimeout {
+				return fmt.Errorf("the controllers have not all responded to a poll of %s for %s", id, time.Since(since))
 			}
 		}
 		h.checker.CheckStarvation(h.cloud.RunningMachines())
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// answeredEverywhere reports whether every running controller answers a poll of a job with code 200.
-func (h *harness) answeredEverywhere(ctx context.Context, id wire.JobID) (bool, error) {
+// respondEverywhere reports whether every running controller responds to a poll of a job with code 200.
+func (h *harness) respondEverywhere(ctx context.Context, id wire.JobID) (bool, error) {
 	everywhere := true
 	for _, member := range h.members {
 		code, _, err := h.poll(ctx, member, id)
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -146,7 +146,7 @@
 	"outage": {"", "the cloud does not serve requests", 0, func(h *harness, _ []string) { h.cloud.SetOutage(true) }},
 	"recover": {"", "the cloud serves requests again after an outage", 0,
 		func(h *harness, _ []string) { h.cloud.SetOutage(false) }},
-	"lose-response": {"", "the response to the next rental is lost", 0, func(h *harness, _ []string) {
+	"lose-response": {"", "the response to the next scale-out request is lost", 0, func(h *harness, _ []string) {
 		h.cloud.LoseNextResponse()
 	}},
 	"duplicate-requests": {"S", "each request that was executed is executed again S seconds later", 1,
--- a/internal/scenario/harness.go
+++ b/internal/scenario/harness.go
@@ -58,12 +58,12 @@
 	typesByName    map[string]*wire.MachineType
 	deferred       []func() // lines of the section cluster that need the cloud
 	options        []byte
-	controllers    map[string]*controller // by member name
+	controllers    map[string]*controller // controllers by member name
 	members        []string
 	workers        fake.WorkerConfig
 	values         map[string]float64
-	duplicators    map[string]*fake.Duplicator // by the service whose requests are duplicated
-	pickedMachines map[string]wire.MachineID   // by the names that the step pick has given them
+	duplicators    map[string]*fake.Duplicator // duplicators by the service whose requests they duplicate
+	pickedMachines map[string]wire.MachineID   // machines by the names that the step pick has given them
 	budgets        map[wire.TeamName]int       // how many tasks of a team may be disrupted at once
 }
 
@@ -138,7 +138,7 @@
 	}
 	cancel()
 	if !h.net.IsLoopback() {
-		time.Sleep(10 * time.Second) // of virtual time, in which the remaining goroutines end
+		time.Sleep(10 * time.Second) // virtual time, in which the remaining goroutines end
 	}
 }
 
--- a/internal/scenario/jobs.go
+++ b/internal/scenario/jobs.go
@@ -21,7 +21,7 @@
 // submission is a job that a user submits, and how its tasks behave, which only the user knows.
 type submission struct {
 	job         wire.Job
-	runTime     time.Duration // of each task
+	runTime     time.Duration // run time of each task
 	alwaysFails bool          // its tasks fail on every machine
 }
 
@@ -240,7 +240,7 @@
 	method string
 	path   string
 	job    wire.JobID
-	body   any // nil: none
+	body   any // request body; nil: none
 }
 
 // poll requests the status of a job from a controller.
--- a/internal/scenario/loopback/drain_test.go
+++ b/internal/scenario/loopback/drain_test.go
@@ -26,7 +26,7 @@
 // disruptionLog is what the controllers' logs contain about disruptions.
 type disruptionLog struct {
 	attempts   map[string]bool   // the attempts whose disruption was logged
-	reasons    map[string]string // of the last disruption, by task
+	reasons    map[string]string // reason of each task's last disruption
 	duplicates []string          // attempts whose disruption was counted twice
 }
 
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestParse(t *testing.T) {
+func TestParseExpandsSweepAndRejectsInvalidSections(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		variants   []string
--- a/internal/scenario/steps.go
+++ b/internal/scenario/steps.go
@@ -17,7 +17,7 @@
 
 // stepDefinition defines a kind of step.
 type stepDefinition struct {
-	usage   string // its arguments
+	usage   string // arguments of the step
 	help    string
 	minArgs int // the least number of arguments
 	run     func(h *harness, ctx context.Context, args arguments) error
@@ -46,7 +46,7 @@
 	"until": {"S CONDITION", "waits until the condition holds, at most so long", 2, (*harness).until},
 	"never": {"S CONDITION", "the condition does not hold at any time in this period", 2, (*harness).never},
 	"check": {"CONDITION", "the condition holds now", 1, (*harness).checkNow},
-	"check-recovery": {"S", "after faults: accepted jobs are answered for, none waits while there is room", 1,
+	"check-recovery": {"S", "after faults: polls of accepted jobs get responses, no job waits while there is capacity", 1,
 		(*harness).checkRecovery},
 
 	// Controllers.
@@ -55,10 +55,10 @@
 	"restart": {"MEMBER... or all", "controllers crash and start again", 1, (*harness).restartControllers},
 
 	// Links.
-	"partition":          {"A B", "packets between the hosts are held back", 2, linkStep(fake.LinkHeld)},
+	"partition":          {"A B", "packets between the hosts are held", 2, linkStep(fake.LinkHeld)},
 	"refuse-connections": {"A B", "connections between the hosts are refused", 2, linkStep(fake.LinkRefused)},
-	"partition-inbound":  {"A B", "packets from B to A are held back", 2, linkStep(fake.InboundHeld)},
-	"partition-dialed": {"A B", "packets on connections that A opens to B are held back", 2,
+	"partition-inbound":  {"A B", "packets from B to A are held", 2, linkStep(fake.InboundHeld)},
+	"partition-dialed": {"A B", "packets on connections that A opens to B are held", 2,
 		linkStep(fake.DialedHeld)},
 	"heal": {"A B", "packets between the hosts are delivered again", 2, linkStep(fake.LinkUp)},
 
