--- a/client/client.go
+++ b/client/client.go
@@ -71,7 +71,7 @@
 	return c.doWithRetry(ctx, request{http.MethodGet, path, nil, pollTimeout})
 }
 
-// Cancel cancels a job and returns its state, which tells whether the job had already completed. It is idempotent. The
+// Cancel cancels a job and returns its state, which shows whether the job had already completed. It is idempotent. The
 // error is a *RefusedError, or the reason why the retries were abandoned.
 func (c *Client) Cancel(ctx context.Context, id wire.JobID) (*wire.JobStatus, error) {
 	path, err := jobPath(id)
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -23,7 +23,7 @@
 	body   string
 }
 
-// fakeServers is a transport that answers requests with the given responses, in order, and records the requests.
+// fakeServers is a transport that returns the given responses to requests, in order, and records the requests.
 type fakeServers struct {
 	responses []response // once used up, connections are refused
 	requests  []string
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -182,7 +182,7 @@
 	}
 }
 
-func TestSubmit(t *testing.T) {
+func TestSubmitResponsesAndStoredState(t *testing.T) {
 	submission := encodeJob(t, testSubmission())
 	tests := []struct {
 		name        string
@@ -270,7 +270,7 @@
 	}
 }
 
-func TestPoll(t *testing.T) {
+func TestPollResponses(t *testing.T) {
 	tests := []struct {
 		name       string
 		stored     wire.JobState
@@ -322,7 +322,7 @@
 	want.check(t, handler, http.MethodGet, wire.PathJobs+"/"+testJob, "")
 }
 
-func TestCancel(t *testing.T) {
+func TestCancelResponsesAndStoredState(t *testing.T) {
 	tests := []struct {
 		name        string
 		stored      wire.JobState
@@ -470,7 +470,7 @@
 	}
 }
 
-func TestOtherPaths(t *testing.T) {
+func TestHealthAndUnknownPaths(t *testing.T) {
 	tests := []struct {
 		name, method, path string
 		controller         fakeController
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -73,7 +73,7 @@
 	writeUnavailable(w, msgOutcomeUnknown)
 }
 
-// writeCancellation tries to write the cancellation of a job. Neither nil nor an error tells whether the job is now
+// writeCancellation tries to write the cancellation of a job. Neither nil nor an error shows whether the job is now
 // cancelled: the caller must read the job's state again.
 func (a *API) writeCancellation(ctx context.Context, job wire.JobID) error {
 	entry, err := a.store.Get(ctx, state.OpenJobKey(job))
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,6 +1,6 @@
-// Package cloud contains the client for the API of the cloud, from which machines are rented by the second. The leader
-// uses it to list machines and machine types and to scale out and in, within its share of the cloud's rate limit. The
-// client makes no decisions and never retries; package fleet decides which machines to rent and to return.
+// Package cloud contains the client for the API of the cloud, which creates machines that are billed by the second. The
+// leader uses it to list machines and machine types and to scale out and in, within its share of the cloud's rate
+// limit. The client makes no decisions and never retries; package fleet decides which machines to create and to delete.
 package cloud
 
 import (
@@ -110,9 +110,9 @@
 	return list.Types, nil
 }
 
-// ScaleOut rents machines and returns their IDs. There may be fewer machines than requested. After an error other than
-// ErrNoCapacity and ErrUnavailable the machines may nevertheless have been rented; it is safe to repeat the request
-// with the same RequestID.
+// ScaleOut creates machines and returns their IDs. There may be fewer machines than requested. After an error other
+// than ErrNoCapacity and ErrUnavailable the machines may nevertheless have been created; it is safe to repeat the
+// request with the same RequestID.
 func (c *Client) ScaleOut(ctx context.Context, request wire.ScaleOutRequest) (ids []wire.MachineID, err error) {
 	var machines wire.MachineIDs
 	if err := c.do(ctx, http.MethodPost, "/machines", request, &machines); err != nil {
@@ -121,8 +121,8 @@
 	return machines.IDs, nil
 }
 
-// ScaleIn returns machines to the cloud, at most 100 per call. The cloud ignores unknown machines. If the error is nil,
-// the machines and all tasks on them are gone.
+// ScaleIn deletes machines, at most 100 per call. The cloud ignores unknown machines. If the error is nil, the machines
+// are deleted and all tasks on them have terminated.
 func (c *Client) ScaleIn(ctx context.Context, ids []wire.MachineID) error {
 	return c.do(ctx, http.MethodPost, "/machines/delete", wire.MachineIDs{IDs: ids}, nil)
 }
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestErrors(t *testing.T) {
+func TestScaleOutErrorShowsWhetherOutcomeIsKnown(t *testing.T) {
 	dropConnection := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	cases := []struct {
 		name    string
@@ -71,7 +71,7 @@
 				t.Errorf("got error %v, want %v", err, c.want)
 			}
 			if c.want == nil && (errors.Is(err, ErrNoCapacity) || errors.Is(err, ErrUnavailable)) {
-				t.Errorf("got error %v, which means that nothing was rented, although the outcome is unknown", err)
+				t.Errorf("got error %v, which means that nothing was created, although the outcome is unknown", err)
 			}
 		})
 	}
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestMachineTypes(t *testing.T) {
+func TestMachineTypesDecodesResponse(t *testing.T) {
 	client := newClient(t, expectRequest(t, http.MethodGet, "/machine_types", "",
 		`{"builds":[{"name":"g8","cores":96,"price":12.0,"yards":["a","b"]}]}`))
 	types, err := client.MachineTypes(t.Context())
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestScaleOut(t *testing.T) {
+func TestScaleOutSendsRequestAndReturnsIDs(t *testing.T) {
 	client := newClient(t, expectRequest(t, http.MethodPost, "/machines",
 		`{"hire":"r-17","build":"g8","yard":"a","loaners":true,"number":12}`, `{"boxes":["n-1","n-2"]}`))
 	request := wire.ScaleOutRequest{RequestID: "r-17", Type: "g8", Zone: "a", Spot: true, Count: 12}
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestScaleIn(t *testing.T) {
+func TestScaleInSendsMachineIDs(t *testing.T) {
 	client := newClient(t, expectRequest(t, http.MethodPost, "/machines/delete", `{"boxes":["n-1","n-2"]}`, ``))
 	if err := client.ScaleIn(t.Context(), []wire.MachineID{"n-1", "n-2"}); err != nil {
 		t.Error(err)
--- a/internal/drain/planner.go
+++ b/internal/drain/planner.go
@@ -43,15 +43,15 @@
 type Config struct {
 	Teams         []wire.TeamName                     // all teams of the deployment
 	DefaultBudget disruption.Budget                   // budget of each team without an entry in TeamBudgets
-	TeamBudgets   map[wire.TeamName]disruption.Budget // by team
+	TeamBudgets   map[wire.TeamName]disruption.Budget // budgets by team
 	StepSize      int                                 // machines emptied at the same time unless a request sets the number
 }
 
 // Planner holds the drains of a leader's term and plans evictions.
 type Planner struct {
 	cfg       Config
-	drains    map[string]*trackedDrain    // by name, including the ended ones whose records are kept
-	teamUsage map[wire.TeamName]TeamUsage // as of the last round, including the evictions since then
+	drains    map[string]*trackedDrain    // drains by name, including the ended ones whose records are kept
+	teamUsage map[wire.TeamName]TeamUsage // usage as of the last round, including the evictions since then
 	cordons   map[wire.MachineID]bool     // cordoned machines
 	shortage  string                      // why there is no capacity for successors, as shown to operators
 }
@@ -59,9 +59,9 @@
 // trackedDrain is a drain's record and its progress in this term.
 type trackedDrain struct {
 	record   state.DrainRecord
-	version  uint64 // of the record, for the next compare-and-swap of it
+	version  uint64 // version of the record, for the next compare-and-swap of it
 	machines []wire.MachineID
-	budgets  map[wire.TeamName]disruption.Budget // by team
+	budgets  map[wire.TeamName]disruption.Budget // budgets by team
 	emptying map[wire.MachineID]bool             // machines of the current step
 	gone     map[wire.MachineID]bool             // machines that no longer exist
 	// The remaining fields are the results of the last round, for the status.
--- a/internal/drain/planner_test.go
+++ b/internal/drain/planner_test.go
@@ -13,7 +13,7 @@
 
 // A machine is cordoned while a drain that includes it is running or paused; if two drains include it, until both have
 // ended.
-func TestCordons(t *testing.T) {
+func TestMachineIsCordonedWhileADrainIncludesIt(t *testing.T) {
 	planner := newPlanner(t, "1")
 	startDrain(t, planner, Request{Name: "x", Zone: "a"}, knownMachines)
 	startDrain(t, planner, Request{Name: "y", Type: "small"}, knownMachines)
@@ -65,7 +65,7 @@
 }
 
 // The number of kept records of ended drains is limited: the oldest ones are deleted.
-func TestPrunableDrains(t *testing.T) {
+func TestOldestEndedDrainsArePrunable(t *testing.T) {
 	planner := newPlanner(t, "1")
 	for i := range maxRetainedDrains + 2 {
 		record := state.DrainRecord{Name: fmt.Sprint(i), State: string(Done), StartedAt: int64(i)}
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -54,7 +54,7 @@
 	Zone, Type      string
 	OlderThan       micros.Duration
 	Step            int                      // machines emptied at a time, at most MaxStep; 0 for the configured number
-	Deadline        micros.Duration          // from the start of the drain; 0 for none
+	Deadline        micros.Duration          // time from the start of the drain; 0 for none
 	EvictAtDeadline bool                     // after the deadline, evict tasks that can't write a checkpoint, too
 	Budgets         map[wire.TeamName]string // disruption budgets by team, as disruption.ParseBudget parses them
 }
@@ -77,7 +77,7 @@
 // PreparedDrain is the record and the selected machines of a valid request, to be made durable.
 type PreparedDrain struct {
 	Record   state.DrainRecord
-	Machines []wire.MachineID // in alphabetical order
+	Machines []wire.MachineID // machines of the drain, in alphabetical order
 	// Exists says that the drain already exists: the request is a repetition, and nothing has to be written.
 	Exists bool
 }
@@ -142,7 +142,7 @@
 // StateChange is a drain's record with a new state, to be made durable.
 type StateChange struct {
 	Record  state.DrainRecord
-	Version uint64 // of the current record, for the compare-and-swap that writes the new one
+	Version uint64 // version of the current record, for the compare-and-swap that writes the new one
 	// Unchanged says that the drain is already in the new state: nothing has to be written.
 	Unchanged bool
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -179,7 +179,7 @@
 	if e.phase == leading {
 		return e.config.Member, e.fencingToken
 	}
-	// A key that names this member was written by an earlier process, or by a claim that this process gave up on.
+	// A key that names this member was written by an earlier process, or by a claim that this process abandoned.
 	if e.record == nil || e.record.Member == e.config.Member {
 		return "", 0
 	}
@@ -281,7 +281,7 @@
 	case record.Member != e.config.Member:
 		e.candidate = false
 	case e.phase != claimingKey:
-		// The key was written by an earlier process of this member, or by a claim that this process gave up on and that
+		// The key was written by an earlier process of this member, or by a claim that this process abandoned and that
 		// succeeded late. No controller acts as the leader under this key. While a claim is in flight, the key may also be
 		// the one that this claim has written; LeadershipClaimed then decides what follows.
 		return e.startCandidacy(version)
@@ -350,8 +350,8 @@
 		e.lease = 0
 		return e.nextRequest()
 	case Conflict, OutcomeUnknown:
-		// The key is read again. The lease is abandoned, because a claim that succeeds late attaches the key to this
-		// lease, and that key must not be kept alive.
+		// The key is read again. The lease is abandoned, because a claim that succeeds late attaches the key to this lease,
+		// and that key must expire.
 		e.candidate, e.lease, e.keyKnown = false, 0, false
 		e.retryAt = now.Add(claimRetryDelay)
 	}
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -75,7 +75,7 @@
 
 // step is an event and the effects that it must return.
 type step struct {
-	after micros.Duration // since the previous step
+	after micros.Duration // time since the previous step
 	event event
 	want  []Effect
 }
@@ -206,7 +206,7 @@
 }
 
 // A missing key means that there is no leader: the key's lease in the store has expired or the leader abandoned it.
-func TestMissingKey(t *testing.T) {
+func TestMissingKeyIsClaimed(t *testing.T) {
 	testElection(t, []electionCase{
 		{
 			name:  "a lease is requested, then the key is claimed, and the key's version becomes the fencing token",
@@ -245,7 +245,7 @@
 	})
 }
 
-func TestClaim(t *testing.T) {
+func TestClaimOutcomes(t *testing.T) {
 	testElection(t, []electionCase{
 		{
 			name: "conflict: the key is read again after 50 ms, and another member's key is not claimed", setup: claimant,
@@ -318,7 +318,7 @@
 	})
 }
 
-func TestRenewal(t *testing.T) {
+func TestLeaseRenewalTimes(t *testing.T) {
 	testElection(t, []electionCase{
 		{
 			name: "renewals are due at once, then a quarter of the TTL after the last was sent", setup: electedLeader,
@@ -406,7 +406,7 @@
 }
 
 // Fencing tokens only increase, so a leader that is announced with a higher token has replaced every earlier leader.
-func TestAnnouncement(t *testing.T) {
+func TestAnnouncedLeaderWithHigherTokenIsFollowed(t *testing.T) {
 	testElection(t, []electionCase{
 		{
 			name: "a higher fencing token makes the leader step down and follow", setup: electedLeader,
@@ -435,7 +435,7 @@
 
 // A leader whose host refuses connections has most likely ended. It is replaced without proof of that, so the rate of
 // such replacements is limited.
-func TestRefusedConnections(t *testing.T) {
+func TestRefusedConnectionsStartCandidacy(t *testing.T) {
 	testElection(t, []electionCase{
 		{
 			name: "a follower replaces the leader's key", setup: follower,
@@ -493,7 +493,7 @@
 
 // A leader may act for the lease's TTL less the allowance for clock drift and the safety margin. The time counts from
 // when the request was sent, since the store may have served it right then.
-func TestValidUntil(t *testing.T) {
+func TestValidUntilCountsFromSending(t *testing.T) {
 	const validFor = leaseTTL - leaseTTL/1000 - margin
 	sent := func(after micros.Duration) micros.Timestamp { return startTime.Add(after) }
 	renewal := func(sentAt, at micros.Timestamp, outcome Outcome) event {
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestAsk(t *testing.T) {
+func TestAskReturnsValueAndError(t *testing.T) {
 	errRefused := errors.New("refused")
 	cases := map[string]struct {
 		value int
--- a/internal/fenced/fenced_test.go
+++ b/internal/fenced/fenced_test.go
@@ -92,7 +92,7 @@
 	cases := map[string]struct {
 		errs    []error
 		err     error
-		writes  int // including retries
+		writes  int // number of writes, including retries
 		reloads int
 	}{
 		"committed":                        {nil, nil, 1, 0},
@@ -100,7 +100,7 @@
 		"conflict":                         {[]error{conflict}, operator.ErrUnavailable, 1, 1},
 		"unknown, then retry is committed": {[]error{errUnknown, errUnknown}, operator.ErrUnavailable, 3, 1},
 		"unknown, then conflict":           {[]error{errUnknown, conflict}, operator.ErrUnavailable, 2, 1},
-		"unknown, then refused":            {[]error{errUnknown, state.ErrRejected}, operator.ErrUnavailable, 2, 1},
+		"unknown, then rejected":           {[]error{errUnknown, state.ErrRejected}, operator.ErrUnavailable, 2, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/fleet/bins.go
+++ b/internal/fleet/bins.go
@@ -71,7 +71,7 @@
 func (b *bin) capacityFor(d *demand) resources.Vector {
 	switch {
 	case d.expected, d.Gang, d.replacement:
-		return b.free // for a gang, because it needs all its capacity at once
+		return b.free // a gang needs all its capacity at once
 	case d.urgent:
 		return b.free.AddTasks(b.freedBeforeBoot, 1)
 	default:
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -40,7 +40,7 @@
 	ScaleOut       []wire.ScaleOutRequest
 	ScaleIn        []wire.MachineID // machines to delete
 	ScaleInReasons []ScaleInReason  // one for each machine in ScaleIn, in the same order
-	// Shortage is why there is no capacity yet for the replacements of tasks that are to be evicted.
+	// Shortage is why there is no capacity yet for the successors of tasks that are to be evicted.
 	Shortage Shortage
 }
 
@@ -56,7 +56,7 @@
 	Reason  string
 }
 
-// Shortage is why there is no capacity for the replacements of tasks that are to be evicted. Operators see it in the
+// Shortage is why there is no capacity for the successors of tasks that are to be evicted. Operators see it in the
 // status of a drain.
 type Shortage string
 
@@ -75,7 +75,7 @@
 	types        []wire.MachineType
 	requests     scaleOutRequests
 	forecast     forecast
-	vacatedPools []drain.VacatedPool // as of the latest snapshot
+	vacatedPools []drain.VacatedPool // vacated pools in the latest snapshot
 }
 
 // New returns the fleet of a term that starts now.
@@ -127,8 +127,8 @@
 	return actions
 }
 
-// replacementShortage returns why there is no capacity yet for the replacements of tasks that are to be evicted, if
-// replacements are among the unmet demands.
+// replacementShortage returns why there is no capacity yet for the successors of tasks that are to be evicted, if
+// successors are among the unmet demands.
 func (f *Fleet) replacementShortage(unmet []*demand, machineCount int, requested []wire.ScaleOutRequest) Shortage {
 	switch {
 	case !slices.ContainsFunc(unmet, func(d *demand) bool { return d.replacement }):
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -15,7 +15,7 @@
 const start micros.Timestamp = 100_000_000
 
 // newFleet returns a fleet that has waited for the first heartbeats of its term, with two machine types.
-func newFleet(spareShare float64) *Fleet {
+func newFleet(reserveStdDevs float64) *Fleet {
 	fleet := New(0, Config{
 		FencingToken:      7,
 		LeaseDuration:     10 * micros.Second,
@@ -27,7 +27,7 @@
 			BootTimeoutFactor: 3,
 			SilenceTimeout:    30 * micros.Second,
 			ScaleOutHorizon:   10 * micros.Second,
-			ReserveStdDevs:    spareShare,
+			ReserveStdDevs:    reserveStdDevs,
 			LeaseGrace:        20 * micros.Second,
 		},
 	})
@@ -284,7 +284,7 @@
 
 // After a pool has refused a request or served only part of it, nothing is requested from it during a backoff. The
 // backoff doubles with each refusal up to a limit. A request that is served in full resets it.
-func TestPoolBackoff(t *testing.T) {
+func TestPoolBackoffDoublesWithEachRefusal(t *testing.T) {
 	fleet := newFleet(0)
 	request := wire.ScaleOutRequest{Type: "small", Zone: "a", Spot: true, Count: 2}
 	p := pool{"small", "a", true}
--- a/internal/fleet/forecast.go
+++ b/internal/fleet/forecast.go
@@ -21,8 +21,8 @@
 // forecast predicts the demand of the urgent classes. A new machine boots too slowly for an urgent job that has already
 // arrived, so capacity is kept free for the jobs that are expected to arrive.
 type forecast struct {
-	openJobs      map[wire.JobID]bool  // as of the latest snapshot
-	arrivals      map[string][]arrival // by class, within the window
+	openJobs      map[wire.JobID]bool  // jobs in the latest snapshot
+	arrivals      map[string][]arrival // arrivals within the window, by class
 	observedSince micros.Timestamp     // time of the first snapshot
 }
 
@@ -68,7 +68,7 @@
 		if len(arrivals) < minForecastArrivals {
 			continue
 		}
-		variance := 0.0 // of the number of running tasks, multiplied by the observed time
+		variance := 0.0 // variance of the number of running tasks, multiplied by the observed time
 		var totalResources resources.Vector
 		for _, a := range arrivals {
 			variance += float64(a.tasks*a.tasks) * a.job.Estimate.Seconds()
--- a/internal/fleet/scaleout.go
+++ b/internal/fleet/scaleout.go
@@ -109,7 +109,7 @@
 		s.remaining[i] = d.tasks
 		smallestCPUs = min(smallestCPUs, d.CPUs)
 	}
-	work, longestRun := 0.0, 0.0 // in CPU seconds and in seconds
+	work, longestRun := 0.0, 0.0 // work in CPU seconds, longest run time in seconds
 	vacated := s.fleet.isVacated(machineType.Name, p.zone)
 	for machines < limit {
 		b := newBin(machineType, p)
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -95,8 +95,8 @@
 }
 
 // PeerAddr returns the cluster address of another controller. ok is false if the controller is not in the settings.
-func PeerAddr(set *settings.Settings, controller string) (addr string, ok bool) {
-	for _, other := range set.Peers {
+func PeerAddr(cfg *settings.Settings, controller string) (addr string, ok bool) {
+	for _, other := range cfg.Peers {
 		if other.Member == controller {
 			return other.Addr, true
 		}
--- a/internal/follower/lease_renewer.go
+++ b/internal/follower/lease_renewer.go
@@ -48,7 +48,7 @@
 	token wire.FencingToken
 
 	mu         sync.Mutex                 // guards the following fields
-	validUntil micros.Timestamp           // until when worker leases may be renewed; 0: not registered
+	validUntil micros.Timestamp           // time until which worker leases may be renewed; 0: not registered
 	ended      map[wire.JobID]bool        // jobs in a final state
 	resolved   openjobs.ResolvedTimestamp // the time up to which the ended jobs are known
 	// possibleLaunches contains the recorded attempts of ended jobs, by machine. A launch of such an attempt may still
@@ -64,7 +64,7 @@
 	task        string
 	attempt     wire.AttemptID
 	incarnation wire.AgentIncarnation
-	until       micros.Timestamp // when it is too late to send the launch and the stop
+	until       micros.Timestamp // time from which it is too late to send the launch and the stop
 }
 
 func newLeaseRenewer(cfg Config, token wire.FencingToken) *leaseRenewer {
--- a/internal/follower/lease_renewer_test.go
+++ b/internal/follower/lease_renewer_test.go
@@ -49,13 +49,13 @@
 // attempt 3 of its first task recorded on machine m1 under incarnation 5, and that run-2 has not ended.
 func newTestRenewer(t *testing.T) *leaseRenewer {
 	t.Helper()
-	set := &settings.Settings{}
-	set.Deployment.Workers.LeaseS, set.Deployment.Workers.CancelS = 10, 30
+	cfg := &settings.Settings{}
+	cfg.Deployment.Workers.LeaseS, cfg.Deployment.Workers.CancelS = 10, 30
 	clock := micros.NewClock()
 	progress := state.ProgressRecord{Active: []state.Placement{{Task: 0, Machine: "m1", Attempt: 3, Incarnation: 5}}}
 	store := &fakeStore{records: []wire.KeyValue{record(t, state.ProgressKey("run-1", 0), progress)}}
 	renewer := newLeaseRenewer(Config{
-		Settings: set,
+		Settings: cfg,
 		Log:      slog.New(slog.DiscardHandler),
 		Clock:    clock,
 		Store:    store,
@@ -88,7 +88,7 @@
 		heartbeat wire.Heartbeat
 		token     wire.FencingToken // the token in the heartbeat
 		tasks     []wire.TaskStatus // the tasks in the heartbeat
-		after     time.Duration     // from the start of the renewer to the heartbeat
+		after     time.Duration     // time from the start of the renewer to the heartbeat
 		refused   bool
 		want      []wire.Command
 	}{
--- a/internal/health/monitor.go
+++ b/internal/health/monitor.go
@@ -1,5 +1,5 @@
-// Package health tracks what a controller last observed of the cluster: when the key-value store last answered it, when
-// the latest snapshot of a leader that could reach the store arrived, and the progress of the jobs in the latest
+// Package health tracks what a controller last observed of the cluster: when the key-value store last responded to it,
+// when the latest snapshot of a leader that could reach the store arrived, and the progress of the jobs in the latest
 // snapshot. The goroutines that talk to the store and to the leader record their observations here; the health check,
 // the job status API and the lease renewer read them. The package makes no scheduling decisions.
 package health
@@ -13,7 +13,7 @@
 )
 
 const (
-	// maxStoreSilence is how long the store may fail to answer this controller before it counts as unreachable.
+	// maxStoreSilence is how long the store may fail to respond to this controller before it counts as unreachable.
 	maxStoreSilence = 6 * micros.Second
 	// leaderStatusTTL is how long after a snapshot from a leader that could reach the store the leader is still assumed
 	// to reach it.
@@ -23,7 +23,7 @@
 // Monitor holds the observations of one controller. It is safe for concurrent use.
 type Monitor struct {
 	clock                micros.Clock
-	lastStoreResponse    atomic.Int64 // time of the store's latest answer
+	lastStoreResponse    atomic.Int64 // time of the store's latest response
 	leaderStoreReachable atomic.Int64 // arrival of the latest snapshot of a leader that could reach the store
 	progress             atomic.Pointer[map[wire.JobID]taskCounts]
 }
@@ -33,7 +33,7 @@
 // NewMonitor returns a monitor without observations.
 func NewMonitor(clock micros.Clock) *Monitor { return &Monitor{clock: clock} }
 
-// RecordStoreResponse records that the store has just answered this controller successfully.
+// RecordStoreResponse records that the store has just responded to this controller successfully.
 func (m *Monitor) RecordStoreResponse() { m.lastStoreResponse.Store(int64(m.clock.Now())) }
 
 // RecordSnapshot records the leader's latest snapshot.
@@ -74,9 +74,9 @@
 	return counts.done, counts.running
 }
 
-// StoreReachable returns false if only this controller cannot reach the store: the store has not answered it for longer
-// than maxStoreSilence, while the leader can reach the store. Short outages and outages that also affect the leader are
-// ignored.
+// StoreReachable returns false if only this controller cannot reach the store: the store has not responded to it for
+// longer than maxStoreSilence, while the leader can reach the store. Short outages and outages that also affect the
+// leader are ignored.
 func (m *Monitor) StoreReachable() bool {
 	now := m.clock.Now()
 	unreachableHere := now.Sub(micros.Timestamp(m.lastStoreResponse.Load())) > maxStoreSilence
--- a/internal/health/monitor_test.go
+++ b/internal/health/monitor_test.go
@@ -9,7 +9,7 @@
 	"saffronbend/internal/snapshot"
 )
 
-func TestProgress(t *testing.T) {
+func TestMonitorReportsLatestSnapshot(t *testing.T) {
 	monitor := NewMonitor(micros.NewClock())
 	if done, running := monitor.Progress("a"); done != 0 || running != 0 || monitor.JobInSnapshot("a") {
 		t.Errorf("new monitor contains a job: %d done, %d running", done, running)
--- a/internal/ingress/connlimiter_test.go
+++ b/internal/ingress/connlimiter_test.go
@@ -28,7 +28,7 @@
 	return conn
 }
 
-func TestConnLimiter(t *testing.T) {
+func TestConnLimiterClosesLongestIdleConnection(t *testing.T) {
 	tests := []struct {
 		name string
 		// prepare changes the states of two idle connections, of which first has been idle longer.
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -49,15 +49,15 @@
 // AddMachineType must be called before all other methods; the others are safe for concurrent use.
 type Checker struct {
 	cancelDeadline time.Duration
-	cpuLimits      map[wire.TeamName]float64 // by team; 0: no limit
+	cpuLimits      map[wire.TeamName]float64 // limit of each team; 0: no limit
 	machineTypes   map[string]*wire.MachineType
 
 	mu         sync.Mutex
 	jobs       map[wire.JobID]*jobRecord
-	taskStarts map[wire.JobID]int // by job
-	gangStarts map[wire.JobID]int // by job
+	taskStarts map[wire.JobID]int // number of task starts of each job
+	gangStarts map[wire.JobID]int // number of gang starts of each job
 	gangTasks  map[gangAttempt]map[int]bool
-	cpusInUse  map[wire.TeamName]float64 // by team
+	cpusInUse  map[wire.TeamName]float64 // CPUs in use by each team
 	reclaimed  map[wire.MachineID]bool   // machines whose reclamation the cloud has announced
 	violations []Violation
 	events     []worklog.Event
@@ -78,9 +78,9 @@
 	observedAt      time.Time     // when observedState was first seen
 	acceptedAt      time.Time     // when a user first saw a state of the job
 	cancelRequested bool
-	placements      map[int]Machine // by index of the task
-	completed       map[int]bool    // by index of the task
-	starvedSince    time.Time       // when the job first had no running task although a machine had room; zero: not now
+	placements      map[int]Machine // machine of each task, by task index
+	completed       map[int]bool    // completed tasks, by task index
+	starvedSince    time.Time       // when the current starvation began; zero: the job is not starved
 }
 
 // NewChecker returns a checker without jobs, team limits and machine types.
--- a/internal/invariant/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -76,7 +76,7 @@
 	checker.TaskEnded(machine, Task{testJob, index}, completed)
 }
 
-func TestRules(t *testing.T) {
+func TestCheckerDetectsViolations(t *testing.T) {
 	needsTwoCPUs := func(job *wire.Job) { job.CPUs = 2 }
 	gang := func(job *wire.Job) { job.Kind = wire.KindGang }
 	for _, c := range []struct {
@@ -174,28 +174,28 @@
 			endTask(checker, machineA, 0, false)
 		}, ""},
 
-		{"a request about an accepted job is answered with 404", func(checker *Checker) {
+		{"a request about an accepted job gets status code 404", func(checker *Checker) {
 			acceptJob(checker, nil)
 			receiveResponse(checker, http.StatusNotFound, "")
 		}, LostWrite},
-		{"the repeated submission of an accepted job is answered with 400", func(checker *Checker) {
+		{"the repeated submission of an accepted job gets status code 400", func(checker *Checker) {
 			acceptJob(checker, nil)
 			receiveResponse(checker, http.StatusBadRequest, "")
 		}, LostWrite},
-		{"the repeated submission of an accepted job is answered with 422", func(checker *Checker) {
+		{"the repeated submission of an accepted job gets status code 422", func(checker *Checker) {
 			acceptJob(checker, nil)
 			receiveResponse(checker, http.StatusUnprocessableEntity, "")
 		}, LostWrite},
-		{"a request that was sent before the job was accepted is answered with 404", func(checker *Checker) {
+		{"a request that was sent before the job was accepted gets status code 404", func(checker *Checker) {
 			sentAt := time.Now()
 			acceptJob(checker, nil)
 			checker.ResponseReceived(testJob, sentAt, http.StatusNotFound, "")
 		}, ""},
-		{"a request about a job that is not accepted is answered with 404", func(checker *Checker) {
+		{"a request about a job that is not accepted gets status code 404", func(checker *Checker) {
 			submitJob(checker, nil)
 			receiveResponse(checker, http.StatusNotFound, "")
 		}, ""},
-		{"a request about an accepted job is answered with 503", func(checker *Checker) {
+		{"a request about an accepted job gets status code 503", func(checker *Checker) {
 			acceptJob(checker, nil)
 			receiveResponse(checker, http.StatusServiceUnavailable, "")
 		}, ""},
@@ -203,7 +203,7 @@
 		{"a job that nobody submitted is reported as pending", func(checker *Checker) {
 			receiveResponse(checker, http.StatusOK, wire.JobPending)
 		}, UnexpectedRead},
-		{"a request about a job that nobody submitted is answered with 404", func(checker *Checker) {
+		{"a request about a job that nobody submitted gets status code 404", func(checker *Checker) {
 			receiveResponse(checker, http.StatusNotFound, "")
 		}, ""},
 
@@ -285,9 +285,9 @@
 	}
 }
 
-// TestStarvation checks every few seconds whether the job is starved: whether it has had no running task for too long
-// although one of the machines has room for one.
-func TestStarvation(t *testing.T) {
+// TestStarvationIsDetectedAfterMaximumDelay checks every few seconds whether the job is starved: whether it has had no
+// running task for too long although one of the machines has the capacity for one.
+func TestStarvationIsDetectedAfterMaximumDelay(t *testing.T) {
 	const checkInterval = 5 * time.Second
 	competingJob := func(job *wire.Job) { job.ID, job.CPUs = "run-2", 3 }
 	for _, c := range []struct {
@@ -378,9 +378,9 @@
 	}
 }
 
-// TestEventLog checks that the workers' event log has an event for each report to the checker, and that events after
-// the announcement of a reclamation or a request to cancel the job are exempt.
-func TestEventLog(t *testing.T) {
+// TestEventLogRecordsEveryReport checks that the workers' event log has an event for each report to the checker, and
+// that events after the announcement of a reclamation or a request to cancel the job are exempt.
+func TestEventLogRecordsEveryReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		checker := newTestChecker()
 		acceptJob(checker, func(job *wire.Job) { job.Tasks = 1 })
--- a/internal/invariant/disruption.go
+++ b/internal/invariant/disruption.go
@@ -62,8 +62,8 @@
 
 // disruptionAudit tracks which tasks run and which are disrupted while the workers' event log is read in order.
 type disruptionAudit struct {
-	running map[string]bool        // by task; true for disrupted tasks until they are off their machine
-	open    map[string]*Disruption // by task
+	running map[string]bool        // true for each task that is on a machine, disrupted or not
+	open    map[string]*Disruption // open disruptions by task
 	ended   []Disruption
 }
 
--- a/internal/invariant/disruption_test.go
+++ b/internal/invariant/disruption_test.go
@@ -11,11 +11,11 @@
 
 // eventKinds maps the words that the tests' event logs are written in to kinds of events.
 var eventKinds = map[string]worklog.EventKind{
-	"begin":     worklog.TaskStarted,
-	"stop":      worklog.StopCommanded,
-	"gone":      worklog.TaskTerminated,
-	"done":      worklog.TaskCompleted,
-	"withdrawn": worklog.CancelRequested,
+	"begin":      worklog.TaskStarted,
+	"stop":       worklog.StopCommanded,
+	"terminated": worklog.TaskTerminated,
+	"done":       worklog.TaskCompleted,
+	"withdrawn":  worklog.CancelRequested,
 }
 
 // parseEvents parses a log of events separated by semicolons. An event such as "12 stop a" has the time in seconds
@@ -50,18 +50,20 @@
 		budget       int
 		firstSeconds float64 // duration of the first disruption that ended; 0: not checked
 	}{
-		{"one disruption after the other", starts + "1 stop a;2 gone a;5 begin a;6 stop b;7 gone b;9 begin b", 2, 0, 1, 4},
-		{"two disruptions at once exceed the budget", starts + "1 stop a;2 gone a;3 stop b;5 begin a", 2, 1, 1, 4},
-		{"two disruptions at once within the budget", starts + "1 stop a;2 gone a;3 stop b;5 begin a", 2, 0, 2, 4},
-		{"a relaunched task that has not started is disrupted", starts + "1 stop a;2 gone a;30 stop b", 2, 1, 1, 0},
-		{"a detected loss counts against the budget", starts + "1 gone a;20 stop b;21 begin a", 2, 1, 1, 20},
-		{"a loss that is not yet detected does not count", starts + "1 gone a;2 stop b;21 begin a", 2, 0, 1, 20},
-		{"a repeated stop command counts once", starts + "1 stop a;2 stop a;3 gone a;4 begin a", 1, 0, 1, 3},
+		{"one disruption after the other",
+			starts + "1 stop a;2 terminated a;5 begin a;6 stop b;7 terminated b;9 begin b", 2, 0, 1, 4},
+		{"two disruptions at once exceed the budget", starts + "1 stop a;2 terminated a;3 stop b;5 begin a", 2, 1, 1, 4},
+		{"two disruptions at once within the budget", starts + "1 stop a;2 terminated a;3 stop b;5 begin a", 2, 0, 2, 4},
+		{"a relaunched task that has not started is disrupted", starts + "1 stop a;2 terminated a;30 stop b", 2, 1, 1, 0},
+		{"a detected loss counts against the budget", starts + "1 terminated a;20 stop b;21 begin a", 2, 1, 1, 20},
+		{"a loss that is not yet detected does not count", starts + "1 terminated a;2 stop b;21 begin a", 2, 0, 1, 20},
+		{"a repeated stop command counts once", starts + "1 stop a;2 stop a;3 terminated a;4 begin a", 1, 0, 1, 3},
 		{"completion ends a disruption", starts + "1 stop a;2 done a;3 stop b", 2, 0, 1, 1},
 		{"a stop command for a task that does not run", "1 stop a;0 begin b;2 stop b", 1, 0, 1, 0},
-		{"a stop after the job's cancellation", starts + "1 stop a cancelled;2 gone a cancelled;3 stop b", 1, 0, 1, 0},
-		{"cancellation ends a disruption", starts + "1 stop a;2 gone a;3 withdrawn a;4 stop b", 2, 0, 1, 2},
-		{"cancellation of another task's job ends none", starts + "1 stop a;2 gone a;3 withdrawn c;4 stop b", 2, 1, 1, 0},
+		{"a stop after the job's cancellation", starts + "1 stop a cancelled;2 terminated a cancelled;3 stop b", 1, 0, 1, 0},
+		{"cancellation ends a disruption", starts + "1 stop a;2 terminated a;3 withdrawn a;4 stop b", 2, 0, 1, 2},
+		{"cancellation of another task's job ends none",
+			starts + "1 stop a;2 terminated a;3 withdrawn c;4 stop b", 2, 1, 1, 0},
 		{"a budget of zero", starts + "1 stop a", 1, 1, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maxSchedulingDelay is how long a job may have no task on a machine although a machine has room for one.
+	// maxSchedulingDelay is how long a job may have no task on a machine although a machine has the capacity for one.
 	maxSchedulingDelay = 90 * time.Second
 	// resourceTolerance is the rounding error that sums of processors and of memory may have.
 	resourceTolerance = 1e-9
@@ -61,18 +61,18 @@
 	}
 }
 
-// checkLostWrite records a violation if a request about an accepted job is answered with 404, or a repeated submission
-// of the job with 400 or 422. (The scenario runner, which sends the requests, checks that requests about a job are not
-// left without an answer for too long.)
+// checkLostWrite records a violation if a request about an accepted job gets the status code 404, or a repeated
+// submission of the job 400 or 422. (The scenario runner, which sends the requests, checks that requests about a job
+// are not left without a response for too long.)
 func (c *Checker) checkLostWrite(job *jobRecord, sentAt time.Time, code int) {
 	unknown := code == http.StatusNotFound
 	refused := code == http.StatusBadRequest || code == http.StatusUnprocessableEntity
 	if job.observedState != "" && sentAt.After(job.acceptedAt) && (unknown || refused) {
-		c.recordViolation(LostWrite, "request about accepted job %s answered with status %d", job.Job.ID, code)
+		c.recordViolation(LostWrite, "request about accepted job %s got status code %d", job.Job.ID, code)
 	}
 }
 
-// checkUnexpectedRead records a violation if a request about a job that nobody submitted is answered with 200.
+// checkUnexpectedRead records a violation if a request about a job that nobody submitted gets the status code 200.
 func (c *Checker) checkUnexpectedRead(id wire.JobID, code int) {
 	if code == http.StatusOK {
 		c.recordViolation(UnexpectedRead, "job %s was never submitted but is reported as known", id)
@@ -121,21 +121,21 @@
 }
 
 // checkStarvation records a violation if no task of a job has been on a machine for longer than maxSchedulingDelay,
-// although a machine that the job allows has room for one and the task would stay within the team's limit.
+// although a machine that the job allows has the capacity for one and the task would stay within the team's limit.
 func (c *Checker) checkStarvation(job *jobRecord, machines []Machine, used map[wire.MachineID]resources) {
 	switch {
-	case !job.awaitsPlacement() || !c.fitsTeamLimit(job) || !c.hasRoom(job, machines, used):
+	case !job.awaitsPlacement() || !c.fitsTeamLimit(job) || !c.hasCapacity(job, machines, used):
 		job.starvedSince = time.Time{}
 	case job.starvedSince.IsZero():
 		job.starvedSince = time.Now()
 	case time.Since(job.starvedSince) > maxSchedulingDelay:
-		c.recordViolation(Starvation, "job %s has had no running task for %s although a machine has room for one",
+		c.recordViolation(Starvation, "job %s has had no running task for %s although a machine has the capacity for one",
 			job.Job.ID, time.Since(job.starvedSince))
 	}
 }
 
 // awaitsPlacement reports whether a job is accepted, has tasks left to complete, and has no task on a machine. It
-// excludes gangs, which need room for all of their tasks at once, and jobs whose tasks exit with an error.
+// excludes gangs, which need capacity for all of their tasks at once, and jobs whose tasks exit with an error.
 func (j *jobRecord) awaitsPlacement() bool {
 	schedulable := j.observedState != "" && !j.cancelRequested && !j.Fails && j.Job.Kind != wire.KindGang
 	return schedulable && len(j.placements) == 0 && len(j.completed) < j.Job.Tasks
@@ -147,8 +147,8 @@
 	return limit == 0 || c.cpusInUse[job.Job.Team]+job.Job.CPUs <= limit+resourceTolerance
 }
 
-// hasRoom reports whether a machine that a job allows has room for another task of it.
-func (c *Checker) hasRoom(job *jobRecord, machines []Machine, used map[wire.MachineID]resources) bool {
+// hasCapacity reports whether a machine that a job allows has the capacity for another task of it.
+func (c *Checker) hasCapacity(job *jobRecord, machines []Machine, used map[wire.MachineID]resources) bool {
 	return slices.ContainsFunc(machines, func(machine Machine) bool {
 		machineType, inUse := c.machineTypes[machine.Type], used[machine.ID]
 		return job.Job.Allows(machineType, machine.Zone, machine.Spot) &&
--- a/internal/invariant/violation.go
+++ b/internal/invariant/violation.go
@@ -29,8 +29,8 @@
 	// PartialGang: a gang starts to run while not all of its tasks are on machines, or a task of it starts to run twice
 	// in one attempt.
 	PartialGang Rule = "half_gang"
-	// Starvation: a job has had no task on a machine for too long, although a machine has room for one and its team is
-	// under its limit.
+	// Starvation: a job has had no task on a machine for too long, although a machine has the capacity for one and its
+	// team is under its limit.
 	Starvation Rule = "left_waiting"
 	// DisruptionBudgetExceeded: a task is stopped by a command while its team's disruption budget is used up.
 	DisruptionBudgetExceeded Rule = "disruption_budget"
--- a/internal/knownred/main_test.go
+++ b/internal/knownred/main_test.go
@@ -151,7 +151,7 @@
 	},
 }
 
-func TestRun(t *testing.T) {
+func TestRunSkipsOnlyListedTests(t *testing.T) {
 	t.Setenv("GOFLAGS", "")
 	for _, c := range runTests {
 		t.Run(c.name, func(t *testing.T) { testRun(t, c) })
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -201,7 +201,8 @@
 	}
 }
 
-// announce tells the controller at addr that this controller leads, and retries until that controller has confirmed it.
+// announce informs the controller at addr that this controller leads, and retries until that controller has confirmed
+// it.
 func (d *Driver) announce(ctx context.Context, addr string, token wire.FencingToken) {
 	client := peer.NewClient(d.cfg.Dial, addr, d.cfg.Settings.Member, token)
 	defer client.Close()
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -21,7 +21,7 @@
 	"saffronbend/wire"
 )
 
-func TestOutcome(t *testing.T) {
+func TestOutcomeOfStoreErrors(t *testing.T) {
 	cases := map[string]struct {
 		err  error
 		want election.Outcome
@@ -71,14 +71,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := &settings.Settings{Member: "c1", Peers: []settings.Peer{{Member: "c2", Addr: "10.0.0.2:8081"}}}
+	cfg := &settings.Settings{Member: "c1", Peers: []settings.Peer{{Member: "c2", Addr: "10.0.0.2:8081"}}}
 	clock := micros.NewClock()
 	log := slog.New(slog.DiscardHandler)
 	monitor := health.NewMonitor(clock)
 	store := &fakeStore{leader: wire.KeyValue{Key: state.LeaderKey, Value: value, Version: 7}}
 	return New(Config{
-		Settings: set, LeaseTTL: 5 * micros.Second, Log: log, Clock: clock, Store: store, Health: monitor, Limits: limits,
-		Follower: follower.Config{Settings: set, Log: log, Clock: clock, Health: monitor, Dial: failDial},
+		Settings: cfg, LeaseTTL: 5 * micros.Second, Log: log, Clock: clock, Store: store, Health: monitor, Limits: limits,
+		Follower: follower.Config{Settings: cfg, Log: log, Clock: clock, Health: monitor, Dial: failDial},
 	})
 }
 
@@ -123,7 +123,7 @@
 			driver.Run(ctx)
 		}()
 		time.Sleep(time.Second)
-		driver.LeaderAnnounced(ctx, peer.Announcement{Member: "c2", FencingToken: 6}) // of an earlier term
+		driver.LeaderAnnounced(ctx, peer.Announcement{Member: "c2", FencingToken: 6}) // announcement of an earlier term
 		time.Sleep(time.Second)
 		if role := driver.Role(); role.Leader != "c9" {
 			t.Errorf("the leader is %q after an announcement with a lower token, want c9", role.Leader)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -21,7 +21,7 @@
 }
 
 // Transaction is a list of lease requests that is served atomically. With AllOrNothing, either every request is granted
-// in full or none is granted. Without it, each request is granted as many leases as there is room for.
+// in full or none is granted. Without it, each request is granted as many leases as there are free resources for.
 type Transaction struct {
 	Requests     []Request `json:"asks"`
 	AllOrNothing bool      `json:"all,omitempty"`
--- a/internal/machinetypes/catalog_test.go
+++ b/internal/machinetypes/catalog_test.go
@@ -36,7 +36,7 @@
 	return []wire.MachineType{{Name: "of the cloud"}}, nil
 }
 
-func TestLoadInitial(t *testing.T) {
+func TestLoadInitialPrefersStoredTypes(t *testing.T) {
 	stored, err := json.Marshal([]wire.MachineType{{Name: "stored"}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/micros/micros_test.go
+++ b/internal/micros/micros_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestSeconds(t *testing.T) {
+func TestSecondsRoundsAndSaturates(t *testing.T) {
 	cases := []struct {
 		name    string
 		seconds float64
@@ -68,19 +68,19 @@
 	}
 }
 
-func TestClock(t *testing.T) {
+func TestClockAdvancesWithTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := NewClock()
 		first := clock.Now()
 		if first != Timestamp(Second) {
 			t.Errorf("clock starts at %d, want one second", first)
 		}
-		wall := clock.UnixMicro()
+		unixMicros := clock.UnixMicro()
 		time.Sleep(3 * time.Second)
 		if got := clock.Now().Sub(first); got != 3*Second {
 			t.Errorf("monotonic clock advanced by %d µs in 3 s", got)
 		}
-		if got := clock.UnixMicro() - wall; got != int64(3*Second) {
+		if got := clock.UnixMicro() - unixMicros; got != int64(3*Second) {
 			t.Errorf("wall clock advanced by %d µs in 3 s", got)
 		}
 	})
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -96,8 +96,8 @@
 	return response, nil
 }
 
-// RequestLeases sends lease requests to the leader and returns its responses. An empty list only tells the leader that
-// this controller is alive.
+// RequestLeases sends lease requests to the leader and returns its responses. An empty list only informs the leader
+// that this controller is running.
 func (c *Client) RequestLeases(ctx context.Context, requests []lease.Transaction) (*LeaseResponses, error) {
 	responses := new(LeaseResponses)
 	message := LeaseRequests{Member: c.member, FencingToken: c.fencingToken, Requests: requests}
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -42,7 +42,7 @@
 }
 
 // LeaseRequests carries a controller's lease requests to the leader. A controller also sends it without any requests,
-// to show that its scheduler is alive.
+// to show that its scheduler is running.
 type LeaseRequests struct {
 	Member       string              `json:"member"`
 	FencingToken wire.FencingToken   `json:"token"`
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -344,7 +344,7 @@
 	})
 }
 
-func TestRequests(t *testing.T) {
+func TestRequestsRequireCurrentFencingToken(t *testing.T) {
 	transaction := lease.Transaction{Requests: []lease.Request{{Job: "j", Machine: "m", Count: 3}}}
 	heartbeat := &wire.Heartbeat{Machine: "m", FencingToken: leaderToken}
 	tests := []struct {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// serveRequest serves requests that only the leader may answer. Any error returned by handle means that this controller
+// serveRequest serves requests that only the leader may serve. Any error returned by handle means that this controller
 // is not the leader with the fencing token of the request.
 func serveRequest[Request, Response any](
 	handle func(context.Context, Request) (*Response, error),
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -18,7 +18,7 @@
 )
 
 // keepaliveInterval is the maximum time between two messages with lease requests. If the scheduler has no requests, an
-// empty message shows the leader that this controller is alive.
+// empty message shows the leader that this controller is running.
 const keepaliveInterval = 400 * micros.Millisecond
 
 // LeaseGranter sends lease requests to the leader, which grants or refuses them.
--- a/internal/rebalance/rebalance.go
+++ b/internal/rebalance/rebalance.go
@@ -56,7 +56,7 @@
 	history    []Move                             // the most recent moves, oldest first
 
 	// The remaining fields are the results of the last round.
-	usage      map[wire.MachineID]*usage // by machine
+	usage      map[wire.MachineID]*usage // usage of each machine
 	contended  map[wire.TeamName]bool    // teams with which other teams compete for capacity
 	held       []HeldTask
 	idleReason string // why no task at all is moved; empty if moves are planned
--- a/internal/rebalance/round.go
+++ b/internal/rebalance/round.go
@@ -30,7 +30,7 @@
 	// usage and free hold the used and the free resources of each machine after the round's moves.
 	usage            map[wire.MachineID]*usage
 	free             map[wire.MachineID]resources.Vector
-	remainingBudgets map[wire.TeamName]int // by team, after the round's moves
+	remainingBudgets map[wire.TeamName]int // remaining disruption budget of each team after the round's moves
 	destinations     []*Machine            // sorted by load, lowest first
 	moves            []Move
 	movedTeams       map[wire.TeamName]bool // teams with moves in this round, to which the team cooldown doesn't apply yet
--- a/internal/rebalance/snapshot.go
+++ b/internal/rebalance/snapshot.go
@@ -10,8 +10,8 @@
 // Snapshot is the state of the fleet from which a round of moves is planned.
 type Snapshot struct {
 	Now      micros.Timestamp
-	Machines []Machine              // in alphabetical order
-	Teams    map[wire.TeamName]Team // by name
+	Machines []Machine              // sorted by ID
+	Teams    map[wire.TeamName]Team // teams by name
 	// UnreportedMachines counts the machines that may run tasks and haven't sent a heartbeat to this leader yet.
 	UnreportedMachines int
 	// MachinesListed says whether the cloud has listed its machines in this term.
@@ -31,7 +31,7 @@
 	FetchGBPS    float64         // rate of image fetches, in GB per second
 	Images       map[string]bool // names of the images that are cached on the machine
 	Attempts     []Attempt
-	Reserved     []Reservation // for successors of tasks that are being moved or evicted
+	Reserved     []Reservation // resources reserved for successors of tasks that are being moved or evicted
 }
 
 // Attempt is an attempt to run a task that may exist on a machine.
--- a/internal/resources/resources.go
+++ b/internal/resources/resources.go
@@ -46,7 +46,7 @@
 	return max(share(v.CPUs, total.CPUs), share(v.GPUs, total.GPUs), share(v.MemoryGB, total.MemoryGB))
 }
 
-// Fits reports whether v has room for a task.
+// Fits reports whether v is sufficient for a task.
 func (v Vector) Fits(task Vector) bool {
 	return task.CPUs <= v.CPUs+tolerance && task.GPUs <= v.GPUs+tolerance && task.MemoryGB <= v.MemoryGB+tolerance
 }
--- a/internal/routine/routine_test.go
+++ b/internal/routine/routine_test.go
@@ -36,7 +36,7 @@
 	group.Wait()
 }
 
-func TestSleep(t *testing.T) {
+func TestSleepReportsWhetherContextIsDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
@@ -49,7 +49,7 @@
 	})
 }
 
-func TestBudget(t *testing.T) {
+func TestBudgetIsExceededOnlyAfterItsLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		exceeded := Budget(20 * micros.Millisecond)
 		time.Sleep(20 * time.Millisecond)
--- a/internal/scheduler/candidates_test.go
+++ b/internal/scheduler/candidates_test.go
@@ -17,7 +17,7 @@
 	reserved.Reserved = []snapshot.Reservation{{Job: "run-1", Vector: testTask}}
 	for _, c := range []struct {
 		name    string
-		machine *snapshot.Machine // in addition to a busy machine
+		machine *snapshot.Machine // second machine, in addition to a busy one
 		job     wire.JobID
 		want    []string
 	}{
--- a/internal/scheduler/decide.go
+++ b/internal/scheduler/decide.go
@@ -6,9 +6,9 @@
 	"saffronbend/wire"
 )
 
-// maxTasksPerRound limits how many tasks of one job are placed in one round. A gang has no such limit, since it is
+// maxJobTasksPerRound limits how many tasks of one job are placed in one round. A gang has no such limit, since it is
 // placed as a whole.
-const maxTasksPerRound = 256
+const maxJobTasksPerRound = 256
 
 // choice is a decision for tasks of a job: to place one or more of them on a machine, or to let one of them wait for
 // the end of a lease there.
@@ -34,7 +34,7 @@
 // would, or is placed on a free machine that must fetch the image. decide returns nil if no task can be placed, a gang
 // can't be placed as a whole, or the job is skipped.
 func (s *Scheduler) decide(now micros.Timestamp, job *queuedJob) []lease.Request {
-	wanted := min(job.placeable, maxTasksPerRound)
+	wanted := min(job.placeable, maxJobTasksPerRound)
 	if job.Gang {
 		if job.Active > 0 || job.placeable < job.Waiting {
 			return nil // tasks of its last attempt may still exist, or the team's quota doesn't allow the whole gang
--- a/internal/scheduler/estimate.go
+++ b/internal/scheduler/estimate.go
@@ -18,7 +18,7 @@
 // runHistory holds the most recent run times of the tasks of one job, oldest first.
 type runHistory struct {
 	byMachine map[wire.MachineID][]micros.Duration
-	newest    []micros.Duration // on all machines together
+	newest    []micros.Duration // run times on all machines together
 }
 
 // newRunHistories returns empty histories that keep up to size run times for each machine.
--- a/internal/scheduler/estimate_test.go
+++ b/internal/scheduler/estimate_test.go
@@ -10,7 +10,7 @@
 
 // The duration of a lease is the sum of the fetch time, the mean of the most recent run times and the slack. The run
 // times are those on the machine or, if there are none, those on all machines.
-func TestLeaseDuration(t *testing.T) {
+func TestLeaseDurationIsFetchRunAndSlack(t *testing.T) {
 	runs := func(machine wire.MachineID, seconds ...float64) []snapshot.CompletedRun {
 		var runs []snapshot.CompletedRun
 		for _, s := range seconds {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -32,21 +32,21 @@
 	tuning settings.Tuning
 
 	// What the cloud offers, set by SetTypes.
-	machineTypes map[string]*wire.MachineType // by name
-	fetchRates   map[string]float64           // by zone, in GB/s
+	machineTypes map[string]*wire.MachineType // machine types by name
+	fetchRates   map[string]float64           // image fetch rate in each zone, in GB/s
 
 	// The latest snapshot and the state derived from it.
 	snapshot     *snapshot.Snapshot
-	machines     []*machineState // in the snapshot's order
+	machines     []*machineState // machines, in the snapshot's order
 	machinesByID map[wire.MachineID]*machineState
 	queue        []*queuedJob
 	next         int                          // index in the queue of the next job to decide on
-	teamOfJob    map[wire.JobID]wire.TeamName // only if rebalancing is enabled
+	teamOfJob    map[wire.JobID]wire.TeamName // team of each job; only if rebalancing is enabled
 	waitingTeams map[wire.TeamName]bool       // teams with tasks that may be placed; only if rebalancing is enabled
 
 	// State kept from one snapshot to the next.
 	requiredVersion uint64                          // lowest snapshot version that shows all leases granted so far
-	skippedSince    map[wire.JobID]micros.Timestamp // by job; on the clock of Round's caller
+	skippedSince    map[wire.JobID]micros.Timestamp // since when each job is skipped, on the clock of Round's caller
 	runs            runHistories
 }
 
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -116,7 +116,7 @@
 		name    string
 		token   wire.FencingToken
 		version uint64
-		want    int // requests
+		want    int // number of requests
 	}{
 		{"version too low", 1, 4, 0},
 		{"required version", 1, 5, 1},
--- a/internal/settings/capacity.go
+++ b/internal/settings/capacity.go
@@ -12,9 +12,9 @@
 // The leader's resource usage per machine.
 const (
 	memoryMBPerMachine = 0.07
-	// heartbeatCostS is the processor time per heartbeat in seconds, measured on loopback. It includes the HTTP server and
-	// all system calls. It does not include bursts, failovers and placement, which take further processor time and delay
-	// some heartbeats.
+	// heartbeatCostS is the processor time in seconds per heartbeat over a loopback connection. It includes the HTTP
+	// server and all system calls. It does not include bursts, failovers and placement, which take further processor time
+	// and delay some heartbeats.
 	heartbeatCostS = 120e-6
 	// listRequestDivisor limits the requests that list the cloud's machines: they may use 1/listRequestDivisor of the
 	// cloud's request rate.
--- a/internal/settings/capacity_test.go
+++ b/internal/settings/capacity_test.go
@@ -6,7 +6,7 @@
 )
 
 // Valid settings that leave too little headroom are accepted with a warning.
-func TestWarnings(t *testing.T) {
+func TestWarningsNameInsufficientLimits(t *testing.T) {
 	const lowCoreShare = `core_share = 0.012`
 	for _, c := range []struct{ name, old, new, options, want string }{
 		{"all limits sufficient", "", "", "", ""},
--- a/internal/settings/options.go
+++ b/internal/settings/options.go
@@ -29,19 +29,19 @@
 	// machines are reserved for it.
 	ReserveAfter micros.Duration
 
-	// MaxMachines is the maximum number of machines that are rented at the same time.
+	// MaxMachines is the maximum number of machines that exist at the same time.
 	MaxMachines int
-	// IdleTimeout is the idle time after which a machine is returned.
+	// IdleTimeout is the idle time after which a machine is deleted.
 	IdleTimeout micros.Duration
-	// BootTimeoutFactor is the time after which a machine that has not booted is given up, in multiples of its nominal
-	// boot time.
+	// BootTimeoutFactor is the time after which a machine that has not booted is deleted, in multiples of its nominal boot
+	// time.
 	BootTimeoutFactor float64
-	// SilenceTimeout is how long a machine may send no heartbeat, beyond its worker lease, before it is returned.
+	// SilenceTimeout is how long a machine may send no heartbeat, beyond its worker lease, before it is deleted.
 	SilenceTimeout micros.Duration
 	// ScaleOutHorizon is the time within which queued work must be able to start on existing machines; otherwise machines
-	// are rented for it.
+	// are created for it.
 	ScaleOutHorizon micros.Duration
-	// ReserveStdDevs is the room that is kept free for urgent classes, in standard deviations of their usage.
+	// ReserveStdDevs is the capacity that is kept free for urgent classes, in standard deviations of their usage.
 	ReserveStdDevs float64
 
 	Drains      Drains
@@ -62,7 +62,7 @@
 	defaultReserveAfterS        = 45
 	defaultIdleTimeoutS         = 30
 	defaultBootTimeoutFactor    = 3
-	defaultSilenceTimeoutLeases = 3 // in worker leases
+	defaultSilenceTimeoutLeases = 3 // number of worker leases
 	defaultScaleOutHorizonS     = 10
 	defaultReserveStdDevs       = 1.5
 )
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -47,7 +47,7 @@
 
 // Services holds the addresses of the services on which the controllers depend. Each is an IP address with a port.
 type Services struct {
-	Cloud string `toml:"cloud"` // cloud API, which rents machines
+	Cloud string `toml:"cloud"` // cloud API, which creates and deletes machines
 	State string `toml:"state"` // consensus-backed key-value store
 }
 
@@ -91,9 +91,9 @@
 type Workers struct {
 	ReportS float64 `toml:"report_s"` // interval between two heartbeats of a worker
 	LeaseS  float64 `toml:"lease_s"`  // worker lease: how long a worker's tasks run on without a heartbeat response
-	CancelS float64 `toml:"cancel_s"` // time within which all tasks of a cancelled job must be gone
+	CancelS float64 `toml:"cancel_s"` // time within which all tasks of a cancelled job must terminate
 	// GangWaitS is how long a task waits for the other tasks of its gang. GangPeerS is the time within which the tasks of
-	// a gang detect that one of them is gone. A duration that is nil is derived from the worker lease.
+	// a gang detect that one of them has terminated. A duration that is nil is derived from the worker lease.
 	GangWaitS *float64 `toml:"gang_wait_s"`
 	GangPeerS *float64 `toml:"gang_peer_s"`
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -65,7 +65,7 @@
 	return text
 }
 
-func TestParse(t *testing.T) {
+func TestParseAppliesOptions(t *testing.T) {
 	s := parse(t, "skip_s: 4 history: 3")
 	if s.Tuning.MaxSkip != 4*micros.Second || s.Tuning.RunHistory != 3 || s.Tuning.MinLocality != 0.5 {
 		t.Errorf("got options %+v", s.Tuning)
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestUrgentClasses(t *testing.T) {
+func TestUrgentClassesHaveWaitObjectives(t *testing.T) {
 	s := parse(t, "", `[deployment.workers]`, `[[deployment.objectives]]
 kind = "wait"
 class = "exam"
--- a/internal/settings/timeouts.go
+++ b/internal/settings/timeouts.go
@@ -37,8 +37,8 @@
 	return s.gangTimeout(s.Deployment.Workers.GangWaitS, gangWaitLeases)
 }
 
-// GangPeerTimeout returns the time within which the tasks of a gang detect that one of them is gone. It is also how
-// long a task that has saved a checkpoint waits for the others to save theirs.
+// GangPeerTimeout returns the time within which the tasks of a gang detect that one of them has terminated. It is also
+// how long a task that has saved a checkpoint waits for the others to save theirs.
 func (s *Settings) GangPeerTimeout() micros.Duration {
 	return s.gangTimeout(s.Deployment.Workers.GangPeerS, gangPeerLeases)
 }
--- a/internal/settings/timeouts_test.go
+++ b/internal/settings/timeouts_test.go
@@ -12,9 +12,9 @@
 		t.Run(fmt.Sprint(cancelS), func(t *testing.T) {
 			s := parse(t, "", "cancel_s = 30.0", fmt.Sprintf("cancel_s = %g", cancelS))
 			const slowClock, timerResolution = 1.0005, 0.9
-			goneAfterS := slowClock*s.MaxStaleness().Seconds() + slowClock*s.WorkerLease().Seconds()
-			if goneAfterS > cancelS-timerResolution {
-				t.Errorf("tasks are gone after %g s, want at most %g s", goneAfterS, cancelS-timerResolution)
+			terminatedAfterS := slowClock*s.MaxStaleness().Seconds() + slowClock*s.WorkerLease().Seconds()
+			if terminatedAfterS > cancelS-timerResolution {
+				t.Errorf("tasks have terminated after %g s, want at most %g s", terminatedAfterS, cancelS-timerResolution)
 			}
 		})
 	}
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -30,7 +30,7 @@
 	return h.response, h.leader
 }
 
-func TestHeartbeat(t *testing.T) {
+func TestHeartbeatHandlerResponses(t *testing.T) {
 	const heartbeat = `{"box":"m-1","shift":3,"tick":8}`
 	tests := []struct {
 		name    string
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestPushCommands(t *testing.T) {
+func TestPushCommandsReportsExecution(t *testing.T) {
 	const heartbeat = `{"box":"m-1"}`
 	tests := []struct {
 		name         string
--- a/memory_test.go
+++ b/memory_test.go
@@ -7,9 +7,9 @@
 	"saffronbend/internal/settings"
 )
 
-func TestMemoryGuard(t *testing.T) {
+func TestMemoryGuardDetectsUsageNearLimit(t *testing.T) {
 	const blockBytes, bytesPerMB = 64 << 20, 1 << 20
-	const admissionShare = 0.85 // of the memory limit, as in settings.MemoryAdmissionLimit
+	const admissionShare = 0.85 // share of the memory limit, as in settings.MemoryAdmissionLimit
 	cfg := &settings.Settings{}
 	guard := memoryGuard{cfg}
 	cfg.Deployment.Limits.MemoryMB = float64(runtimeMemory()+blockBytes/2) / bytesPerMB / admissionShare
--- a/node.go
+++ b/node.go
@@ -1,5 +1,5 @@
-// Package saffronbend is a cluster scheduler. Its controllers place users' tasks on machines rented from a cloud, and
-// keep durable state in a consensus-backed key-value store.
+// Package saffronbend is a cluster scheduler. Its controllers place users' tasks on machines of a cloud, and keep
+// durable state in a consensus-backed key-value store.
 //
 // A Node is one controller, and the type that programs embed. It wires up the packages that do the work and runs them:
 // package leadership takes part in the election and runs the leader or the follower (packages leader and follower),
