--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -18,7 +18,7 @@
 // submit serves a job submission. Submissions are idempotent: if a job was accepted before, the response to a repeated
 // submission is the job's state, even if the changed settings or machine types would not allow the job any more. The
 // exceptions are a body that can't be read or is no valid job (status 400) and a controller that doesn't know the
-// machine types yet or gets no answer from the store (status 503); neither changes anything for the accepted job.
+// machine types yet or gets no response from the store (status 503); neither changes anything for the accepted job.
 func (a *API) submit(w http.ResponseWriter, req *http.Request, _ httprouter.Params) {
 	ctx, cancel := context.WithTimeout(req.Context(), writeTimeout)
 	defer cancel()
@@ -102,7 +102,7 @@
 // version.
 type jobRecords struct {
 	status  []byte // a state.JobStatusRecord: the job's state, which is kept forever
-	openJob []byte // a state.OpenJobRecord: the job's description, for the leader, until the job's last task is gone
+	openJob []byte // a state.OpenJobRecord: the job's description, for the leader, until its last task has terminated
 }
 
 func encodeRecords(openJob state.OpenJobRecord, jobState wire.JobState) (jobRecords, error) {
