--- a/internal/api/feasibility_test.go
+++ b/internal/api/feasibility_test.go
@@ -47,20 +47,20 @@
 			wire.Job{Team: "limited", Kind: wire.KindGang, Tasks: 3, CPUs: 10.0 / 3}, nil,
 		},
 		{
-			"a gang that can be spread over two zones",
+			"a gang that must be spread over zones and fits in two",
 			wire.Job{Team: "unlimited", Kind: wire.KindGang, Tasks: 2, CPUs: 4, SpreadZones: true}, nil,
 		},
 		{
-			"a gang to be spread that fits in only one zone",
+			"a gang that must be spread over zones and fits in only one",
 			wire.Job{Team: "unlimited", Kind: wire.KindGang, Tasks: 2, CPUs: 8, SpreadZones: true}, errTooFewZones,
 		},
 		{
-			"a gang to be spread that also requires a single zone",
+			"a gang that must be spread over zones and also requires a single zone",
 			wire.Job{Team: "unlimited", Kind: wire.KindGang, Tasks: 2, CPUs: 4, SpreadZones: true, SameZone: true},
 			errTooFewZones,
 		},
 		{
-			"a gang of one task need not be spread",
+			"a gang of one task that is to be spread over zones fits in one zone",
 			wire.Job{Team: "unlimited", Kind: wire.KindGang, Tasks: 1, CPUs: 8, SpreadZones: true}, nil,
 		},
 	}
--- a/internal/disruption/budget.go
+++ b/internal/disruption/budget.go
@@ -9,10 +9,10 @@
 )
 
 // Budget limits how many of a team's tasks may be disrupted at once: a number of tasks, or a share of the team's
-// running tasks.
+// running tasks. The package comment says when a task is disrupted.
 type Budget struct {
 	count int
-	share float64 // 0 to 1; if 0, the budget is count
+	share float64 // 0 to 1; if 0, as for "0%", the budget is count, which ParseBudget leaves at 0 for a share
 	text  string  // the parsed text
 }
 
@@ -44,7 +44,7 @@
 // if they weren't disrupted. A share is rounded down.
 func (b Budget) Allowed(running int) int {
 	if b.share > 0 {
-		const tolerance = 1e-9 // keeps 10% of 100 from becoming 9 by floating-point rounding
+		const tolerance = 1e-9 // keeps 29% of 100 from becoming 28: 0.29*100 is slightly less than 29 in floating point
 		return int(math.Floor(b.share*float64(running) + tolerance))
 	}
 	return b.count
--- a/internal/drain/budgets.go
+++ b/internal/drain/budgets.go
@@ -9,11 +9,11 @@
 // TeamUsage counts a team's tasks.
 type TeamUsage struct {
 	Running   int // tasks that run, or would run if they weren't disrupted
-	Disrupted int // tasks that are disrupted, or may be because their state isn't known
+	Disrupted int // tasks that are disrupted, or that may be disrupted because their state isn't known
 }
 
-// RemainingBudgets returns how many more tasks of each team may be disrupted now. The given usage replaces the usage of
-// the last round.
+// RemainingBudgets stores the given usage, which replaces the usage of the last round, and returns how many more tasks
+// of each team may be disrupted now.
 func (p *Planner) RemainingBudgets(usage map[wire.TeamName]TeamUsage) map[wire.TeamName]int {
 	p.teamUsage = maps.Clone(usage)
 	return p.remainingBudgets()
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -13,8 +13,9 @@
 	"saffronbend/internal/routine"
 )
 
-// ErrStopped reports that the loop was stopped, or that the caller's context was done, before the result was available.
-// The posted function may still run.
+// ErrStopped reports that the loop was stopped, or that the caller's context was done, before the caller received the
+// result. The posted function may have run nevertheless, or may still run; its result may even be available when the
+// caller gets ErrStopped.
 var ErrStopped = errors.New("event loop stopped or context done before the call completed")
 
 // queueCapacity is the number of events that can be queued before Post blocks.
@@ -38,8 +39,8 @@
 // Events returns the channel from which the owner receives events.
 func (l *Loop) Events() <-chan Event { return l.events }
 
-// Handle runs an event and all events queued after it. Only the owner may call it; ctx must be the context that ends
-// the loop.
+// Handle runs the given event, then the queued events until the queue is empty. Only the owner may call it; ctx must be
+// the context that ends the loop.
 func (l *Loop) Handle(ctx context.Context, first Event, clock micros.Clock) {
 	first(ctx, clock.Now())
 	for {
@@ -52,8 +53,8 @@
 	}
 }
 
-// Stop ends the loop: callers that wait for a result get ErrStopped. Stop returns when all goroutines started by Go and
-// Background have returned, so the context that they use must be done.
+// Stop ends the loop: callers that wait for a result get ErrStopped. Stop waits for all goroutines started by Go and
+// Background, so the context that these goroutines use must be done before Stop is called.
 func (l *Loop) Stop() {
 	close(l.stopped)
 	l.background.Wait()
@@ -63,7 +64,8 @@
 func (l *Loop) Stopped() <-chan struct{} { return l.stopped }
 
 // Post queues f to run on the owner's goroutine. It returns false if ctx was done or the loop was stopped before f
-// could be queued.
+// could be queued. Post must not be called on the owner's goroutine: it blocks while the queue is full, and only the
+// owner empties the queue.
 func (l *Loop) Post(ctx context.Context, f func(now micros.Timestamp)) bool {
 	return l.post(ctx, func(_ context.Context, now micros.Timestamp) { f(now) })
 }
@@ -83,16 +85,18 @@
 func (l *Loop) Go(f func()) { l.background.Go(f) }
 
 // Background runs f in a goroutine that Stop waits for. It passes f the loop's context rather than ctx, so that the
-// work can outlive the request that caused it. Background must not be called on the owner's goroutine, which has the
-// loop's context and uses Go.
+// work can outlive the request that caused it. The goroutine is started by an event: Background blocks while the queue
+// is full, and f is not run if the loop stops before the event is handled. Background must not be called on the owner's
+// goroutine, which empties the queue; the owner has the loop's context and uses Go.
 func (l *Loop) Background(ctx context.Context, f func(ctx context.Context)) {
 	l.post(context.WithoutCancel(ctx), func(ctx context.Context, _ micros.Timestamp) {
 		l.background.Go(func() { f(ctx) })
 	})
 }
 
-// Ask runs f on the owner's goroutine and returns the result of f, or ErrStopped. The result is passed over a channel
-// because f may still run after the caller has stopped waiting.
+// Ask runs f on the owner's goroutine and returns the result of f, or ErrStopped. It must not be called on the owner's
+// goroutine, which would wait for itself. The result is passed over a channel because f may still run after the caller
+// has stopped waiting.
 func Ask[T any](ctx context.Context, loop *Loop, f func(now micros.Timestamp) (T, error)) (T, error) {
 	type result struct {
 		value T
@@ -115,7 +119,8 @@
 	return zero, ErrStopped
 }
 
-// Do runs f on the owner's goroutine and returns its error, or ErrStopped.
+// Do runs f on the owner's goroutine and returns its error, or ErrStopped. Like Ask, it must not be called on the
+// owner's goroutine.
 func (l *Loop) Do(ctx context.Context, f func(now micros.Timestamp) error) error {
 	_, err := Ask(ctx, l, func(now micros.Timestamp) (struct{}, error) { return struct{}{}, f(now) })
 	return err
--- a/internal/follower/lease_renewer.go
+++ b/internal/follower/lease_renewer.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// registrationTTL is the time to live of the store lease that the active registration record is attached to. Worker
+	// registrationTTL is the time to live of the store lease that the active-renewer record is attached to. Worker
 	// leases are renewed only while that store lease is valid.
 	registrationTTL      = 4 * micros.Second
 	registrationInterval = registrationTTL / 5
@@ -51,9 +51,9 @@
 	validUntil micros.Timestamp           // time until which worker leases may be renewed; 0: not registered
 	ended      map[wire.JobID]bool        // jobs in a final state
 	resolved   openjobs.ResolvedTimestamp // the time up to which the ended jobs are known
-	// possibleLaunches contains the recorded attempts of ended jobs, by machine. A launch of such an attempt may still
-	// arrive at the machine during the agent incarnation that the attempt was granted for, and renewing the agent's
-	// lease prolongs that incarnation.
+	// possibleLaunches contains the recorded attempts of ended jobs, by the worker's machine. A launch of such an
+	// attempt may still arrive at the worker during the incarnation of the worker that the attempt was granted for, and
+	// renewing the worker's lease prolongs that incarnation.
 	possibleLaunches map[wire.MachineID][]endedAttempt
 }
 
@@ -116,8 +116,9 @@
 	return before
 }
 
-// register writes the records by which the leader recognizes that this controller renews worker leases. It returns the
-// store lease of the record that exists only while this controller does so.
+// register writes the two records by which the leader recognizes that this controller renews worker leases. The
+// active-renewer record is attached to the returned store lease, and the store deletes it when that lease expires. The
+// last-renewer record is not attached to a lease and remains.
 func (r *leaseRenewer) register(ctx context.Context) (lease uint64, err error) {
 	controller := r.cfg.Settings.Member
 	lease, err = r.cfg.Store.GrantLease(ctx, registrationTTL.AsDuration())
@@ -199,7 +200,8 @@
 	r.resolved.Advance(update.RequestedAt)
 }
 
-// hasEnded reports whether an open-job record is of a job in a final state. It decodes no other field of the record.
+// hasEnded reports whether an open-job record is of a job in a final state. It decodes no other field of the record. A
+// record that cannot be decoded is logged and counts as not ended.
 func (r *leaseRenewer) hasEnded(item wire.KeyValue) bool {
 	var record struct {
 		FinalState string `json:"over"`
@@ -234,9 +236,10 @@
 // earliestCancellation returns the earliest time at which a job that has now been found ended can have been cancelled.
 // ok is false if the leader already knew that the job had ended.
 //
-// While the resolved timestamp is 0, the bound comes from the last snapshot that the leader published while the store
-// served it. The leader then knew all cancellations older than LeaderLeaseTTL, so a job in the snapshot was cancelled
-// no earlier than LeaderLeaseTTL before the snapshot.
+// While the resolved timestamp is 0, the time follows from the arrival of the latest snapshot whose leader could reach
+// the store. A leader that can reach the store knows all cancellations older than LeaderLeaseTTL, so a job that is
+// still in the latest snapshot was cancelled no earlier than LeaderLeaseTTL before that arrival. If the job is not in
+// the latest snapshot, the leader already knew that it had ended.
 func (r *leaseRenewer) earliestCancellation(job wire.JobID) (at micros.Timestamp, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -247,7 +250,8 @@
 }
 
 // addAttempts adds the attempts in a progress record of a job to attempts. cancelledAt is the earliest time at which
-// the job can have been cancelled.
+// the job can have been cancelled. If the record cannot be decoded, this is logged, and only the attempts that were
+// decoded are added, if any.
 func (r *leaseRenewer) addAttempts(attempts map[wire.MachineID][]endedAttempt, job wire.JobID, item wire.KeyValue,
 	cancelledAt micros.Timestamp) {
 	var progress state.ProgressRecord
@@ -291,8 +295,8 @@
 				wire.Command{Op: wire.OpStart, Task: attempt.task, Attempt: attempt.attempt},
 				wire.StopCommand(attempt.task, attempt.attempt, 0))
 		default:
-			// It is too late to launch and stop the attempt. The lease must expire, because only the end of the agent's
-			// incarnation ensures that a late launch can't start the attempt.
+			// It is too late to launch and stop the attempt. The lease must expire, because only the end of the
+			// worker's incarnation ensures that a late launch can't start the attempt.
 			return nil
 		}
 	}
--- a/internal/gang/gang.go
+++ b/internal/gang/gang.go
@@ -16,8 +16,8 @@
 //	 |-all terminated- Aborting <-- aborted, or a task terminates before any has saved progress ----'    |
 //	 '-all terminated, one of them after it has saved the progress --------------------------------------'
 //
-// The transitions, with the action that is returned. An event that isn't listed for a phase leaves the phase as it is
-// and returns None:
+// The transitions, with the action that is returned. If several rows match an event, the first of them applies. An
+// event that isn't listed for a phase leaves the phase as it is and returns None:
 //
 //	event              in phase                         next phase     action
 //	TaskPlaced         Idle                             Granted        None
@@ -31,9 +31,11 @@
 //	Preempt            Granted, Launched                Aborting       Stop
 //	Abort              Granted to Checkpointing         Aborting       Stop
 //	TaskDone           all but Complete                 Complete       Finish
-//	TaskTerminated     the last task, all but Complete  Idle           None
+//	TaskTerminated     all but Complete, the last task  Idle           None
 //	TaskTerminated     Checkpointing, progress saved    Checkpointing  None
-//	TaskTerminated     else, Granted to Checkpointing   Aborting       Stop
+//	TaskTerminated     Granted to Checkpointing         Aborting       Stop
+//
+// The last task is the only task of the attempt that has not terminated before the event.
 //
 // A new attempt begins only from Idle, after every task of the previous attempt has terminated. So the tasks of two
 // attempts never run at the same time, and no task is replaced within an attempt.
@@ -46,7 +48,8 @@
 const (
 	// Idle: no task can exist; the gang may be granted leases for a new attempt.
 	Idle Phase = iota
-	// Granted: tasks are placed, but not all placements are durable; no task may be launched yet.
+	// Granted: leases have been granted for tasks, which are thereby placed, but not all placements are durable; no
+	// task may be launched yet.
 	Granted
 	// Launched: the tasks may be launched; they fetch their image and wait for one another.
 	Launched
@@ -89,7 +92,7 @@
 	size          int // number of the gang's tasks
 	phase         Phase
 	existing      int  // number of tasks of the attempt that may exist
-	durable       int  // number of tasks of the attempt whose placement is or was durable
+	durable       int  // number of tasks of the attempt whose placement became durable, including terminated tasks
 	progressSaved bool // a task has written the gang's checkpoint
 }
 
@@ -100,10 +103,12 @@
 func (g *Gang) Phase() Phase { return g.phase }
 
 // MayLaunch reports whether tasks may be launched: all placements are durable, no task is running yet, and the attempt
-// isn't being stopped.
+// isn't being stopped. In phase Running there is nothing left to launch: the tasks wait for one another before they
+// run, so a running task shows that all tasks were launched.
 func (g *Gang) MayLaunch() bool { return g.phase == Launched }
 
-// TaskPlaced adds a placed task to the current attempt, or begins an attempt with it if there is none.
+// TaskPlaced adds a task for which a lease has been granted to the current attempt, or begins an attempt with the task
+// if there is none.
 func (g *Gang) TaskPlaced() {
 	if g.phase == Idle {
 		g.phase = Granted
@@ -129,8 +134,9 @@
 }
 
 // RecoveryDone is called by a new leader when all records have been read. If only some of the tasks are recorded, the
-// earlier leader hadn't launched any of them, or the attempt was being aborted already. If all are recorded, each of
-// them may be running, waiting or not launched at all, which the heartbeats of the machines will show.
+// earlier leader hadn't launched any of them, because a gang is launched only once all placements are durable, or the
+// attempt was being aborted already. If all are recorded, each of them may be running, waiting or not launched at all,
+// which the heartbeats of the machines will show.
 func (g *Gang) RecoveryDone() Action {
 	switch {
 	case g.phase != Granted:
@@ -204,7 +210,7 @@
 		*g = Gang{size: g.size}
 		return None
 	case g.phase == Checkpointing && g.progressSaved:
-		return None // the other tasks have also written the checkpoint, or are about to
+		return None // the progress is saved, and the other tasks have already been asked to write a checkpoint and stop
 	default:
 		return g.Abort()
 	}
--- a/internal/health/monitor.go
+++ b/internal/health/monitor.go
@@ -15,8 +15,8 @@
 const (
 	// maxStoreSilence is how long the store may fail to respond to this controller before it counts as unreachable.
 	maxStoreSilence = 6 * micros.Second
-	// leaderStatusTTL is how long after a snapshot from a leader that could reach the store the leader is still assumed
-	// to reach it.
+	// leaderStatusTTL is how long a snapshot that reports the store as available counts as evidence that the leader can
+	// reach the store.
 	leaderStatusTTL = 2 * micros.Second
 )
 
@@ -74,9 +74,10 @@
 	return counts.done, counts.running
 }
 
-// StoreReachable returns false if only this controller cannot reach the store: the store has not responded to it for
-// longer than maxStoreSilence, while the leader can reach the store. Short outages and outages that also affect the
-// leader are ignored.
+// StoreReachable returns false only if the store has not responded to this controller for longer than maxStoreSilence
+// although the leader can reach the store. It returns true during shorter outages, and also if there is no evidence
+// that the leader can reach the store, as when no controller can. Until the store's first response, its silence is
+// measured from timestamp 0.
 func (m *Monitor) StoreReachable() bool {
 	now := m.clock.Now()
 	unreachableHere := now.Sub(micros.Timestamp(m.lastStoreResponse.Load())) > maxStoreSilence
--- a/internal/ingress/admission.go
+++ b/internal/ingress/admission.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// ErrOverloaded is the read error of a connection whose request has waited for admission for the maximum time, which is
-// as long as its client waits for a response. The server then closes the connection.
+// ErrOverloaded is the read error of a connection whose request was not admitted within the maximum wait that was
+// passed to NewAdmission. The server then closes the connection.
 var ErrOverloaded = errors.New("too many low-priority requests")
 
 const (
@@ -32,7 +32,8 @@
 // Go's scheduler has no priorities, and it polls the network only when no goroutine is runnable. With little processor
 // time, hundreds of requests that arrive together keep the process busy for a second or more. Meanwhile the controller
 // does not receive the responses that its own work, such as renewing leases and reading streams, waits for. A pause
-// after each batch, in which no low-priority request is runnable, avoids this.
+// after each batch avoids this: of the low-priority requests admitted before, only those that have yielded and those
+// that have taken longer than maxBatchDuration can be runnable during the pause.
 type Admission struct {
 	// admissions is unbuffered: a request that receives a batch from it is admitted and joins that batch.
 	admissions chan *batch
@@ -118,7 +119,8 @@
 	return c
 }
 
-// MarkLowPriority makes all later requests on ctx's connection wait for admission.
+// MarkLowPriority makes all later requests on ctx's connection wait for admission. The request that ctx belongs to has
+// been read already and does not wait.
 func MarkLowPriority(ctx context.Context) {
 	if c := connFromContext(ctx); c != nil {
 		c.setLowPriority()
--- a/internal/leader/drains/drains.go
+++ b/internal/leader/drains/drains.go
@@ -57,8 +57,8 @@
 	cfg          Config
 	planner      *drain.Planner
 	serialWriter *fenced.SerialWriter
-	// machineLists is the number of machine lists written in this term. It is accessed only within
-	// serialWriter.Exclusive.
+	// machineLists is the number of machine lists written in this term. Together with the fencing token, it forms the
+	// unique ID of a list. It is accessed only within serialWriter.Exclusive.
 	machineLists int
 	// completing contains the drains whose completion is being written. It is owned by the term's goroutine.
 	completing map[string]bool
@@ -83,6 +83,8 @@
 
 // Round has the planner decide on evictions and on the deletion of empty machines, and executes its decisions.
 func (e *Executor) Round(ctx context.Context, now micros.Timestamp) {
+	// The machines of a drain stay cordoned until the drain has ended, even if they no longer exist. So without
+	// cordons, there are no evictions to plan and no finished drains to record.
 	if !e.planner.HasCordons() {
 		e.cfg.Manager.SetPendingReplacements(nil)
 		return
@@ -116,8 +118,8 @@
 	})
 }
 
-// SetShortage sets the reason why no resources are available yet for tasks that are to be evicted, for the status that
-// operators see; "" means that no shortage is known.
+// SetShortage sets the reason, for the status that operators see, why there is no capacity for the successors of tasks
+// that are to be evicted. It is "" if no reason is known.
 func (e *Executor) SetShortage(reason string) { e.planner.SetShortage(reason) }
 
 // RemainingBudgets returns how many more tasks of each team may be disrupted now, given the teams' current usage.
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -9,8 +9,9 @@
 	"saffronbend/internal/peer"
 )
 
-// RequestLeases grants or refuses the lease requests of the framework scheduler of a controller. It returns
-// peer.ErrNotLeader if the term has ended.
+// RequestLeases grants or refuses the task leases that the scheduler of a controller requests. It grants none while the
+// leader's own lease in the store is not valid. It returns peer.ErrNotLeader if the term has ended, or if ctx was done
+// before the result was available.
 func (t *Term) RequestLeases(ctx context.Context, request peer.LeaseRequests) (*peer.LeaseResponses, error) {
 	responses, err := eventloop.Ask(ctx, t.loop, func(now micros.Timestamp) (*peer.LeaseResponses, error) {
 		t.followers.recordContact(now, request.Member)
@@ -38,12 +39,13 @@
 
 func (t *Term) logGrants(controller string, transaction lease.Transaction, result lease.Result) {
 	for i, request := range transaction.Requests {
-		t.cfg.Log.Debug("lease request", "from", controller, "job", request.Job, "machine", request.Machine,
-			"requested", request.Count, "waits_for", request.WaitFor, "granted", result.Granted[i])
+		t.cfg.Log.Debug("served a request for task leases", "from", controller, "job", request.Job,
+			"machine", request.Machine, "requested", request.Count, "waits_for", request.WaitFor,
+			"granted", result.Granted[i])
 	}
 }
 
-// localLeaseGranter passes the lease requests of this controller's own placer to the term.
+// localLeaseGranter passes the requests for task leases of this controller's own placer to the term.
 type localLeaseGranter struct{ term *Term }
 
 // RequestLeases implements placement.LeaseGranter.
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -48,8 +48,8 @@
 }
 
 // RateLimits configures this controller's limits on requests to the store and the cloud. The leader has higher limits.
-// Once Run has started, only its goroutine sets the limits, so that a term that ends after the next one has begun can't
-// change the limits of the next term.
+// Once Run has started, only the goroutine of Run calls SetLeading. A term must not call it: a term's goroutines may
+// end after the next role has begun, and would then change the limits of that role.
 type RateLimits interface {
 	SetLeading(leading bool)
 }
@@ -59,8 +59,8 @@
 	Settings *settings.Settings
 	// Incarnation distinguishes this process from other processes of the same controller.
 	Incarnation uint64
-	// LeaseTTL is the time to live of the leader's lease in the store. After a leader has crashed, no other controller
-	// becomes the leader until the lease expires, unless the crashed leader's host refuses connections.
+	// LeaseTTL is the time to live of the leader's lease in the store. After a leader has crashed, another controller
+	// can become the leader when the lease has expired, or earlier if the crashed leader's host refuses connections.
 	LeaseTTL micros.Duration
 	Log      *slog.Logger
 	Clock    micros.Clock
@@ -102,7 +102,7 @@
 
 // New returns a Driver that takes part in the election once Run is called.
 func New(cfg Config) *Driver {
-	const safetyMarginsPerTTL = 10
+	const safetyMarginDivisor = 10
 	driver := &Driver{
 		cfg:     cfg,
 		events:  make(chan event, eventQueueSize),
@@ -111,7 +111,7 @@
 			Member:       cfg.Settings.Member,
 			Incarnation:  cfg.Incarnation,
 			LeaseTTL:     cfg.LeaseTTL,
-			SafetyMargin: cfg.LeaseTTL / safetyMarginsPerTTL,
+			SafetyMargin: cfg.LeaseTTL / safetyMarginDivisor,
 		}),
 	}
 	driver.role.Store(&Role{})
@@ -217,6 +217,7 @@
 	d.cfg.Log.Info("following the leader", "leader", current, "fencing_token", token)
 	newFollower, err := follower.New(d.cfg.Follower, current, token)
 	if err != nil {
+		// The settings contain no address of the leader. Nothing is retried until the leader changes.
 		d.cfg.Log.Error("cannot follow the leader", "leader", current, "error", err)
 		return
 	}
@@ -230,7 +231,8 @@
 	})
 }
 
-// execute executes an effect of the election. Requests to the store run in separate goroutines.
+// execute executes an effect of the election. Requests to the store run in separate goroutines. StartTerm and StepDown
+// are only logged here: updateRole starts and ends the term.
 func (d *Driver) execute(ctx context.Context, effect election.Effect) {
 	switch effect := effect.(type) {
 	case election.ReadLeader:
--- a/internal/manager/drains_test.go
+++ b/internal/manager/drains_test.go
@@ -43,7 +43,8 @@
 }
 
 // A task that writes no checkpoints and was last reported as fetching may be running by now, so a drain has to wait for
-// its end instead of evicting it. Without this rule, the scenario drain-deadline failed in 2 of 16 runs.
+// its end instead of evicting it. The drain does so if the snapshot's Checkpoints is false. Without this rule, the
+// scenario drain-deadline failed in 2 of 16 runs.
 func TestFetchingTaskMayBeRunning(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.placeTask()
@@ -52,12 +53,11 @@
 	h.want(h.m.DrainSnapshot(h.now).Machines["n-1-a"].Attempts[0].Checkpoints, false)
 }
 
-// Tasks on machines that do not report count as disrupted. Under a new leader, tasks on machines that have not reported
-// to it yet count as disrupted, too.
+// Tasks on machines whose heartbeats are overdue count as disrupted.
 func TestTasksOnSilentMachinesCountAsDisrupted(t *testing.T) {
 	h := newDrainHarness(t, nil, nil, nil)
 	h.runTask()
 	h.want(h.m.DrainSnapshot(h.now).Teams["red"], drain.TeamUsage{Running: 1})
-	h.advance(4 * micros.Second)
+	h.advance(4 * micros.Second) // longer than the heartbeat timeout
 	h.want(h.m.DrainSnapshot(h.now).Teams["red"], drain.TeamUsage{Running: 1, Disrupted: 1})
 }
--- a/internal/manager/evictions.go
+++ b/internal/manager/evictions.go
@@ -11,9 +11,9 @@
 	"saffronbend/internal/resources"
 )
 
-// Evict evicts a task, or the whole gang that the task belongs to: it reserves capacity for the successors, and stops
-// the attempts once their disruptions are durable. It changes nothing if there is not enough capacity (NoCapacity) or
-// if the task has no attempt (AttemptEnded).
+// Evict evicts a task, or the whole gang that the task belongs to: it reserves capacity for the successors, which are
+// the attempts that will replace the evicted ones, and stops the evicted attempts once their disruptions are durable.
+// It changes nothing if there is not enough capacity (NoCapacity) or if the task has no attempt (AttemptEnded).
 func (m *Manager) Evict(now micros.Timestamp, task disruption.Task) drain.EvictionOutcome {
 	job := m.jobs.byID[task.Job]
 	if job == nil || job.active[task.Index] == nil {
@@ -43,8 +43,8 @@
 	m.writes.markDirty(now, attempt.job, attempt.taskIndex, true)
 }
 
-// executeEvictions stops the attempts whose disruption has become durable. It abandons a move if the destination was
-// lost meanwhile.
+// executeEvictions stops the attempts whose disruption has become durable. It abandons a rebalancing move if the
+// destination was lost meanwhile; evictions by drains proceed without it.
 func (m *Manager) executeEvictions(now micros.Timestamp, evictions []*taskAttempt) {
 	for _, attempt := range evictions {
 		job, cause := attempt.job, attempt.pendingEviction
@@ -71,17 +71,17 @@
 	return !disrupted && !m.stopping(attempt)
 }
 
-// stopping reports whether an attempt is being stopped for any reason. The successor of a stopped attempt is not
-// stopping although the task stays disrupted until the successor runs: from its placement on, the successor counts as
-// load on its machine.
+// stopping reports whether an attempt is being stopped for any reason, is to be stopped once its disruption is durable,
+// or belongs to a job that is final. When the attempt has ended, its task stays disrupted until the successor runs, but
+// the successor is not stopping: it counts as load on its machine as soon as it is placed.
 func (m *Manager) stopping(attempt *taskAttempt) bool {
 	disrupted, ok := m.ledger.Get(attempt.task())
 	return attempt.stopPending() || ok && disrupted.Attempt == attempt.id || attempt.job.final()
 }
 
 // destinationsFor returns a machine for the successor of each evicted attempt of a job. ok is false if there is not
-// enough capacity for all of them. The successors of a gang's attempts may use the resources that the gang releases on
-// machines that are not cordoned.
+// enough capacity for all of them. For a gang, the resources of the evicted attempts count as free on machines that can
+// host successors, since all attempts of the gang are stopped before their successors start.
 func (m *Manager) destinationsFor(
 	now micros.Timestamp, job *jobState, evicted []*taskAttempt,
 ) (destinations []*machineState, ok bool) {
--- a/internal/manager/machine_reservations.go
+++ b/internal/manager/machine_reservations.go
@@ -29,8 +29,9 @@
 // ReserveForWaitingJobs reserves machines for the jobs that have waited longest without any of their tasks being
 // placed. No other job's tasks are placed on a reserved machine: otherwise, small tasks that fit anywhere could starve
 // a large task indefinitely. The jobs' classes, priorities and deadlines are not considered. Tasks that run on a
-// reserved machine are not stopped. The machine stays reserved until it cannot hold another task of the job. See
-// reservations.go for the other kind of reservation.
+// reserved machine are not stopped. The reservation ends when the machine cannot hold another task of the job after one
+// was placed there (grants.go), when the machine becomes unusable, or when the job is final or no longer has waiting
+// tasks. Reservations of capacity for the successors of evicted tasks are separate (reservations.go).
 func (m *Manager) ReserveForWaitingJobs(now micros.Timestamp) {
 	round := machineReservationRound{m: m, now: now, tasks: map[wire.JobID]int{}}
 	round.releaseObsolete()
@@ -42,7 +43,8 @@
 			round.reserveForJob(job)
 			continue
 		}
-		// Two gangs that each hold half of the machines they need would wait for each other forever.
+		// Only the gang that has waited longest gets machines: two gangs that each hold half of the machines they need
+		// would wait for each other forever.
 		if gangs++; gangs == 1 {
 			round.reserveForGang(job)
 		}
@@ -124,7 +126,9 @@
 // may be spread over zones, the returned zone is empty, which stands for any zone.
 func (round *machineReservationRound) zoneForGang(job *jobState) (best string, found bool) {
 	m := round.m
-	capacity, free := map[string]int{}, map[string]int{} // numbers of tasks, by zone
+	capacity := map[string]int{} // number of the job's tasks that fit on the zone's machines when empty, by zone
+	// score ranks the zones: the number of tasks that fit now, plus a bonus for each machine reserved for the gang.
+	score := map[string]int{}
 	for _, machine := range m.machines.byID {
 		if machine.reservedForJob != "" && machine.reservedForJob != job.id() ||
 			!m.mayHostWhenFree(round.now, machine, job) {
@@ -135,13 +139,13 @@
 			zone = machine.zone
 		}
 		capacity[zone] += machine.maxTasksWhenEmpty(job)
-		free[zone] += m.freeResources(machine).MaxTasks(resources.ForTask(job.spec()), wire.MaxTasks)
+		score[zone] += m.freeResources(machine).MaxTasks(resources.ForTask(job.spec()), wire.MaxTasks)
 		if machine.reservedForJob != "" {
-			free[zone] += wire.MaxTasks // prefer the zone in which machines are already reserved for the gang
+			score[zone] += wire.MaxTasks // prefer the zone in which machines are already reserved for the gang
 		}
 	}
 	for _, zone := range slices.Sorted(maps.Keys(capacity)) {
-		if capacity[zone] >= job.waiting && (!found || free[zone] > free[best]) {
+		if capacity[zone] >= job.waiting && (!found || score[zone] > score[best]) {
 			best, found = zone, true
 		}
 	}
--- a/internal/openjobs/openjobs.go
+++ b/internal/openjobs/openjobs.go
@@ -34,11 +34,12 @@
 }
 
 // Update contains changes of the open-job records, or all of them. It includes every change that was committed before
-// RequestedAt and that no earlier update included.
+// RequestedAt and that no earlier update included. If the update is a complete list, jobs that earlier updates
+// contained and that are missing from Records have been removed; Removed is empty then.
 type Update struct {
 	RequestedAt micros.Timestamp
-	// CompleteAt is 0 if Records are the records that have changed. Otherwise Records are all open-job records that
-	// existed at the revision CompleteAt.
+	// CompleteAt is 0 if Records are the records that have changed. Otherwise it is the store revision at which Records
+	// were all the open-job records.
 	CompleteAt uint64
 	Records    []wire.KeyValue
 	Removed    []wire.JobID // jobs whose records were deleted
@@ -54,12 +55,12 @@
 type Watcher struct {
 	Store Store
 	Clock micros.Clock
-	// OnServed is called whenever the store has served a watch request.
+	// OnServed is called whenever the store has served a watch request. It is not called for a complete list.
 	OnServed func()
 }
 
 // Run calls apply with every update after the given revision, in order, until ctx ends. If the store has already
-// compacted the events after that revision, the update is a complete list.
+// compacted the events after that revision, the update is a complete list. Failed requests are retried and not logged.
 func (w *Watcher) Run(ctx context.Context, revision uint64, apply func(Update)) {
 	const retryInterval = 100 * micros.Millisecond
 	for ctx.Err() == nil {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,8 +1,9 @@
 // Package operator implements the RPC services for operators, one for drains and one for rebalancing. Both are defined
-// in operatorpb/operator.proto, and every controller serves them on its cluster address. The leader executes a request
-// by calling a DrainController or a RebalancingController, which the root package implements. Any other controller
-// forwards the request to the leader; a forwarded request is not forwarded again. The package converts messages and
-// errors, and is stateless.
+// in operatorpb/operator.proto, and every controller serves them on its cluster address, the address at which the other
+// controllers reach it. The leader executes a request by calling a DrainController or a RebalancingController, which
+// the root package implements. Any other controller forwards the request to the leader and marks it with the header
+// forwardedHeader. A controller that receives a request with this header and is not the leader responds with
+// ErrUnavailable instead of forwarding the request again. The package converts messages and errors, and is stateless.
 package operator
 
 import (
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -17,8 +17,9 @@
 	"saffronbend/wire"
 )
 
-// keepaliveInterval is the maximum time between two messages with lease requests. If the scheduler has no requests, an
-// empty message shows the leader that this controller is running.
+// keepaliveInterval is the time after the last message with lease requests from which an empty message is sent if the
+// scheduler has no requests. The empty message shows the leader that this controller is running. There is no timer: the
+// message is sent when the next snapshot is handled.
 const keepaliveInterval = 400 * micros.Millisecond
 
 // LeaseGranter sends lease requests to the leader, which grants or refuses them.
@@ -68,8 +69,9 @@
 	}
 }
 
-// mergeCompletedRuns returns the newer snapshot with the completed runs of the snapshot that it replaces prepended to
-// its own. Each completed run is published in only one snapshot, so it would otherwise be lost.
+// mergeCompletedRuns returns the newer snapshot with the completed runs (task runs that ended with a result) of the
+// replaced snapshot prepended to its own. Each completed run is published in only one snapshot, so those of the
+// replaced snapshot would otherwise be lost.
 func mergeCompletedRuns(replaced, newer *snapshot.Snapshot) *snapshot.Snapshot {
 	if replaced.FencingToken != newer.FencingToken || len(replaced.CompletedRuns) == 0 {
 		return newer
@@ -81,7 +83,7 @@
 
 // Run places tasks until ctx ends.
 func (p *Placer) Run(ctx context.Context) {
-	framework := scheduler.New(p.cfg.Controller, p.cfg.Tuning)
+	sched := scheduler.New(p.cfg.Controller, p.cfg.Tuning)
 	var lastRequest micros.Timestamp
 	for {
 		select {
@@ -89,20 +91,22 @@
 			return
 		case latest := <-p.offers:
 			if types := p.cfg.Types.Types(); types != nil {
-				framework.SetTypes(types)
+				sched.SetTypes(types)
 			}
-			framework.ApplySnapshot(latest.snapshot)
-			lastRequest = p.place(ctx, framework, latest.leader, lastRequest)
+			sched.ApplySnapshot(latest.snapshot)
+			lastRequest = p.place(ctx, sched, latest.leader, lastRequest)
 		}
 	}
 }
 
-// place runs scheduling rounds on one snapshot. It stops when the scheduler has finished, when the snapshot no longer
-// shows all granted leases, or when a newer snapshot is available. It returns when the last lease request was sent.
-func (p *Placer) place(ctx context.Context, framework *scheduler.Scheduler, leader LeaseGranter,
+// place runs scheduling rounds on one snapshot. It stops when the scheduler has decided on all queued jobs, when the
+// leader's response requires a newer snapshot, since this one may not show the leases that were just granted, when a
+// newer snapshot is available, or when a message to the leader fails. It returns the time at which the last message
+// with lease requests was sent.
+func (p *Placer) place(ctx context.Context, sched *scheduler.Scheduler, leader LeaseGranter,
 	lastRequest micros.Timestamp) micros.Timestamp {
-	for more := true; more; more = framework.Unfinished() && framework.UpToDate() && len(p.offers) == 0 {
-		requests := framework.Round(p.cfg.Clock.Now(), routine.Budget(p.cfg.Tuning.RoundBudget))
+	for more := true; more; more = sched.Unfinished() && sched.UpToDate() && len(p.offers) == 0 {
+		requests := sched.Round(p.cfg.Clock.Now(), routine.Budget(p.cfg.Tuning.RoundBudget))
 		if len(requests) == 0 && p.cfg.Clock.Now().Sub(lastRequest) < keepaliveInterval {
 			continue
 		}
@@ -113,7 +117,7 @@
 			return lastRequest
 		}
 		if len(requests) > 0 {
-			framework.RequireVersion(responses.SnapshotVersion)
+			sched.RequireVersion(responses.SnapshotVersion)
 		}
 	}
 	return lastRequest
--- a/internal/rebalance/snapshot.go
+++ b/internal/rebalance/snapshot.go
@@ -62,7 +62,8 @@
 	RemainingBudget int
 }
 
-// MoveOutcome is empty if a move was started. Otherwise it is the reason, for operators, why the move wasn't started.
+// MoveOutcome is Moved, which is empty, if a move was started. Otherwise it is the reason, for operators, why the move
+// wasn't started.
 type MoveOutcome string
 
 // The outcomes of a move.
@@ -88,10 +89,11 @@
 	Task     disruption.Task
 	Team     wire.TeamName
 	From, To wire.MachineID
-	// ImbalanceReduction is the reduction of imbalance, as a share of a machine. Operators know it as relief.
+	// ImbalanceReduction is the reduction of imbalance by the move, as a share of a machine: the result of
+	// imbalanceReduction, limited by the difference of the smoothed loads. Operators know it as relief.
 	ImbalanceReduction float64
 	// Gain is the imbalance reduction multiplied by the task's remaining run time after the move. Cost is the run time
-	// that is lost by the move.
+	// that is lost by the move. Both are durations, so that they can be compared.
 	Gain, Cost micros.Duration
 }
 
--- a/internal/scheduler/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -6,10 +6,10 @@
 )
 
 // This file orders the machines on which the tasks of a job can be placed. As in the Awan paper (III.C, IV), local
-// machines are preferred: those that have the job's image. The order among equally local machines is that of
-// docs/design.md ("Changed", 2).
+// candidates are preferred (see candidate.local). The order among equally local candidates is that of docs/design.md
+// ("Changed", 2).
 
-// imageState says whether a machine has a job's image. Lower values are preferred.
+// imageState says whether a machine has a job's image, is fetching it, or neither. Lower values are preferred.
 type imageState int
 
 const (
@@ -73,6 +73,8 @@
 	reserved := machineCandidate
 	reserved.reserved = true
 	if job.Gang {
+		// For a gang, a single candidate stands for all capacity of the machine that the gang may use, both reserved
+		// and free. It needs no limit, and the cap of the team does not apply to gangs.
 		return append(candidates, reserved)
 	}
 	reserved.maxTasks = reservedTasks
@@ -83,7 +85,7 @@
 //
 //   - machines that are reserved as a whole for this job, which other jobs can't use, then capacity that is reserved
 //     for its tasks;
-//   - for a gang, machines that are not unreliable, since the failure of one task fails the whole gang;
+//   - for a gang, reliable machines, since the failure of one task fails the whole gang;
 //   - machines that have the image, then machines that are fetching it, then others;
 //   - capacity within the cap of the job's team;
 //   - for a gang, machines on which more of its tasks fit, since each additional machine may fail or slow down the
--- a/internal/worklog/load.go
+++ b/internal/worklog/load.go
@@ -23,7 +23,8 @@
 	return total
 }
 
-// SampleLoad samples the load of the machines at a fixed interval, from the start of the first task to the last event.
+// SampleLoad samples the load of the machines at a fixed interval. The samples begin with the start of the first
+// task and end before the last event. events must be ordered by time, and interval must be positive.
 func SampleLoad(events []Event, interval time.Duration) []LoadSample {
 	first := slices.IndexFunc(events, func(event Event) bool { return event.Kind == TaskStarted })
 	if first < 0 {
@@ -41,6 +42,7 @@
 		case TaskStarted:
 			startOf[event.Task] = event
 		case TaskTerminated, TaskCompleted:
+			// An event on another machine belongs to an earlier attempt of the task, which has started again since.
 			if startOf[event.Task].Machine == event.Machine {
 				delete(startOf, event.Task)
 			}
